--- a/src/entry/common/accounting.ts
+++ b/src/entry/common/accounting.ts
@@ -1,12 +1,12 @@
-/** Counts attainment by workspace and cost by stage. */
+/** Counts attainment (completion within the deadline) per workspace and cost (upstream time) per stage. */
 import type {Metrics} from '../../base/common/metrics.js';
 import {outcomes, type RequestPlan, type RequestResult} from '../../request/common/request-plan.js';
 
-/** Requests of one workspace and how they ended. */
+/** Number of requests of one workspace, by outcome. */
 export type WorkspaceReport = {
 	readonly workspace: string;
 	requests: number;
-	/** Returned whole within the deadline. */
+	/** Completed within the deadline. */
 	attained: number;
 	late: number;
 	refused: number;
@@ -22,16 +22,16 @@
 	attempts: number;
 	retries: number;
 	hedges: number;
-	/** Time that went into answers in time. */
+	/** Upstream time that contributed to responses within the deadline. */
 	usefulMs: number;
-	/** Time that did not: failed, lost, late, or of requests that came to nothing. */
+	/** Upstream time that did not: of failed or lost attempts, and of requests that were late or produced no result. */
 	wastedMs: number;
 };
 
 /** Everything counted since the start of the process. */
 export type EntryReport = {readonly workspaces: readonly WorkspaceReport[]; readonly stages: readonly StageReport[]};
 
-/** Counts for one entry. */
+/** Keeps the counts of one entry. */
 export class Accounting {
 	static create(metrics: Metrics): Accounting {
 		return new Accounting(metrics);
@@ -44,8 +44,8 @@
 
 	/**
 	Counts a request that has ended.
-	@param plan - what it was to do.
-	@param result - how it ended.
+	@param plan - plan of the request.
+	@param result - result of the request.
 	*/
 	record(plan: RequestPlan, result: RequestResult): void {
 		const report = this.workspaceOf(plan.workspace);
--- a/src/entry/common/fleet-router.ts
+++ b/src/entry/common/fleet-router.ts
@@ -1,4 +1,4 @@
-/** Routing of one entry: joins membership, statistics, estimates and budgets for the request machine. */
+/** Routing of one entry: combines membership, statistics, estimates and budgets for the request state machine. */
 import {type MemberTable, type Member} from '../../membership/common/member-table.js';
 import type {Attempt} from '../../request/common/attempt.js';
 import {attemptStates, type StagePlan} from '../../request/common/request-plan.js';
@@ -15,25 +15,25 @@
 import type {UpstreamLoad} from '../../wire/common/messages.js';
 
 const defaultAnswerMs = 50;
-/** How long the shortest wait of a pool is taken as known. */
+/** Time for which the cached shortest wait of a pool is used. */
 const waitLifeMs = 25;
-/** How long the candidates of a pool are taken as known while no member changes. */
+/** Time for which the cached candidates of a pool are used while no member changes. */
 const viewLifeMs = 100;
-/** Upstream failures that say something about the upstream, not about the request. */
+/** Reasons for the end of an attempt that say nothing about the upstream, so that the attempt is not counted in its statistics. */
 const innocentReasons = new Set(['lostRace', 'abandoned']);
 
-/** What the router is made of; the policies may be exchanged for baselines. */
+/** Dependencies of the router; the policies can be replaced by baselines. */
 export type FleetRouterOptions = {
 	readonly hall: string;
 	readonly members: MemberTable;
 	readonly chooser: UpstreamChooser;
 	readonly prefixes: PrefixIndex;
 	readonly newDispatchId: () => string;
-	/** Whether outliers are taken out and requests refused by predicted time. */
+	/** Whether outliers are ejected and requests refused because of their predicted time. */
 	readonly isAdaptive: boolean;
 };
 
-/** What is known of a pool for a short while. */
+/** State of a pool, cached for a short time. */
 type PoolView = {
 	readonly version: number;
 	readonly atMs: number;
@@ -42,15 +42,15 @@
 	readonly medianSlowness: number | undefined;
 };
 
-/** Routes for one entry. */
+/** Routes the requests of one entry. */
 export class FleetRouter implements RequestRouter {
 	static create(options: FleetRouterOptions): FleetRouter {
 		return new FleetRouter(options);
 	}
 
-	/** From the first dispatch to the end of a stage, waits and retries included. */
+	/** Time from the first dispatch to the end of a stage, including waits and retries. */
 	readonly estimates = StageEstimates.create();
-	/** Time on the upstream alone. */
+	/** Time on the upstream only. */
 	private readonly runTimes = StageEstimates.create();
 	private readonly views = new Map<string, PoolView>();
 	private readonly waits = new Map<string, {readonly waitMs: number; readonly atMs: number}>();
@@ -61,23 +61,23 @@
 
 	private constructor(private readonly options: FleetRouterOptions) {}
 
-	/** Agents say themselves when they take more. */
+	/** Not known here: agents themselves report when they accept more work. */
 	retryAfterMs(): undefined {
 		return undefined;
 	}
 
-	/** A stage may always wait for an agent. */
+	/** Never given: a stage may always wait for an agent. */
 	unavailability(): undefined {
 		return undefined;
 	}
 
-	/** An agent stands between a request and its upstream; which requests end upstreams is not known here. */
+	/** Always clear: the entry can't know which requests crash upstreams, because an agent runs between it and the upstream. */
 	standingOf(): Standing {
 		return clearStanding;
 	}
 
 	/**
-	An incarnation was met for the first time: what was known of the old one is forgotten.
+	Handles the first connection of an incarnation: discards what was known of the previous one.
 	@param member - the upstream.
 	*/
 	joined(member: Member): void {
@@ -88,10 +88,10 @@
 	}
 
 	/**
-	A report or a reply told the load of an upstream.
-	@param upstreamId - which.
-	@param load - as told.
-	@param nowMs - the time.
+	Records the load of an upstream, as given in a report or a reply.
+	@param upstreamId - id of the upstream.
+	@param load - the load, if the message gave one.
+	@param nowMs - the current time.
 	*/
 	observeLoad(upstreamId: string, load: UpstreamLoad | undefined, nowMs: number): void {
 		if (load) {
@@ -99,7 +99,7 @@
 		}
 	}
 
-	/** @returns what is known of an upstream. */
+	/** @returns the statistics of an upstream, or undefined if it is unknown. */
 	statsOf(upstreamId: string): UpstreamStats | undefined {
 		return this.candidates.get(upstreamId)?.stats;
 	}
@@ -135,7 +135,7 @@
 
 	hedgeDelayMs(stage: StagePlan): number | undefined {
 		const {hedgeShare, attainmentWeight} = stage.policy;
-		// Worth its cost only where attainment counts for more than cost.
+		// A hedge is worth its cost only where attainment is weighted higher than cost.
 		return hedgeShare > 0 && attainmentWeight > 0.5 ? this.estimates.slowMs(stage.key) : undefined;
 	}
 
@@ -199,7 +199,7 @@
 	}
 
 	didBegin(): void {
-		// Agents tell how long a call waited for its upstream.
+		// Nothing to record: agents report how long a call waited for its upstream.
 	}
 
 	didComplete(stage: StagePlan, tookMs: number): void {
@@ -210,7 +210,7 @@
 		return this.options.newDispatchId();
 	}
 
-	/** Looked up once in a while for each pool: a door must not cost more the larger the pool is. */
+	/** Returns the shortest wait of a pool, cached for a short time so that the cost of admission does not grow with the pool. */
 	private shortestWaitMs(stage: StagePlan, nowMs: number): number {
 		const known = this.waits.get(stage.pool);
 		if (known && nowMs - known.atMs < waitLifeMs) {
@@ -224,7 +224,7 @@
 		return waitMs;
 	}
 
-	/** What is known of a pool, looked up again when a member changes, and from time to time for silence. */
+	/** Returns the cached state of a pool; recomputed when a member changes, and periodically because silence changes no member. */
 	private viewOf(pool: string, nowMs: number): PoolView {
 		const {members, isAdaptive} = this.options;
 		const known = this.views.get(pool);
--- a/src/entry/common/fleet-share.ts
+++ b/src/entry/common/fleet-share.ts
@@ -1,21 +1,21 @@
-/** How much of a fleet one entry connects to, and how often it pings: bounded, however large the fleet is. */
+/** Bounds on the number of agents that one entry connects to and on its ping traffic, independent of the fleet's size. */
 import type {ListedHost} from '../../store/common/host-list.js';
 import {subsetOf} from '../../routing/common/subset.js';
 import {roles} from '../../wire/common/messages.js';
 
 const shortestPingMs = 500;
-/** What pings and their answers may take of an entry's traffic; with more links, pings come more seldom. */
+/** Maximum traffic of an entry for pings and their replies; with more links, pings are sent less often. */
 const pingBytesPerSecond = 10_000;
-/** One ping with its answer, a report of the load. */
+/** Size of a ping and its reply, which reports the load. */
 const pingExchangeBytes = 221;
-/** Links an entry keeps; a larger fleet is shared out among the entries. */
+/** Maximum number of links of an entry; a larger fleet is divided among the entries. */
 const mostLinks = 96;
 const fewestOfPool = 8;
 
 /**
-Gives the time between two pings on each link.
-@param links - links the entry keeps.
-@returns milliseconds.
+Returns the time between two pings on each link.
+@param links - number of links of the entry.
+@returns the time in milliseconds.
 */
 export function pingIntervalMs(links: number): number {
 	return Math.max(shortestPingMs, links * pingExchangeBytes * 1000 / pingBytesPerSecond);
@@ -23,9 +23,9 @@
 
 /**
 Chooses the agents that an entry connects to.
-@param hosts - the platform's list.
-@param entryId - the entry.
-@returns all of a small fleet, an even share of each pool of a large one.
+@param hosts - the platform's host list.
+@param entryId - host id of the entry.
+@returns all agents of a small fleet, or an even share of each pool of a large one.
 */
 export function shareOf(hosts: readonly ListedHost[], entryId: string): ListedHost[] {
 	const agents = hosts.filter(host => host.role === roles.agent);
--- a/src/entry/common/planner.ts
+++ b/src/entry/common/planner.ts
@@ -1,4 +1,4 @@
-/** Makes the plan of a request out of the settings in force. */
+/** Creates the plan of a request from the current settings. */
 import {hashText} from '../../base/common/hash.js';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import {agentRules} from '../../request/common/attempt-rules.js';
@@ -8,21 +8,21 @@
 import type {HttpCall} from '../../wire/common/messages.js';
 
 const defaultSlots = 8;
-/** Calls that the protocol allows to repeat (RFC 9110); others are not retried, marked or not. */
+/** Methods that are idempotent by RFC 9110; calls with others are not retried, whether marked as not repeatable or not. */
 const idempotentMethods = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'TRACE']);
-/** Targets kept between changes of the settings. */
+/** Maximum number of targets cached between changes of the settings. */
 const mostTargets = 20_000;
-/** Start of the input by which requests are taken to share a prompt prefix. */
+/** Requests whose inputs are the same for this many bytes at the start are assumed to share a prompt prefix. */
 const prefixBytes = 64;
 
-/** What a caller asks for. */
+/** Properties of a caller's request. */
 export type Ask = {
 	readonly requestId: string;
 	readonly workspace: string;
 	/** Name of a pipeline, or of a service where `http` is given. */
 	readonly target: string;
 	readonly deadlineMs?: number;
-	/** The caller's own mark; the settings may forbid repeating as well. */
+	/** Whether the caller allows the request to be repeated; the settings may forbid it as well. */
 	readonly isRepeatable: boolean;
 	readonly hasKey: boolean;
 	readonly isStreaming: boolean;
@@ -30,13 +30,13 @@
 	readonly http?: HttpCall;
 };
 
-/** Why there is no plan. */
+/** Why no plan can be made. */
 export type PlanFailure = {readonly code: 'unknownWorkspace' | 'unknownPipeline' | 'unknownService' | 'disabled'; readonly message: string};
 
-/** What the settings say of one target of one workspace. */
+/** Settings of one target of one workspace. */
 type Target = {readonly policy: EffectivePolicy; readonly stages: readonly StagePlan[]};
 
-/** Makes plans; what it reads of the settings is kept until they change. */
+/** Creates plans; what it reads from the settings is cached until they change. */
 export class Planner {
 	static create(tree: SettingsTree): Planner {
 		return new Planner(tree);
@@ -48,10 +48,10 @@
 	private constructor(private readonly tree: SettingsTree) {}
 
 	/**
-	Makes a plan.
-	@param ask - what is asked for.
-	@param nowMs - the time of receipt; the deadline counts from here.
-	@returns the plan, or why there is none.
+	Creates the plan of a request.
+	@param request - properties of the request.
+	@param nowMs - time of receipt, from which the deadline counts.
+	@returns the plan, or why none can be made.
 	*/
 	plan(ask: Ask, nowMs: number): Outcome<RequestPlan, PlanFailure> {
 		const target = this.targetOf(ask);
@@ -142,7 +142,7 @@
 			budgetKey: `${ask.workspace}/${ask.target}/${name}`,
 		};
 	});
-	// A stage that is disabled is left out; the stages after it get its input.
+	// A disabled stage is omitted; the stages after it get its input.
 	return ok(stages.filter(stage => stage.policy.isEnabled).map((stage, index) => ({...stage, index})));
 }
 
--- a/src/entry/common/problems.ts
+++ b/src/entry/common/problems.ts
@@ -1,13 +1,13 @@
-/** Errors as told over HTTP (application/problem+json): stable codes and their statuses. */
+/** Errors as returned over HTTP (application/problem+json): stable codes and their statuses. */
 import type {RequestResult} from '../../request/common/request-plan.js';
 
-/** An error as told to a caller or an operator. */
+/** An error as returned to a caller or an operator. */
 export type Problem = {
 	readonly status: number;
 	readonly code: string;
 	readonly title: string;
 	readonly detail: string;
-	/** Where in the request something is wrong. */
+	/** The invalid part of the request. */
 	readonly place?: string;
 	readonly requestId?: string;
 	readonly outcome?: string;
@@ -53,9 +53,9 @@
 const defaultStatus = 500;
 
 /**
-Makes a problem.
+Creates a problem.
 @param code - stable error code.
-@param detail - one sentence on this occurrence.
+@param detail - one sentence about this occurrence.
 @param more - further fields.
 @returns the problem with the code's HTTP status.
 */
@@ -66,9 +66,9 @@
 }
 
 /**
-Makes a problem of a request that did not complete.
-@param requestId - the request.
-@param result - how it ended.
+Creates the problem for a request that did not complete.
+@param requestId - id of the request.
+@param result - result of the request.
 @returns the problem.
 */
 export function problemOfResult(requestId: string, result: RequestResult): Problem {
--- a/src/entry/common/status.ts
+++ b/src/entry/common/status.ts
@@ -1,4 +1,4 @@
-/** What an entry tells of the fleet. */
+/** The status that an entry reports about itself and the fleet. */
 import type {MemberState} from '../../membership/common/member-table.js';
 import type {HostRevision} from '../../settings/common/revision-board.js';
 import type {UpstreamLoad} from '../../wire/common/messages.js';
@@ -13,12 +13,12 @@
 	readonly state: MemberState;
 	readonly isEjected: boolean;
 	readonly inFlight: number;
-	/** Answer time against what the same stages take elsewhere; 1 is usual. */
+	/** Response time relative to that of the same stages on other upstreams; 1 is typical. */
 	readonly slowness?: number;
 	readonly load?: UpstreamLoad;
 };
 
-/** One entry and what it sees. */
+/** One entry, and the hosts and upstreams as it sees them. */
 export type EntryStatus = {
 	readonly hostId: string;
 	readonly hall: string;
@@ -28,7 +28,7 @@
 	readonly settingsRevision: number;
 	readonly requestsInFlight: number;
 	readonly droppedMessages: number;
-	/** Placement lease, where this entry holds it. */
+	/** Epoch of the placement lease, if this entry holds it. */
 	readonly leaseEpoch?: number;
 	readonly hosts: readonly HostRevision[];
 	readonly upstreams: readonly UpstreamStatus[];
--- a/src/entry/node/answer-writer.ts
+++ b/src/entry/node/answer-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the answer of one request to its caller: whole, streamed, or an error. */
+/** Writes the response to one request to its caller: complete, streamed, or an error. */
 import type {ServerResponse} from 'node:http';
 import type {KeptAnswer} from '../../request/common/claim.js';
 import {outcomes, type RequestResult} from '../../request/common/request-plan.js';
@@ -7,16 +7,16 @@
 
 const statusOk = 200;
 
-/** How an answer is written. */
+/** Options of a response. */
 export type AnswerOptions = {
 	readonly requestId: string;
 	readonly isStreaming: boolean;
 	readonly isExplained: boolean;
-	/** Whether the answer of a plain service is passed on as it is. */
+	/** Whether this is the response of an HTTP service, which is passed through unchanged. */
 	readonly isPlain: boolean;
 };
 
-/** Writes one answer. */
+/** Writes one response. */
 export class AnswerWriter {
 	static create(response: ServerResponse, options: AnswerOptions): AnswerWriter {
 		return new AnswerWriter(response, options);
@@ -29,10 +29,10 @@
 	private constructor(private readonly response: ServerResponse, private readonly options: AnswerOptions) {}
 
 	/**
-	Writes units of a streamed answer.
-	@param units - how many.
-	@param data - their bytes.
-	@returns ends when more can be taken, or nothing if at once.
+	Writes units of a streamed response.
+	@param units - number of units.
+	@param data - bytes of the units.
+	@returns a promise that resolves when the response accepts more data; undefined if it does so at once.
 	*/
 	deliver(units: number, data: Uint8Array): Promise<void> | undefined {
 		this.openStream();
@@ -50,9 +50,9 @@
 	}
 
 	/**
-	Writes the end.
-	@param result - how the request ended.
-	@returns what may be kept for a repeat.
+	Writes the remainder and the end of the response.
+	@param result - result of the request.
+	@returns the response to store for repeats of the request; undefined if the request did not complete.
 	*/
 	finish(result: RequestResult): KeptAnswer | undefined {
 		if (result.outcome !== outcomes.completed) {
@@ -97,7 +97,7 @@
 	private finishFailed(result: RequestResult): void {
 		const problem = problemOfResult(this.options.requestId, result);
 		if (this.isStreamOpen) {
-			// Part of the answer is out: the error takes the place of the end mark.
+			// Part of the response was already sent, so an error event replaces the end event.
 			this.writeEvent('error', problem);
 			this.response.end();
 		} else {
@@ -155,7 +155,7 @@
 	return Math.round(valueMs * 10) / 10;
 }
 
-/** JSON where the last stage gave JSON, else its text. */
+/** Parses the output of the last stage as JSON, or returns its text if it is not JSON. */
 function answerOf(body: Uint8Array): unknown {
 	const text = new TextDecoder().decode(body);
 	try {
--- a/src/entry/node/caller-request.ts
+++ b/src/entry/node/caller-request.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's HTTP request into what it asks for. */
+/** Parses and validates a caller's HTTP request. */
 import type {IncomingMessage} from 'node:http';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import {readJsonc} from '../../base/common/jsonc.js';
@@ -10,7 +10,7 @@
 const mostDeadlineMs = 600_000;
 const longestKey = 128;
 
-/** Headers that are ours, or that speak of the caller's connection, and are not passed on to a service. */
+/** Headers that are not forwarded to a service: those addressed to this system, and those about the caller's connection. */
 const ownHeaders = new Set([
 	'host',
 	'connection',
@@ -31,7 +31,7 @@
 	'x-request-id',
 ]);
 
-/** What the headers of a request say. */
+/** Parsed headers of a request. */
 export type CallerHeaders = {
 	readonly requestId?: string;
 	readonly deadlineMs?: number;
@@ -42,9 +42,9 @@
 };
 
 /**
-Reads the headers that callers may set.
+Parses the headers that callers may set.
 @param request - the request.
-@returns what they say, or the first that is wrong.
+@returns the parsed headers, or a problem that describes the first invalid one.
 */
 export function readCallerHeaders(request: IncomingMessage): Outcome<CallerHeaders, Problem> {
 	const deadline = headerOf(request, 'deadline-ms');
@@ -80,9 +80,9 @@
 }
 
 /**
-Checks that a body is JSON.
-@param body - its bytes.
-@returns nothing, or what is wrong and where.
+Checks that a request body is valid JSON.
+@param body - bytes of the body.
+@returns undefined if it is valid, else a problem that says what is wrong and where.
 */
 export function checkJsonBody(body: Uint8Array): Problem | undefined {
 	const document = readJsonc(body, 'body', true);
@@ -95,7 +95,7 @@
 }
 
 /**
-Lists the headers that are passed on to a plain service.
+Lists the headers that are forwarded to an HTTP service.
 @param request - the request.
 */
 export function passedHeaders(request: IncomingMessage): Header[] {
--- a/src/entry/node/callers-api.ts
+++ b/src/entry/node/callers-api.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP interface, described in docs/API.md. */
+/** The HTTP interface for callers, described in docs/API.md. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {Clock} from '../../base/common/clock.js';
 import {hashText} from '../../base/common/hash.js';
@@ -22,11 +22,11 @@
 	attachApp, hasToken, makeApp, readBody, sendJson, sendProblem,
 } from './http-common.js';
 
-/** Clocks of hosts may differ by this much when a claim's end is judged. */
+/** Difference between the clocks of hosts that is allowed for when a claim expires. */
 const clockMarginMs = 5000;
 const progressRetryMs = 1000;
 
-/** What the interface is made of. */
+/** Dependencies of the interface. */
 export type CallersApiOptions = {
 	readonly settings: SettingsService;
 	readonly runner: RequestRunner;
@@ -35,9 +35,9 @@
 	readonly clock: Clock;
 	readonly incarnation: string;
 	readonly log: Logger;
-	/** Why this host takes no requests, or nothing if it does. */
+	/** Returns why this host accepts no requests, or undefined if it does. */
 	readonly notReadyReason: () => string | undefined;
-	/** Whether a planned stop was announced: the balancer shall send no more, while requests are still taken. */
+	/** Whether a planned stop was announced: the load balancer should send no more requests, but those that arrive are still accepted. */
 	readonly isAnnounced: () => boolean;
 };
 
@@ -45,7 +45,7 @@
 
 type Parsed = {readonly headers: CallerHeaders; readonly body: Uint8Array; readonly target: Target; readonly requestId: string};
 
-/** Takes callers' requests. */
+/** Handles callers' requests. */
 export class CallersApi {
 	static create(options: CallersApiOptions): CallersApi {
 		return new CallersApi(options);
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	Answers the requests of a server.
+	Handles the requests of a server.
 	@param server - the server.
 	*/
 	attachTo(server: Server): void {
@@ -174,7 +174,7 @@
 				if (claimed.ok) {
 					granted = claimed.value;
 					if (ended) {
-						// The request was given up while its claim was under way: nothing ran.
+						// The request was abandoned while its claim was being written, so nothing ran.
 						void this.options.claims.settle(granted, outcomes.refused);
 					}
 				}
@@ -224,7 +224,7 @@
 		};
 	}
 
-	/** A key that was used before: the caller learns what became of the first request. */
+	/** Answers a request whose key was used before with the state or the response of the first request. */
 	private answerRepeat(response: ServerResponse, plan: RequestPlan, claim: Claim, parsed: Parsed): void {
 		const {requestId} = plan;
 		const isOver = this.options.clock.wallMs() > claim.endsByMs;
--- a/src/entry/node/entry-service.ts
+++ b/src/entry/node/entry-service.ts
@@ -1,4 +1,4 @@
-/** One entry host: callers' and operators' interfaces over the same requests, links and settings. */
+/** One entry host: the HTTP interfaces for callers and operators, which share requests, links and settings. */
 import type {Server} from 'node:http';
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
@@ -23,13 +23,13 @@
 import type {PeerLinks} from './peer-links.js';
 
 const drainCheckMs = 20;
-/** How long a stopping entry tries to write the outcomes of requests that run at most once. */
+/** Maximum time for which a stopping entry tries to store the outcomes of requests that run at most once. */
 const settleWaitMs = 5000;
 
-/** Where an entry listens. */
+/** Endpoints that an entry listens on. */
 export type EntryEndpoints = {readonly wire: Endpoint; readonly callers: Endpoint; readonly operators: Endpoint};
 
-/** What an entry is made of. */
+/** Dependencies of an entry. */
 export type EntryOptions = {
 	readonly identity: Identity;
 	readonly settings: SettingsService;
@@ -47,7 +47,7 @@
 	readonly lifecycle: LifecycleManager;
 	readonly tls: TlsMaterial | undefined;
 	readonly bootstrapTokenHash: string | undefined;
-	/** How long a stopping entry goes on serving, so that the balancer takes it out first. */
+	/** Time for which a stopping entry keeps serving, so that the load balancer removes it first. */
 	readonly stopGraceMs: number;
 	readonly placement: PlacementService;
 };
@@ -84,9 +84,9 @@
 	}
 
 	/**
-	Takes over the settings there are, then listens.
-	@param endpoints - where to listen.
-	@returns where it listens.
+	Loads the current settings and host list, then listens for callers and operators.
+	@param endpoints - endpoints to listen on.
+	@returns the endpoints with the ports in use.
 	*/
 	async start(endpoints: EntryEndpoints): Promise<EntryEndpoints> {
 		const {sync, links, peers, server, log} = this.options;
@@ -163,10 +163,10 @@
 		return member !== undefined && this.options.links.send(upstreamId, {type: 'drain', incarnation: member.incarnation});
 	}
 
-	/** Announces the stop while still serving, then ends what is in flight. */
+	/** Keeps serving while the stop is announced, then waits until the requests in flight have finished. */
 	private async drain(): Promise<void> {
 		const {log, runner, stopGraceMs} = this.options;
-		log.info('The entry is stopping and finishes what is in flight.', {inFlight: runner.size});
+		log.info('The entry is stopping and finishes its requests in flight.', {inFlight: runner.size});
 		await this.options.placement.release();
 		await this.wait(stopGraceMs);
 		this.isClosedToNew = true;
@@ -179,7 +179,7 @@
 			await this.wait(drainCheckMs);
 		}
 
-		// The last answers are on their way to the callers.
+		// The last responses may still be in transit to their callers.
 		this.callersServer.close();
 		this.callersServer.closeIdleConnections();
 		await this.wait(drainCheckMs);
--- a/src/entry/node/fleet-links.ts
+++ b/src/entry/node/fleet-links.ts
@@ -1,4 +1,4 @@
-/** Connections of an entry to the agents: opened by the host list, watched by pings. */
+/** Connections of an entry to the agents: opened and closed according to the host list, monitored with pings. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {Emitter} from '../../base/common/emitter.js';
@@ -16,15 +16,16 @@
 import {pingIntervalMs, shareOf} from '../common/fleet-share.js';
 
 const listMs = 1000;
-/** Pings missed before an upstream counts as silent. */
+/** Number of ping intervals without a message after which an upstream counts as silent. */
 const missedPings = 3;
-/** Silence after which a connection is given up. */
+/** Shortest time without a message after which a connection is closed. */
 const silenceMs = 4000;
-/** A host missing from the list this often in a row is let go, unless most are missing. */
+/** Number of consecutive reads of the host list that must lack a host before its link is removed. */
 const missesToDrop = 10;
+/** While more than this share of the linked hosts is missing from the list, the list is not trusted and no link is removed. */
 const distrustShare = 0.5;
 
-/** What the links need. */
+/** Dependencies of the links. */
 export type FleetLinksOptions = {
 	readonly hosts: HostList;
 	readonly members: MemberTable;
@@ -45,7 +46,7 @@
 	misses: number;
 };
 
-/** Keeps connections to agents. */
+/** Maintains the connections to agents. */
 export class FleetLinks implements UpstreamLinks, Disposable {
 	static create(options: FleetLinksOptions): FleetLinks {
 		return new FleetLinks(options);
@@ -72,27 +73,27 @@
 		}));
 	}
 
-	/** Fires for each message of an agent that is not about the connection itself. */
+	/** Fires for each message from an agent, except those about the connection itself (pings, load reports, settings). */
 	get onDidReceive() {
 		return this.didReceive.event;
 	}
 
-	/** Fires with an upstream whose connection was lost. */
+	/** Fires with the id of an upstream when the connection to its agent is lost. */
 	get onDidLose() {
 		return this.didLose.event;
 	}
 
-	/** Fires with an upstream whose agent, in the same incarnation, is connected again. */
+	/** Fires with the id of an upstream when its agent reconnects in the same incarnation. */
 	get onDidReconnect() {
 		return this.didReconnect.event;
 	}
 
-	/** Fires with an upstream whose agent is another incarnation than before. */
+	/** Fires with the id of an upstream when its agent connects in another incarnation than before. */
 	get onDidReplace() {
 		return this.didReplace.event;
 	}
 
-	/** Fires with an upstream that may be chosen from now on. */
+	/** Fires with the id of an upstream that may be chosen from now on. */
 	get onDidJoin() {
 		return this.didJoin.event;
 	}
@@ -103,19 +104,19 @@
 
 	/**
 	Sends a message to the agent of an upstream.
-	@param upstreamId - which.
-	@param message - what.
+	@param upstreamId - id of the upstream.
+	@param message - the message.
 	@returns false if nothing was written.
 	*/
 	send(upstreamId: string, message: Message): boolean {
 		return this.byUpstream.get(upstreamId)?.send(message) ?? false;
 	}
 
-	/** Reads the host list now, and opens and closes connections by it. */
+	/** Reads the host list now, and opens and closes connections accordingly. */
 	async readList(): Promise<void> {
 		const hosts = await this.options.hosts.list();
 		if (!hosts.ok) {
-			// Serving goes on with the connections there are.
+			// The entry keeps serving over its existing connections.
 			return;
 		}
 
@@ -169,7 +170,7 @@
 		});
 	}
 
-	/** Hosts that are now others' share are let go once nothing of ours runs there. */
+	/** Closes the links to hosts that are now assigned to other entries, once no request of this entry runs there. */
 	private dropUnshared(links: readonly Link[]): void {
 		for (const link of links) {
 			const upstreamId = link.connection?.peer?.upstreamId;
@@ -213,7 +214,7 @@
 			this.receive(upstreamId, connection, message);
 		});
 		if (isNew) {
-			log.info('An agent is connected.', {upstream: upstreamId, pool: peer.pool, hall: peer.hall});
+			log.info('Connected to an agent.', {upstream: upstreamId, pool: peer.pool, hall: peer.hall});
 			const member = members.all().find(item => item.upstreamId === upstreamId)!;
 			router.joined(member);
 			if (wasKnown) {
@@ -236,7 +237,7 @@
 			this.byUpstream.delete(peer.upstreamId);
 			this.options.members.disconnected(peer.upstreamId, peer.incarnation);
 			if (!this.isDisposed) {
-				this.options.log.warn('An agent\'s connection was lost.', {upstream: peer.upstreamId, reason});
+				this.options.log.warn('The connection to an agent was lost.', {upstream: peer.upstreamId, reason});
 			}
 
 			this.didLose.fire(peer.upstreamId);
--- a/src/entry/node/http-common.ts
+++ b/src/entry/node/http-common.ts
@@ -1,4 +1,4 @@
-/** What the callers' and the operators' HTTP interfaces share: servers, bodies, tokens, errors. */
+/** Shared by the HTTP interfaces for callers and operators: servers, bodies, tokens, errors. */
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {
 	createServer, type IncomingMessage, type Server, type ServerOptions, type ServerResponse,
@@ -27,7 +27,7 @@
 };
 
 /**
-Makes an HTTP server, with TLS where there is a certificate.
+Creates an HTTP server, with TLS if a certificate is given.
 @param tls - certificate and key.
 @returns a server that does not listen yet.
 */
@@ -38,7 +38,7 @@
 }
 
 /**
-Answers a server's requests with an application, after checks that must come before its routes.
+Lets an application handle the requests of a server, after the checks that must precede routing.
 @param server - the server.
 @param app - the application.
 */
@@ -63,7 +63,7 @@
 }
 
 /**
-Makes an application whose own errors are told as problems too.
+Creates an application that also returns its own errors (unknown routes, failed handlers) as problems.
 @returns the application.
 */
 export function makeApp(): App {
@@ -79,16 +79,16 @@
 }
 
 /**
-Reads a body whole, within the limits.
+Reads a complete request body.
 @param request - the request.
-@param maxBytes - largest body taken.
-@returns its bytes, or what is wrong.
+@param maxBytes - maximum size of the body.
+@returns its bytes, or a problem if the body is too large or incomplete.
 */
 export async function readBody(request: IncomingMessage, maxBytes = httpLimits.maxBodyBytes): Promise<Outcome<Uint8Array, Problem>> {
 	const pieces: Uint8Array[] = [];
 	let sizeBytes = 0;
 	try {
-		// A body that is cut off here must not take the answer's connection with it.
+		// When reading stops early, the connection must stay open, because the response is still to be sent on it.
 		for await (const piece of request.iterator({destroyOnReturn: false})) {
 			if (piece instanceof Uint8Array) {
 				pieces.push(piece);
@@ -114,10 +114,10 @@
 }
 
 /**
-Reads one header.
+Returns the first value of a header.
 @param request - the request.
-@param name - in small letters.
-@returns its value, or nothing.
+@param name - name of the header, in lower case.
+@returns the value, or undefined if the header is absent.
 */
 export function headerOf(request: IncomingMessage, name: string): string | undefined {
 	const value = request.headers[name];
@@ -125,7 +125,7 @@
 }
 
 /**
-Hashes a token as kept in the settings.
+Hashes a token in the form in which the settings store it.
 @param token - the token.
 @returns 64 hexadecimal digits.
 */
@@ -134,10 +134,10 @@
 }
 
 /**
-Checks a bearer token.
+Checks the bearer token of a request.
 @param request - the request.
-@param hashes - hashes of the tokens that may pass; all are compared, in constant time.
-@returns whether it may pass.
+@param hashes - hashes of the accepted tokens; all are compared, in constant time.
+@returns whether the token is accepted.
 */
 export function hasToken(request: IncomingMessage, hashes: readonly string[]): boolean {
 	const [, token] = /^Bearer (?<token>.+)$/v.exec(headerOf(request, 'authorization') ?? '') ?? [];
@@ -153,10 +153,10 @@
 }
 
 /**
-Answers with JSON.
-@param response - where to.
+Sends a JSON response.
+@param response - the response to write.
 @param status - HTTP status.
-@param body - the value.
+@param body - value to serialize.
 */
 export function sendJson(response: ServerResponse, status: number, body: unknown): void {
 	const text = JSON.stringify(body);
@@ -165,8 +165,8 @@
 }
 
 /**
-Answers with an error.
-@param response - where to.
+Sends an error response; if the headers were already sent, closes the connection instead.
+@param response - the response to write.
 @param problem - the error.
 */
 export function sendProblem(response: ServerResponse, problem: Problem): void {
@@ -178,7 +178,7 @@
 	const {retryAfterMs, requestId} = problem;
 	response.writeHead(problem.status, {
 		'content-type': 'application/problem+json; charset=utf-8',
-		// The rest of such a body is not read, so the connection can't be used again.
+		// The remainder of an oversized body is not read, so the connection can't be reused.
 		...(problem.code === 'bodyTooLarge' && {connection: 'close'}),
 		...(requestId !== undefined && {'x-request-id': requestId}),
 		...(retryAfterMs !== undefined && {'retry-after': String(Math.ceil(retryAfterMs / 1000))}),
--- a/src/entry/node/linked-order-fleet.ts
+++ b/src/entry/node/linked-order-fleet.ts
@@ -1,4 +1,4 @@
-/** Placement's view of the fleet: live engines as reported over the links of this entry. */
+/** The fleet as placement sees it: the live engines, as reported over the links of this entry. */
 import type {Clock} from '../../base/common/clock.js';
 import type {MemberTable} from '../../membership/common/member-table.js';
 import type {EngineView} from '../../placement/common/order-planner.js';
@@ -7,7 +7,7 @@
 import type {FleetRouter} from '../common/fleet-router.js';
 import type {FleetLinks} from './fleet-links.js';
 
-/** Sends orders over the links. */
+/** Lists engines and sends orders over the links of this entry. */
 export class LinkedOrderFleet implements OrderFleet {
 	static create(links: FleetLinks, members: MemberTable, router: FleetRouter, clock: Clock): LinkedOrderFleet {
 		return new LinkedOrderFleet(links, members, router, clock);
@@ -23,7 +23,7 @@
 	engines(pool: string): EngineView[] {
 		return this.members.candidates(pool, this.clock.nowMs()).flatMap(({upstreamId}) => {
 			const load = this.router.statsOf(upstreamId)?.load;
-			// An engine that has not reported yet gets no orders: what it carries is not known.
+			// An engine that has not reported yet gets no orders, because it is not known which models it has loaded.
 			return load ? [{upstreamId, models: load.models}] : [];
 		});
 	}
--- a/src/entry/node/operators-api.ts
+++ b/src/entry/node/operators-api.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP interface, described in docs/API.md: settings, status, drain, report. */
+/** The HTTP interface for operators, described in docs/API.md: settings, status, drain, report. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {z} from 'zod';
 import {formatProblem} from '../../base/common/errors.js';
@@ -19,20 +19,20 @@
 const mostBodyBytes = 32 * 1024 * 1024;
 const retryAfterMs = 1000;
 
-/** What the interface is made of. */
+/** Dependencies of the interface. */
 export type OperatorsApiOptions = {
 	readonly settings: SettingsService;
-	/** Hash of a token that may do everything while no operator is declared. */
+	/** Hash of a token that has all rights while no operator is declared. */
 	readonly bootstrapTokenHash: string | undefined;
 	readonly status: () => EntryStatus;
 	readonly report: () => EntryReport;
-	/** Asks the agent of an upstream to leave; false where none is connected. */
+	/** Asks the agent of an upstream to drain and leave; returns false if none is connected. */
 	readonly drain: (upstreamId: string) => boolean;
 };
 
 type Operator = {readonly name: string};
 
-/** Takes operators' requests. */
+/** Handles operators' requests. */
 export class OperatorsApi {
 	static create(options: OperatorsApiOptions): OperatorsApi {
 		return new OperatorsApi(options);
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	Answers the requests of a server.
+	Handles the requests of a server.
 	@param server - the server.
 	*/
 	attachTo(server: Server): void {
--- a/src/entry/node/peer-links.ts
+++ b/src/entry/node/peer-links.ts
@@ -1,4 +1,4 @@
-/** Connections between entries: settings and their revisions, nothing else. */
+/** Connections between entries, which carry only settings and their revisions. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {jitter, type Random} from '../../base/common/random.js';
@@ -12,10 +12,10 @@
 
 const listMs = 2000;
 const pingMs = 1000;
-/** More peers than this are not connected: a change still reaches everyone through those that are. */
+/** Maximum number of entries that this one connects to; a change still reaches all others through these. */
 const mostPeers = 8;
 
-/** What the peer links need. */
+/** Dependencies of the peer links. */
 export type PeerLinksOptions = {
 	readonly hosts: HostList;
 	readonly settings: SettingsService;
@@ -26,7 +26,7 @@
 	readonly random: Random;
 };
 
-/** Keeps connections to other entries. */
+/** Maintains the connections to other entries. */
 export class PeerLinks implements Disposable {
 	static create(options: PeerLinksOptions): PeerLinks {
 		return new PeerLinks(options);
@@ -47,7 +47,7 @@
 		}));
 	}
 
-	/** Reads the host list now, and connects to entries it names. */
+	/** Reads the host list now, and opens and closes connections to the listed entries accordingly. */
 	async readList(): Promise<void> {
 		const hosts = await this.options.hosts.list();
 		if (!hosts.ok) {
@@ -56,7 +56,7 @@
 
 		const {hostId: ownId} = this.options.wire.identity;
 		const entries = hosts.value.filter(host => host.role === roles.entry && host.hostId !== ownId);
-		// Each host takes the ones after it in the circle of ids, so that all are reached through few links each.
+		// Each host connects to those that follow it in the ring of sorted ids, so that all are reachable with few links per host.
 		const sorted = entries.toSorted((a, b) => a.hostId.localeCompare(b.hostId));
 		const after = sorted.filter(host => host.hostId > ownId);
 		const chosen = [...after, ...sorted.filter(host => host.hostId < ownId)].slice(0, mostPeers);
