--- a/src/daemon/common/direct-settings.ts
+++ b/src/daemon/common/direct-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a host whose entry calls upstreams itself; the adapter of a platform makes them of what that platform gives. */
+/** Settings of a host whose entry calls upstreams itself; a platform's adapter creates them from what that platform provides. */
 import type {Endpoint} from '../../wire/common/endpoint.js';
 import type {HostCapacity} from '../../routing/common/host-room.js';
 import type {ColdBounds} from '../../routing/common/rate-bound.js';
@@ -7,28 +7,28 @@
 export type DirectEntrySettings = {
 	readonly hostId: string;
 	readonly hall: string;
-	/** Where callers connect. */
+	/** Endpoint for callers. */
 	readonly callers: Endpoint;
-	/** Where the balancer asks whether this host is ready. */
+	/** Endpoint at which the load balancer checks whether this host is ready. */
 	readonly readiness: Endpoint;
-	/** Where other hosts of the deployment connect. */
+	/** Endpoint for other hosts of the deployment. */
 	readonly peers: Endpoint;
-	/** Where some of the other hosts may listen for peers. */
+	/** Endpoints at which some of the other hosts may listen for peers. */
 	readonly seeds: readonly Endpoint[];
-	/** Repeats allowed over all hosts together. */
+	/** Bounds on the retries and hedges of all hosts together. */
 	readonly repeats: RepeatBounds;
-	/** Bounds on what a cold upstream gets from all hosts together; nothing is bounded where absent. */
+	/** Bounds on what all hosts together send to a cold upstream; unbounded if absent. */
 	readonly cold?: ColdBounds;
-	/** From the request to stop until the process is ended from outside. */
+	/** Time from the stop signal until the process is terminated from outside. */
 	readonly stopGraceMs: number;
-	/** Within this time after the store took it a declaration must be in force. */
+	/** Maximum time from when the store accepts a declaration until it is in force. */
 	readonly declarationWithinMs: number;
-	/** Within this time after the store took it a server that leaves must get no more. */
+	/** Maximum time from when the store accepts that a server is leaving until no more is sent to it. */
 	readonly leavingWithinMs: number;
-	/** What this host may use. */
+	/** Resources that this host may use. */
 	readonly capacity: HostCapacity;
-	/** Where figures are served; nowhere if absent. */
+	/** Endpoint at which metrics are served; they are not served if absent. */
 	readonly metrics?: Endpoint;
-	/** Shared by all hosts of a deployment. */
+	/** Secret shared by all hosts of a deployment. */
 	readonly wireSecret: string;
 };
--- a/src/daemon/common/host-settings.ts
+++ b/src/daemon/common/host-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of one host: where it listens, who it is, where the platform is. */
+/** Settings of one host: where it listens, its identity, where the platform is. */
 import {z} from 'zod';
 import {poolKinds} from '../../settings/common/schema.js';
 
@@ -8,11 +8,11 @@
 	port: port.describe('Port to listen on; 0 takes a free one.'),
 });
 
-/** A secret, named by a file or by an environment variable, never written out. */
+/** A secret, referred to by a file or an environment variable and never written into the settings. */
 const secretSource = z.strictObject({
 	file: z.string().min(1).optional().describe('File that holds the secret.'),
 	env: z.string().min(1).optional().describe('Environment variable that holds the secret.'),
-}).refine(source => (source.file === undefined) !== (source.env === undefined), 'name either "file" or "env"');
+}).refine(source => (source.file === undefined) !== (source.env === undefined), 'specify either "file" or "env"');
 export type SecretSource = z.infer<typeof secretSource>;
 
 const tlsSchema = z.strictObject({
@@ -23,7 +23,7 @@
 export type TlsFiles = z.infer<typeof tlsSchema>;
 
 const commonFields = {
-	hostId: z.string().regex(/^[\w.\-]{1,64}$/v, 'a host id has letters, digits, dots, hyphens and underscores').describe('Name of this host in the platform\'s list.'),
+	hostId: z.string().regex(/^[\w.\-]{1,64}$/v, 'a host id must have 1 to 64 letters, digits, dots, hyphens or underscores').describe('Name of this host in the platform\'s list.'),
 	hall: z.string().min(1).max(64).describe('Data hall of this host.'),
 	wire: endpoint.extend({
 		keys: z.array(z.strictObject({keyId: z.string().min(1).max(64), secret: secretSource})).min(1).max(4)
@@ -66,5 +66,5 @@
 
 export type EntryHostSettings = z.infer<typeof entrySchema>;
 export type AgentHostSettings = z.infer<typeof agentSchema>;
-/** Checked settings of a host. */
+/** Validated settings of a host. */
 export type HostSettings = z.infer<typeof hostSettingsSchema>;
--- a/src/daemon/node/compose-agent.ts
+++ b/src/daemon/node/compose-agent.ts
@@ -1,4 +1,4 @@
-/** The parts of an agent, in one visible place. */
+/** Composes all components of an agent in one place. */
 import type {InjectionToken} from 'tsyringe';
 import {EngineDriver} from '../../agent/node/engine-driver.js';
 import {HttpDriver} from '../../agent/node/http-driver.js';
@@ -19,7 +19,7 @@
 export const gateToken: InjectionToken<GateMachine> = Symbol('GateMachine');
 export const agentServiceToken: InjectionToken<AgentService> = Symbol('AgentService');
 
-/** The driver for each kind of upstream; a new kind is added here. */
+/** Creates the driver for each kind of upstream; a new kind is added here. */
 const driverMakers: Readonly<Record<PoolKind, (origin: string) => UpstreamDriver>> = {
 	[poolKinds.engine]: origin => EngineDriver.create(origin),
 	[poolKinds.worker]: origin => HttpDriver.create(origin),
@@ -27,10 +27,10 @@
 };
 
 /**
-Puts an agent together.
-@param host - checked settings of the host.
-@param secrets - what the settings name.
-@returns the container; resolving `agentServiceToken` makes the agent.
+Composes an agent.
+@param host - validated settings of the host.
+@param secrets - secrets that the settings refer to.
+@returns the container; resolving `agentServiceToken` creates the agent.
 */
 export function composeAgent(host: AgentHostSettings, secrets: HostSecrets) {
 	const {parts, register} = composeCommon({host, secrets});
--- a/src/daemon/node/compose-common.ts
+++ b/src/daemon/node/compose-common.ts
@@ -1,4 +1,4 @@
-/** The parts that every role is made of, registered in one container. */
+/** Registers the components that every role needs in a dependency injection container. */
 import 'reflect-metadata';
 import {
 	container, instanceCachingFactory, type DependencyContainer, type InjectionToken,
@@ -30,16 +30,16 @@
 export const settingsSyncToken: InjectionToken<SettingsSync> = Symbol('SettingsSync');
 
 const entryPollMs = 1000;
-/** Agents hear of changes from entries; they read the store only where no entry is connected. */
+/** Agents receive changes from entries, so they poll the store frequently only while no entry is connected. */
 const agentPollMs = {alone: 5000, connected: 60_000} as const;
 
-/** Makes one instance of a part, when it is first asked for. */
+/** Registers the factory of a component, of which one instance is created when it is first resolved. */
 export type Registrar = <T>(token: InjectionToken<T>, make: (parts: DependencyContainer) => T) => void;
 
 /**
-Registers what every role needs.
-@param loaded - checked host settings and secrets.
-@returns the container, and the function that registers further parts.
+Registers the components that every role needs.
+@param loaded - validated host settings and secrets.
+@returns the container, and the function that registers further components.
 */
 export function composeCommon(loaded: LoadedHost): {parts: DependencyContainer; register: Registrar} {
 	const {host, secrets} = loaded;
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -1,9 +1,9 @@
 /**
-The parts of an entry that calls upstreams itself, in one visible place.
+Composes all components of an entry that calls upstreams itself in one place.
 
-Left out here, because a deployment of this kind gives it from outside: claims (callers repeat a request
-that may run only once only after a promise that it has not run), the settings tree and its order of
-changes (the platform's store accepts declarations), the placement lease and orders, and the agents.
+Omitted, because a deployment of this kind provides them from outside: claims (callers repeat a request that may
+run only once only after a guarantee that it has not run), the settings tree and its order of changes (the
+platform's store accepts declarations), the placement lease and orders, and the agents.
 */
 import type {InjectionToken} from 'tsyringe';
 import {setRepeating} from '../../base/common/clock.js';
@@ -59,18 +59,18 @@
 const promptNewsToken: InjectionToken<PromptNews> = Symbol('PromptNews');
 const linksToken: InjectionToken<DirectLinks> = Symbol('DirectLinks');
 
-/** Part of an upstream's connections that all hosts together use; the rest is for hosts that have just come. */
+/** Share of an upstream's connections that all hosts together use; the remainder is reserved for hosts that have just joined. */
 const usedConnectionShare = 0.8;
-/** Connections this host may always have to one upstream, however many hosts there are. */
+/** Connections that this host may always have to one upstream, regardless of the number of hosts. */
 const fewestLanes = 4;
-/** How often the list of servers is looked through for times that are over. */
+/** How often the list of servers is checked for missing servers whose time to come back is over. */
 const sweepMs = 200;
 
 /**
-Puts an entry together.
-@param settings - of the host.
-@param ports - of the platform's adapter.
-@param writeLine - where log lines go; standard output unless given.
+Composes an entry.
+@param settings - settings of the host.
+@param ports - interfaces of the platform's adapter.
+@param writeLine - receives the log lines; by default they go to standard output.
 @returns the entry, not started.
 */
 export function composeDirectEntry(settings: DirectEntrySettings, ports: PlatformPorts, writeLine?: (line: string) => void): DirectEntry {
@@ -86,7 +86,7 @@
 	return makeEntry(composition);
 }
 
-/** The connections to the other hosts. */
+/** Registers the connections to the other hosts. */
 function registerPeers({settings, lifecycle, clock, logOf, register, get, isLeaving}: Composition): void {
 	register(wireOptionsToken, (): WireClientOptions => ({
 		identity: {
@@ -113,7 +113,7 @@
 	})));
 }
 
-/** Which requests end the servers that run them. */
+/** Registers the quarantine, which finds out which requests crash the servers that run them. */
 function registerQuarantine({lifecycle, clock, metrics, logOf, register, get}: Composition): void {
 	register(quarantineToken, () => lifecycle.register(Quarantine.create({
 		serverEnds: lifecycle.register(ServerEnds.create({registry: get(serverRegistryToken), check: ConnectCheck.create(), clock})),
@@ -123,7 +123,7 @@
 	})));
 }
 
-/** Which upstream serves a request, and the calls to it. */
+/** Registers the choice of the upstream that serves a request, and the calls to upstreams. */
 function registerUpstreams({settings, ports, lifecycle, clock, logOf, register, get, hostCount}: Composition): void {
 	register(enginesToken, () => EngineChooser.create(EngineLoads.create()));
 	register(availabilityToken, () => PoolAvailability.create({
@@ -170,7 +170,7 @@
 	})));
 }
 
-/** The batches for the work before requests. */
+/** Registers the batches for the preparation of requests. */
 function registerPreparation({settings, ports, lifecycle, clock, metrics, logOf, register, get, isLeaving, hostCount}: Composition): void {
 	register(batchDeskToken, () => lifecycle.register(BatchDesk.create({
 		hostId: settings.hostId,
@@ -196,7 +196,7 @@
 	})));
 }
 
-/** Where callers and the balancer come. */
+/** Registers the servers for callers and for the load balancer's readiness checks. */
 function registerDoor({ports, lifecycle, clock, metrics, logOf, register, get, isLeaving}: Composition): void {
 	const notReadyReason = () => {
 		if (isLeaving()) {
@@ -239,7 +239,7 @@
 	})));
 }
 
-/** What goes on by itself from the start: hosts tell each other what they know, and what is out of date goes. */
+/** Starts the background work: hosts exchange their state, and outdated state is removed. */
 function keepStateAlike({lifecycle, clock, logOf, get}: Composition): void {
 	lifecycle.register(StateExchange.create({
 		mesh: get(peerMeshToken),
@@ -265,11 +265,11 @@
 	lifecycle.register(setRepeating(clock, () => sweepMs, () => {
 		get(serverRegistryToken).tick(clock.nowMs());
 	}));
-	// Made at once, so that peers' news are heard before the first request.
+	// Created at once, so that peers' updates are received before the first request.
 	get(promptNewsToken);
 }
 
-/** The entry itself; asking for its parts makes them. */
+/** Creates the entry; resolving its components creates them. */
 function makeEntry({settings, lifecycle, clock, metrics, logOf, get}: Composition): DirectEntry {
 	return DirectEntry.create({
 		settings,
--- a/src/daemon/node/compose-entry.ts
+++ b/src/daemon/node/compose-entry.ts
@@ -1,4 +1,4 @@
-/** The parts of an entry, in one visible place. */
+/** Composes all components of an entry in one place. */
 import type {InjectionToken} from 'tsyringe';
 import {clockToken} from '../../base/common/clock.js';
 import {loggerFactoryToken} from '../../base/common/logger.js';
@@ -42,10 +42,10 @@
 export const entryServiceToken: InjectionToken<EntryService> = Symbol('EntryService');
 
 /**
-Puts an entry together.
-@param host - checked settings of the host.
-@param secrets - what the settings name.
-@returns the container; resolving `entryServiceToken` makes the entry.
+Composes an entry.
+@param host - validated settings of the host.
+@param secrets - secrets that the settings refer to.
+@returns the container; resolving `entryServiceToken` creates the entry.
 */
 export function composeEntry(host: EntryHostSettings, secrets: HostSecrets) {
 	const {parts, register} = composeCommon({host, secrets});
--- a/src/daemon/node/compose-feeds.ts
+++ b/src/daemon/node/compose-feeds.ts
@@ -1,4 +1,4 @@
-/** Where a host learns of the declaration and the servers: the feeds of the platform's store. */
+/** Registers the feeds of the platform's store, from which a host reads the declaration and the list of servers. */
 import type {InjectionToken} from 'tsyringe';
 import {randomToken} from '../../base/common/random.js';
 import {deploymentBoardToken} from '../../deployment/common/deployment-board.js';
@@ -18,11 +18,11 @@
 export const serverFeedToken: InjectionToken<FeedFollower<UpstreamServer>> = Symbol('ServerFeed');
 
 /**
-Registers the followers of both feeds, and the duty that says whether this host reads at all.
-@param composition - of the entry.
+Registers the followers of both feeds, and the election that decides whether this host reads them at all.
+@param composition - composition of the entry.
 */
 export function registerFeeds({settings, ports, lifecycle, clock, logOf, register, get}: Composition): void {
-	/** Drains first: a host that knows the declaration takes requests. */
+	/** Must be called before the declarations are applied: a host that knows the declaration accepts requests. */
 	const takeDrains = (rows: FeedChanges<OperatorRow>, isAll: boolean) => {
 		const drains = rows.changed.flatMap(({value, revision}) => value.type === 'hallDrain' ? [{hall: value.hall, isDrained: value.isDrained, revision}] : []);
 		if (isAll) {
@@ -86,7 +86,7 @@
 			replaceAll({changed, unreadable, revision}) {
 				const nowMs = clock.nowMs();
 				const servers = changed.map(written => ({...written.value, revision: written.revision}));
-				// First: what is missing from the list might have lapsed, and would be used for a while.
+				// Must come first: `replaceAll` would take these servers for missing from the list, possibly lapsed, and use them for a while.
 				registry.voidEntries(unreadable);
 				return registry.replaceAll({servers, revision}, nowMs);
 			},
@@ -104,9 +104,9 @@
 }
 
 /**
-Gives how long ago the store last answered for both feeds.
-@param get - of the composition.
-@returns nothing while one of the feeds has no answer or rests.
+Returns how long ago the store last answered for both feeds.
+@param get - resolves components of the composition.
+@returns the longer time of the two; undefined while one of the feeds has no response yet or is on standby.
 */
 export function storeAgeMs(get: Composition['get']): number | undefined {
 	const agesMs = [get(declarationFeedToken).ageMs, get(serverFeedToken).ageMs];
--- a/src/daemon/node/compose-state.ts
+++ b/src/daemon/node/compose-state.ts
@@ -1,4 +1,4 @@
-/** What a host knows of the deployment, the same on all hosts once they have heard the same news. */
+/** Registers a host's state of the deployment, which is the same on all hosts once they have received the same updates. */
 import {randomToken} from '../../base/common/random.js';
 import {DeploymentBoard, deploymentBoardToken} from '../../deployment/common/deployment-board.js';
 import {HallDrains, hallDrainsToken} from '../../deployment/common/hall-drains.js';
@@ -14,8 +14,8 @@
 import type {Composition} from './direct-composition.js';
 
 /**
-Registers the declaration in force, the list of servers, what these say of themselves, and what follows for what may be sent to them.
-@param composition - of the entry.
+Registers the declaration in force, the list of servers, what the servers report about themselves, and the resulting bounds on what may be sent to them.
+@param composition - composition of the entry.
 */
 export function registerState({settings, metrics, logOf, register, get, hostCount}: Composition): void {
 	register(deploymentBoardToken, () => DeploymentBoard.create(logOf('declaration')));
--- a/src/daemon/node/daemon-tokens.ts
+++ b/src/daemon/node/daemon-tokens.ts
@@ -1,4 +1,4 @@
-/** Tokens of the parts that every daemon has. */
+/** Injection tokens of the components that every daemon has. */
 import type {InjectionToken} from 'tsyringe';
 import type {LifecycleManager} from '../../base/common/lifecycle.js';
 import type {WireClientOptions} from '../../wire/node/wire-client.js';
--- a/src/daemon/node/daemon.ts
+++ b/src/daemon/node/daemon.ts
@@ -1,4 +1,4 @@
-/** One process of the system, whatever its role. */
+/** One process of the system, in any role. */
 import type {DependencyContainer} from 'tsyringe';
 import type {LifecycleManager} from '../../base/common/lifecycle.js';
 import {loggerFactoryToken} from '../../base/common/logger.js';
@@ -12,18 +12,18 @@
 /** A running daemon. */
 export type Daemon = {
 	readonly lifecycle: LifecycleManager;
-	/** Where it listens for other processes of the system. */
+	/** Endpoint on which it listens for other processes of the system. */
 	readonly wire: Endpoint;
-	/** Where an entry listens for callers and operators. */
+	/** Endpoints on which an entry listens for callers and operators. */
 	readonly entry?: EntryEndpoints;
 };
 
 /**
 Starts a daemon.
-@param loaded - checked host settings and secrets.
-@param adjust - registers other parts before any is made: policies in benches, fakes in tests.
+@param loaded - validated host settings and secrets.
+@param adjust - registers other components before any is created: policies in benchmarks, fakes in tests.
 @returns the daemon, listening.
-@throws UnavailableError when an address can't be had.
+@throws UnavailableError when it can't listen on an address.
 */
 export async function startDaemon(loaded: LoadedHost, adjust?: (parts: DependencyContainer) => void): Promise<Daemon> {
 	const {host, secrets} = loaded;
--- a/src/daemon/node/direct-composition.ts
+++ b/src/daemon/node/direct-composition.ts
@@ -1,4 +1,4 @@
-/** What an entry that calls upstreams itself is put together with: the container, and the parts that stand below all others. */
+/** Basis for the composition of an entry that calls upstreams itself: the container, and the components that all others depend on. */
 import 'reflect-metadata';
 import {container, instanceCachingFactory, type InjectionToken} from 'tsyringe';
 import {clockToken, type Clock} from '../../base/common/clock.js';
@@ -22,7 +22,7 @@
 import type {DirectEntrySettings} from '../common/direct-settings.js';
 import {lifecycleToken} from './daemon-tokens.js';
 
-/** What an adapter gives: a platform's ways of speaking, and what its store tells. */
+/** Interfaces that a platform's adapter provides: the platform's protocols, and the feeds of its store. */
 export type PlatformPorts = {
 	readonly callers: CallerProtocol;
 	readonly upstreams: UpstreamProtocol;
@@ -31,7 +31,7 @@
 	readonly servers: FeedSource<UpstreamServer>;
 };
 
-/** What every part of the entry is put together with. */
+/** What the functions that register the components of an entry share. */
 export type Composition = {
 	readonly settings: DirectEntrySettings;
 	readonly ports: PlatformPorts;
@@ -39,19 +39,19 @@
 	readonly clock: Clock;
 	readonly metrics: TextMetrics;
 	readonly logOf: (part: string) => Logger;
-	/** Says how a part is made; it is made once, when something first asks for it. */
+	/** Registers the factory of a component, of which one instance is created when it is first resolved. */
 	readonly register: <T>(token: InjectionToken<T>, make: () => T) => void;
 	readonly get: <T>(token: InjectionToken<T>) => T;
 	readonly isLeaving: () => boolean;
-	/** Hosts that serve, with this one. */
+	/** Number of hosts that serve, including this one. */
 	readonly hostCount: () => number;
 };
 
 /**
-Makes the container, and registers the parts that stand below all others: clock, logs, metrics, the platform's ways of speaking.
-@param settings - of the host.
-@param ports - of the platform's adapter.
-@param writeLine - where log lines go; standard output unless given.
+Creates the container, and registers the components that all others depend on: clock, logs, metrics, the platform's protocols.
+@param settings - settings of the host.
+@param ports - interfaces of the platform's adapter.
+@param writeLine - receives the log lines; by default they go to standard output.
 */
 export function beginComposition(settings: DirectEntrySettings, ports: PlatformPorts, writeLine?: (line: string) => void): Composition {
 	const parts = container.createChildContainer();
--- a/src/daemon/node/direct-entry.test.ts
+++ b/src/daemon/node/direct-entry.test.ts
@@ -5,7 +5,7 @@
 import {silentLoggers} from '../../base/common/logger.js';
 import {DirectEntry, type DirectEntryOptions} from './direct-entry.js';
 
-/** An entry with something open that never ends; tells what is done to it, and when. */
+/** Creates an entry with one request that never ends; records what the entry does on a stop, and when. */
 function makeEntry(clock: ManualClock) {
 	const events: string[] = [];
 	const tell = (event: string) => () => {
@@ -18,20 +18,19 @@
 		lifecycle,
 		clock,
 		log: silentLoggers.for('test'),
-		ingress: {openCount: 1, stopTaking: tell('takes nothing more'), refuseUnstarted: tell('refuses what waits')},
-		mesh: {announce: tell('tells peers')},
+		ingress: {openCount: 1, stopTaking: tell('stops accepting requests'), refuseUnstarted: tell('refuses waiting requests')},
+		mesh: {announce: tell('notifies peers')},
 		desk: {isIdle: true, handOver: () => undefined},
 	} as unknown as DirectEntryOptions);
 	return {events, lifecycle};
 }
 
 /*
-Seen: requests that a host had taken 3.1 and 3.2 s after it was told to stop were cut off when it ended, some in the middle
-of their answer.
-Cause: it took new requests for 3.2 s; the platform excuses a cut only for those sent within 3 s.
-Proof: the host's log and the time of the signal.
+Guards against requests that are cut off when their host exits, some in the middle of their response. This happened to
+requests accepted 3.1 and 3.2 s after the stop signal, as the host's log and the time of the signal showed: the host
+accepted new requests for 3.2 s, but the platform tolerates a cut only for those sent within 3 s.
 */
-t.test('a stopping entry takes requests only while they have time to end', async t => {
+t.test('a stopping entry accepts requests only while they have time to finish', async t => {
 	const clock = ManualClock.create();
 	const {events, lifecycle} = makeEntry(clock);
 	void lifecycle.stop();
@@ -40,5 +39,5 @@
 		clock.advance(50);
 	}
 
-	t.strictSame(events, ['tells peers at 0', 'takes nothing more at 2800', 'refuses what waits at 7500']);
+	t.strictSame(events, ['notifies peers at 0', 'stops accepting requests at 2800', 'refuses waiting requests at 7500']);
 });
--- a/src/daemon/node/direct-entry.ts
+++ b/src/daemon/node/direct-entry.ts
@@ -1,4 +1,4 @@
-/** The life of an entry that calls upstreams itself: start, planned stop, reload. */
+/** Lifecycle of an entry that calls upstreams itself: start, planned stop, reload. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import type {LifecycleManager} from '../../base/common/lifecycle.js';
@@ -12,18 +12,18 @@
 import type {DirectEntrySettings} from '../common/direct-settings.js';
 
 /**
-How long a stopping entry still takes requests: the balancer asks once a second, and takes a host out after two
-answers that say no. What is taken 3 s after the signal or later may not be cut off for want of time, so that the last
-ones need a margin; they go to another host, which has time for them.
+Time for which a stopping entry still accepts requests. The load balancer checks readiness once a second and removes
+a host after two negative responses. A request accepted 3 s after the signal or later must not be cut off for lack of
+time, so accepting ends a margin before that; later requests go to another host, which has time for them.
 */
 const announceMs = 2800;
-/** Kept back from the time until the process is ended from outside. */
+/** Reserved from the time until the process is terminated from outside. */
 const stopMarginMs = 500;
 const lookMs = 50;
-/** Time for the last refusals to reach their callers: many times the way there. */
+/** Time for the last refusals to reach their callers; many times the network latency. */
 const lastAnswersMs = 200;
 
-/** What an entry is made of. */
+/** Dependencies of an entry. */
 export type DirectEntryOptions = {
 	readonly settings: DirectEntrySettings;
 	readonly lifecycle: LifecycleManager;
@@ -37,7 +37,7 @@
 	readonly feeds: ReadonlyArray<Disposable & {start(): void}>;
 };
 
-/** One entry. */
+/** An entry that calls upstreams itself. */
 export class DirectEntry {
 	static create(options: DirectEntryOptions): DirectEntry {
 		return new DirectEntry(options);
@@ -55,8 +55,8 @@
 
 	/**
 	Starts serving.
-	@returns where it listens.
-	@throws UnavailableError when an address can't be had.
+	@returns the endpoints that it listens on.
+	@throws UnavailableError when it can't listen on an address.
 	*/
 	async start(): Promise<{readonly callers: Endpoint; readonly readiness: Endpoint; readonly peers: Endpoint}> {
 		const {settings, feeds, ingress, mesh, wire, metrics, log} = this.options;
@@ -68,7 +68,7 @@
 		mesh.start(peers, settings.seeds);
 		if (settings.metrics) {
 			metrics.serve(settings.metrics.address, settings.metrics.port, reason => {
-				log.error('Figures can\'t be served.', {reason});
+				log.error('Metrics can\'t be served.', {reason});
 			});
 		}
 
@@ -78,15 +78,15 @@
 	}
 
 	/**
-	Takes over what may change while the process runs.
-	@param settings - as read again.
+	Applies the settings that may change while the process runs.
+	@param settings - the settings as read again.
 	*/
 	reload(settings: DirectEntrySettings): void {
 		this.options.mesh.addSeeds(settings.seeds);
-		this.options.log.info('The settings of the host were read again.', {seeds: settings.seeds.length});
+		this.options.log.info('The host settings were reloaded.', {seeds: settings.seeds.length});
 	}
 
-	/** Serves on until the balancer has taken this host out and what it has is finished. */
+	/** Keeps serving until the load balancer has removed this host and the requests and batches that it holds are finished. */
 	private async drain(): Promise<void> {
 		const {clock, ingress, desk, mesh, settings, log} = this.options;
 		const startMs = clock.nowMs();
@@ -95,10 +95,10 @@
 		mesh.announce();
 		desk.handOver();
 		await this.until(() => clock.nowMs() >= startMs + announceMs);
-		// What is taken later might not end in time; the balancer has long been told.
+		// Requests accepted later might not finish in time; the load balancer was notified well before.
 		ingress.stopTaking();
 		await this.until(() => clock.nowMs() >= latestMs || (ingress.openCount === 0 && desk.isIdle));
-		// A connection that closes without an answer tells its caller nothing, not even that it may ask again.
+		// If a connection closes without a response, its caller learns nothing, not even that it may retry.
 		ingress.refuseUnstarted();
 		await this.until(() => clock.nowMs() >= latestMs + lastAnswersMs || ingress.openCount === 0);
 		log.info('The entry has stopped.', {open: ingress.openCount, tookMs: Math.round(clock.nowMs() - startMs)});
--- a/src/daemon/node/load-host-settings.test.ts
+++ b/src/daemon/node/load-host-settings.test.ts
@@ -18,7 +18,7 @@
 	}
 });
 
-t.test('bad host settings are told with file, line and path', async t => {
+t.test('invalid host settings are reported with file, line and path', async t => {
 	const good = readFileSync(`${exampleFolder}agent.jsonc`, 'utf8');
 	const problemsOf = (text: string | Uint8Array) => {
 		const folder = t.testdir({host: typeof text === 'string' ? text : new TextDecoder('latin1').decode(text)});
--- a/src/daemon/node/load-host-settings.ts
+++ b/src/daemon/node/load-host-settings.ts
@@ -1,4 +1,4 @@
-/** Reads and checks a host's settings, with the secrets they name, before anything starts. */
+/** Reads and validates a host's settings and the secrets they refer to, before anything starts. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import {messageOf, type InputProblem} from '../../base/common/errors.js';
@@ -12,7 +12,7 @@
 
 const shortestKey = 16;
 
-/** Secrets and certificates that the settings name. */
+/** Secrets and certificates that the settings refer to. */
 export type HostSecrets = {
 	readonly wireKeys: readonly WireKey[];
 	readonly platformToken: string;
@@ -24,7 +24,7 @@
 /** Everything a host needs to start. */
 export type LoadedHost = {readonly host: HostSettings; readonly secrets: HostSecrets};
 
-/** Reads secrets, and collects what is wrong with them. */
+/** Reads secrets, and collects the problems found. */
 class SecretReader {
 	readonly problems: InputProblem[] = [];
 
@@ -64,7 +64,7 @@
 /**
 Reads a host's settings.
 @param file - path of the file, in JSON with comments.
-@returns the checked settings, or everything wrong with them.
+@returns the validated settings and their secrets, or all problems found.
 */
 export function loadHostSettings(file: string): Outcome<LoadedHost, InputProblem[]> {
 	let bytes: Uint8Array;
@@ -89,7 +89,7 @@
 		const path = `/wire/keys/${index}/secret`;
 		const value = reader.read(secret, path);
 		if (value !== '' && value.length < shortestKey) {
-			reader.add(path, `a key has at least ${shortestKey} characters`);
+			reader.add(path, `the key must have at least ${shortestKey} characters`);
 		}
 
 		return {keyId, secret: value};
--- a/src/daemon/node/main.ts
+++ b/src/daemon/node/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon's program: `pumicehatchd --settings FILE`. */
+/** The daemon's command line program: `pumicehatchd --settings FILE`. */
 import process from 'node:process';
 import sade from 'sade';
 import {formatProblem, messageOf} from '../../base/common/errors.js';
@@ -39,7 +39,7 @@
 	process.on('SIGTERM', stop);
 	process.on('SIGINT', stop);
 	lifecycle.onDidStop(() => {
-		// Streams that are still closing get a turn before the process ends.
+		// Streams that are still closing get one more turn of the event loop before the process exits.
 		setImmediate(() => {
 			process.exit();
 		});
@@ -52,11 +52,11 @@
 	.version('0.1.0')
 	.describe('Runs one process of pumicehatch: an entry, or the agent beside an upstream.')
 	.option('-s, --settings', 'File with the settings of this host, in JSON with comments')
-	.option('--check', 'Check the settings and end')
+	.option('--check', 'Check the settings and exit')
 	.example('--settings /etc/pumicehatch/host.jsonc')
 	.action(async (flags: Flags) => {
 		if (typeof flags.settings !== 'string') {
-			process.stderr.write('pumicehatchd: --settings FILE is needed; see --help.\n');
+			process.stderr.write('pumicehatchd: --settings FILE is required; see --help.\n');
 			process.exitCode = exitCodes.badSettings;
 			return;
 		}
