--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -36,7 +36,7 @@
 			upstreamId: `u${number}`, hostId: `h${number}`, pool: 'models', hall: `hall-${number % 6}`, incarnation: 'i', role: 'agent' as const,
 		};
 		members.connected(identity, clock.nowMs());
-		router.joined(members.all().at(-1)!);
+		router.handleJoin(members.all().at(-1)!);
 		router.observeLoad(identity.upstreamId, {
 			running: random.int(8), queued: 0, slots: 8, serviceMs: 20, models: [{model: 'm', version: 'v1', adapters: []}],
 		}, clock.nowMs());
@@ -47,7 +47,7 @@
 
 function planOf(planner: Planner, nowMs: number): RequestPlan {
 	const plan = planner.plan({
-		requestId: 'r1', workspace: 'w0', target: 'p0', isRepeatable: true, hasKey: false, isStreaming: true, input: new TextEncoder().encode('x'.repeat(200)),
+		requestId: 'r1', workspace: 'w0', target: 'p0', isRepeatable: true, hasIdempotencyKey: false, isStreaming: true, input: new TextEncoder().encode('x'.repeat(200)),
 	}, nowMs);
 	if (!plan.ok) {
 		throw new Error(plan.error.message);
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -56,7 +56,7 @@
 		const bytes = (heapBytes() - beforeBytes) / copies.length;
 		const planner = Planner.create(tree);
 		const ask = (number: number) => ({
-			requestId: 'r', workspace: `w${number % workspaces}`, target: 'p1', isRepeatable: true, hasKey: false, isStreaming: false, input: new Uint8Array(0),
+			requestId: 'r', workspace: `w${number % workspaces}`, target: 'p1', isRepeatable: true, hasIdempotencyKey: false, isStreaming: false, input: new Uint8Array(0),
 		});
 		const first = timeMs(() => {
 			for (let number = 0; number < 100; number++) {
--- a/src/daemon/node/compose-agent.ts
+++ b/src/daemon/node/compose-agent.ts
@@ -20,7 +20,7 @@
 export const agentServiceToken: InjectionToken<AgentService> = Symbol('AgentService');
 
 /** Creates the driver for each kind of upstream; a new kind is added here. */
-const driverMakers: Readonly<Record<PoolKind, (origin: string) => UpstreamDriver>> = {
+const driverFactories: Readonly<Record<PoolKind, (origin: string) => UpstreamDriver>> = {
 	[poolKinds.engine]: origin => EngineDriver.create(origin),
 	[poolKinds.worker]: origin => HttpDriver.create(origin),
 	[poolKinds.service]: origin => HttpDriver.create(origin),
@@ -33,22 +33,22 @@
 @returns the container; resolving `agentServiceToken` creates the agent.
 */
 export function composeAgent(host: AgentHostSettings, secrets: HostSecrets) {
-	const {parts, register} = composeCommon({host, secrets});
-	const lifecycle = parts.resolve(lifecycleToken);
+	const {components, register} = composeCommon({host, secrets});
+	const lifecycle = components.resolve(lifecycleToken);
 	register(gateToken, () => GateMachine.create(defaultLimits));
-	register(upstreamDriverToken, () => lifecycle.register(driverMakers[host.upstream.kind](host.upstream.origin)));
+	register(upstreamDriverToken, () => lifecycle.register(driverFactories[host.upstream.kind](host.upstream.origin)));
 	register(agentServiceToken, () => lifecycle.register(AgentService.create({
-		identity: parts.resolve(identityToken),
-		gate: parts.resolve(gateToken),
-		driver: parts.resolve(upstreamDriverToken),
-		server: parts.resolve(wireServerToken),
-		settings: parts.resolve(settingsServiceToken),
-		table: parts.resolve(tableServiceToken),
-		sync: parts.resolve(settingsSyncToken),
-		clock: parts.resolve(clockToken),
-		log: parts.resolve(loggerFactoryToken).for('agent'),
-		metrics: parts.resolve(metricsToken),
+		identity: components.resolve(identityToken),
+		gate: components.resolve(gateToken),
+		driver: components.resolve(upstreamDriverToken),
+		server: components.resolve(wireServerToken),
+		settings: components.resolve(settingsServiceToken),
+		table: components.resolve(tableServiceToken),
+		sync: components.resolve(settingsSyncToken),
+		clock: components.resolve(clockToken),
+		log: components.resolve(loggerFactoryToken).for('agent'),
+		metrics: components.resolve(metricsToken),
 		lifecycle,
 	})));
-	return parts;
+	return components;
 }
--- a/src/daemon/node/compose-common.ts
+++ b/src/daemon/node/compose-common.ts
@@ -34,18 +34,18 @@
 const agentPollMs = {alone: 5000, connected: 60_000} as const;
 
 /** Registers the factory of a component, of which one instance is created when it is first resolved. */
-export type Registrar = <T>(token: InjectionToken<T>, make: (parts: DependencyContainer) => T) => void;
+export type Registrar = <T>(token: InjectionToken<T>, factory: (components: DependencyContainer) => T) => void;
 
 /**
 Registers the components that every role needs.
 @param loaded - validated host settings and secrets.
 @returns the container, and the function that registers further components.
 */
-export function composeCommon(loaded: LoadedHost): {parts: DependencyContainer; register: Registrar} {
+export function composeCommon(loaded: LoadedHost): {components: DependencyContainer; register: Registrar} {
 	const {host, secrets} = loaded;
-	const parts = container.createChildContainer();
-	const register: Registrar = (token, make) => {
-		parts.register(token, {useFactory: instanceCachingFactory(make)});
+	const components = container.createChildContainer();
+	const register: Registrar = (token, factory) => {
+		components.register(token, {useFactory: instanceCachingFactory(factory)});
 	};
 
 	register(clockToken, () => SystemClock.create());
@@ -53,34 +53,34 @@
 	register(lifecycleToken, () => LifecycleManager.create());
 	register(loggerFactoryToken, () => ConsoleLoggers.create({...host.logs, hostId: host.hostId}));
 	register(metricsToken, () => host.metrics
-		? parts.resolve(lifecycleToken).register(StatsdMetrics.create({...host.metrics, hall: host.hall, hostId: host.hostId}))
+		? components.resolve(lifecycleToken).register(StatsdMetrics.create({...host.metrics, hall: host.hall, hostId: host.hostId}))
 		: noMetrics);
-	parts.resolve(lifecycleToken).register(tellSleep(parts.resolve(clockToken), parts.resolve(loggerFactoryToken).for('clock'), parts.resolve(metricsToken)));
+	components.resolve(lifecycleToken).register(tellSleep(components.resolve(clockToken), components.resolve(loggerFactoryToken).for('clock'), components.resolve(metricsToken)));
 	register(identityToken, () => identityOf(loaded));
 	const platform = {origin: host.platform.origin, token: secrets.platformToken, callTimeoutMs: host.platform.callTimeoutMs};
 	register(tableServiceToken, () => HttpTableService.create(platform));
 	register(objectStoreToken, () => HttpObjectStore.create(platform));
-	register(hostListToken, () => SharedHostList.create(HttpHostList.create(platform), parts.resolve(clockToken)));
-	register(settingsServiceToken, () => parts.resolve(lifecycleToken).register(StoredSettingsService.create(
-		SettingsStore.create(parts.resolve(tableServiceToken), parts.resolve(objectStoreToken)),
-		parts.resolve(clockToken),
+	register(hostListToken, () => SharedHostList.create(HttpHostList.create(platform), components.resolve(clockToken)));
+	register(settingsServiceToken, () => components.resolve(lifecycleToken).register(StoredSettingsService.create(
+		SettingsStore.create(components.resolve(tableServiceToken), components.resolve(objectStoreToken)),
+		components.resolve(clockToken),
 	)));
-	register(settingsSyncToken, () => parts.resolve(lifecycleToken).register(SettingsSync.create({
-		settings: parts.resolve(settingsServiceToken),
-		clock: parts.resolve(clockToken),
-		random: parts.resolve(randomToken),
-		log: parts.resolve(loggerFactoryToken).for('settings'),
+	register(settingsSyncToken, () => components.resolve(lifecycleToken).register(SettingsSync.create({
+		settings: components.resolve(settingsServiceToken),
+		clock: components.resolve(clockToken),
+		random: components.resolve(randomToken),
+		log: components.resolve(loggerFactoryToken).for('settings'),
 		pollMs: peerCount => pollMs(host.role, peerCount),
 	})));
 	register(wireOptionsToken, () => ({
-		identity: parts.resolve(identityToken),
+		identity: components.resolve(identityToken),
 		keys: () => secrets.wireKeys,
-		clock: parts.resolve(clockToken),
-		random: parts.resolve(randomToken),
+		clock: components.resolve(clockToken),
+		random: components.resolve(randomToken),
 		...(secrets.wireTls && {tls: secrets.wireTls}),
 	}));
-	register(wireServerToken, () => parts.resolve(lifecycleToken).register(WireServer.create(parts.resolve(wireOptionsToken), secrets.wireTls)));
-	return {parts, register};
+	register(wireServerToken, () => components.resolve(lifecycleToken).register(WireServer.create(components.resolve(wireOptionsToken), secrets.wireTls)));
+	return {components, register};
 }
 
 function pollMs(role: Identity['role'], peerCount: number): number {
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -50,21 +50,21 @@
 } from './compose-feeds.js';
 import {registerState} from './compose-state.js';
 import {wireOptionsToken, wireServerToken} from './daemon-tokens.js';
-import {beginComposition, type Composition, type PlatformPorts} from './direct-composition.js';
+import {createComposition, type Composition, type PlatformPorts} from './direct-composition.js';
 import {DirectEntry} from './direct-entry.js';
 
-const enginesToken: InjectionToken<EngineChooser> = Symbol('EngineChooser');
+const engineChooserToken: InjectionToken<EngineChooser> = Symbol('EngineChooser');
 const availabilityToken: InjectionToken<PoolAvailability> = Symbol('PoolAvailability');
 const routerToken: InjectionToken<DirectRouter> = Symbol('DirectRouter');
-const promptNewsToken: InjectionToken<PromptNews> = Symbol('PromptNews');
+const promptUpdatesToken: InjectionToken<PromptNews> = Symbol('PromptNews');
 const linksToken: InjectionToken<DirectLinks> = Symbol('DirectLinks');
 
 /** Share of an upstream's connections that all hosts together use; the remainder is reserved for hosts that have just joined. */
 const usedConnectionShare = 0.8;
 /** Connections that this host may always have to one upstream, regardless of the number of hosts. */
-const fewestLanes = 4;
+const minConnections = 4;
 /** How often the list of servers is checked for missing servers whose time to come back is over. */
-const sweepMs = 200;
+const sweepIntervalMs = 200;
 
 /**
 Composes an entry.
@@ -74,15 +74,15 @@
 @returns the entry, not started.
 */
 export function composeDirectEntry(settings: DirectEntrySettings, ports: PlatformPorts, writeLine?: (line: string) => void): DirectEntry {
-	const composition = beginComposition(settings, ports, writeLine);
+	const composition = createComposition(settings, ports, writeLine);
 	registerPeers(composition);
 	registerState(composition);
 	registerFeeds(composition);
 	registerQuarantine(composition);
 	registerUpstreams(composition);
 	registerPreparation(composition);
-	registerDoor(composition);
-	keepStateAlike(composition);
+	registerIngress(composition);
+	synchronizeState(composition);
 	return makeEntry(composition);
 }
 
@@ -125,7 +125,7 @@
 
 /** Registers the choice of the upstream that serves a request, and the calls to upstreams. */
 function registerUpstreams({settings, ports, lifecycle, clock, logOf, register, get, hostCount}: Composition): void {
-	register(enginesToken, () => EngineChooser.create(EngineLoads.create()));
+	register(engineChooserToken, () => EngineChooser.create(EngineLoads.create()));
 	register(availabilityToken, () => PoolAvailability.create({
 		registry: get(serverRegistryToken), bounds: get(sendBoundsToken),
 	}));
@@ -136,15 +136,15 @@
 		bounds: settings.repeats,
 		hostCount,
 		newDispatchId: newId,
-		engines: get(enginesToken),
+		engines: get(engineChooserToken),
 		assigned(serverId, prompt) {
-			get(promptNewsToken).add(serverId, prompt);
+			get(promptUpdatesToken).add(serverId, prompt);
 		},
 		quarantine: get(quarantineToken),
 		availability: get(availabilityToken),
 		refusals: get(serverRefusalsToken),
 	}));
-	register(promptNewsToken, () => lifecycle.register(PromptNews.create({
+	register(promptUpdatesToken, () => lifecycle.register(PromptNews.create({
 		hostId: settings.hostId,
 		room: roomOf(settings.capacity),
 		mesh: get(peerMeshToken),
@@ -160,8 +160,8 @@
 		clock,
 		log: logOf('requests'),
 		mostLanes(pool) {
-			const most = get(deploymentBoardToken).current?.pool(pool)?.maxConnections ?? fewestLanes;
-			return Math.max(fewestLanes, Math.floor((most * usedConnectionShare) / hostCount()));
+			const maxConnections = get(deploymentBoardToken).current?.pool(pool)?.maxConnections ?? minConnections;
+			return Math.max(minConnections, Math.floor((maxConnections * usedConnectionShare) / hostCount()));
 		},
 		heard(serverId, dispatchId) {
 			get(routerToken).heard(serverId, dispatchId, clock.nowMs());
@@ -197,7 +197,7 @@
 }
 
 /** Registers the servers for callers and for the load balancer's readiness checks. */
-function registerDoor({ports, lifecycle, clock, metrics, logOf, register, get, isLeaving}: Composition): void {
+function registerIngress({ports, lifecycle, clock, metrics, logOf, register, get, isLeaving}: Composition): void {
 	const notReadyReason = () => {
 		if (isLeaving()) {
 			return 'this host is about to stop';
@@ -240,7 +240,7 @@
 }
 
 /** Starts the background work: hosts exchange their state, and outdated state is removed. */
-function keepStateAlike({lifecycle, clock, logOf, get}: Composition): void {
+function synchronizeState({lifecycle, clock, logOf, get}: Composition): void {
 	lifecycle.register(StateExchange.create({
 		mesh: get(peerMeshToken),
 		board: get(deploymentBoardToken),
@@ -262,11 +262,11 @@
 	lifecycle.register(LeavingNews.create({leaving: get(leavingServersToken), mesh: get(peerMeshToken)}));
 	lifecycle.register(LimitNews.create({limits: get(serverLimitsToken), mesh: get(peerMeshToken), clock}));
 	lifecycle.register(QuarantineNews.create({quarantine: get(quarantineToken), mesh: get(peerMeshToken), clock}));
-	lifecycle.register(setRepeating(clock, () => sweepMs, () => {
+	lifecycle.register(setRepeating(clock, () => sweepIntervalMs, () => {
 		get(serverRegistryToken).tick(clock.nowMs());
 	}));
 	// Created at once, so that peers' updates are received before the first request.
-	get(promptNewsToken);
+	get(promptUpdatesToken);
 }
 
 /** Creates the entry; resolving its components creates them. */
@@ -279,7 +279,7 @@
 		metrics,
 		ingress: get(ingressToken),
 		mesh: get(peerMeshToken),
-		desk: get(batchDeskToken),
+		batchHandler: get(batchDeskToken),
 		wire: get(wireServerToken),
 		feeds: [get(declarationFeedToken), get(serverFeedToken)],
 	});
--- a/src/daemon/node/compose-entry.ts
+++ b/src/daemon/node/compose-entry.ts
@@ -48,62 +48,62 @@
 @returns the container; resolving `entryServiceToken` creates the entry.
 */
 export function composeEntry(host: EntryHostSettings, secrets: HostSecrets) {
-	const {parts, register} = composeCommon({host, secrets});
-	const lifecycle = parts.resolve(lifecycleToken);
+	const {components, register} = composeCommon({host, secrets});
+	const lifecycle = components.resolve(lifecycleToken);
 	register(membersToken, () => MemberTable.create());
 	register(prefixesToken, () => PrefixIndex.create());
-	register(chooserToken, () => ScoreChooser.create(parts.resolve(randomToken), parts.resolve(prefixesToken)));
+	register(chooserToken, () => ScoreChooser.create(components.resolve(randomToken), components.resolve(prefixesToken)));
 	register(routerToken, () => FleetRouter.create({
 		hall: host.hall,
-		members: parts.resolve(membersToken),
-		chooser: parts.resolve(chooserToken),
-		prefixes: parts.resolve(prefixesToken),
+		members: components.resolve(membersToken),
+		chooser: components.resolve(chooserToken),
+		prefixes: components.resolve(prefixesToken),
 		newDispatchId: newId,
 		isAdaptive: true,
 	}));
 	register(linksToken, () => lifecycle.register(FleetLinks.create({
-		hosts: parts.resolve(hostListToken),
-		members: parts.resolve(membersToken),
-		router: parts.resolve(routerToken),
-		settings: parts.resolve(settingsServiceToken),
-		sync: parts.resolve(settingsSyncToken),
-		wire: parts.resolve(wireOptionsToken),
-		clock: parts.resolve(clockToken),
-		random: parts.resolve(randomToken),
-		log: parts.resolve(loggerFactoryToken).for('links'),
+		hosts: components.resolve(hostListToken),
+		members: components.resolve(membersToken),
+		router: components.resolve(routerToken),
+		settings: components.resolve(settingsServiceToken),
+		sync: components.resolve(settingsSyncToken),
+		wire: components.resolve(wireOptionsToken),
+		clock: components.resolve(clockToken),
+		random: components.resolve(randomToken),
+		log: components.resolve(loggerFactoryToken).for('links'),
 	})));
 	register(peersToken, () => lifecycle.register(PeerLinks.create({
-		hosts: parts.resolve(hostListToken),
-		settings: parts.resolve(settingsServiceToken),
-		sync: parts.resolve(settingsSyncToken),
-		server: parts.resolve(wireServerToken),
-		wire: parts.resolve(wireOptionsToken),
-		clock: parts.resolve(clockToken),
-		random: parts.resolve(randomToken),
+		hosts: components.resolve(hostListToken),
+		settings: components.resolve(settingsServiceToken),
+		sync: components.resolve(settingsSyncToken),
+		server: components.resolve(wireServerToken),
+		wire: components.resolve(wireOptionsToken),
+		clock: components.resolve(clockToken),
+		random: components.resolve(randomToken),
 	})));
-	register(runnerToken, () => lifecycle.register(RequestRunner.create(parts.resolve(linksToken), parts.resolve(routerToken), parts.resolve(clockToken))));
+	register(runnerToken, () => lifecycle.register(RequestRunner.create(components.resolve(linksToken), components.resolve(routerToken), components.resolve(clockToken))));
 	register(claimsToken, () => lifecycle.register(ClaimStore.create({
-		table: parts.resolve(tableServiceToken),
-		clock: parts.resolve(clockToken),
-		writer: parts.resolve(identityToken).incarnation,
+		table: components.resolve(tableServiceToken),
+		clock: components.resolve(clockToken),
+		writer: components.resolve(identityToken).incarnation,
 		spacingMs: host.claimSpacingMs,
 	})));
-	register(accountingToken, () => Accounting.create(parts.resolve(metricsToken)));
+	register(accountingToken, () => Accounting.create(components.resolve(metricsToken)));
 	register(placementToken, () => {
-		const links = parts.resolve(linksToken);
+		const links = components.resolve(linksToken);
 		const placement = lifecycle.register(PlacementService.create({
-			lease: LeaseKeeper.create(parts.resolve(tableServiceToken), parts.resolve(clockToken), parts.resolve(identityToken).incarnation),
-			tree: parts.resolve(settingsServiceToken).tree,
-			fleet: LinkedOrderFleet.create(links, parts.resolve(membersToken), parts.resolve(routerToken), parts.resolve(clockToken)),
-			clock: parts.resolve(clockToken),
-			random: parts.resolve(randomToken),
-			log: parts.resolve(loggerFactoryToken).for('placement'),
+			lease: LeaseKeeper.create(components.resolve(tableServiceToken), components.resolve(clockToken), components.resolve(identityToken).incarnation),
+			tree: components.resolve(settingsServiceToken).tree,
+			fleet: LinkedOrderFleet.create(links, components.resolve(membersToken), components.resolve(routerToken), components.resolve(clockToken)),
+			clock: components.resolve(clockToken),
+			random: components.resolve(randomToken),
+			log: components.resolve(loggerFactoryToken).for('placement'),
 			newOrderId: newId,
 		}));
 		lifecycle.register(ClaimSweeper.create({
-			table: parts.resolve(tableServiceToken),
-			clock: parts.resolve(clockToken),
-			random: parts.resolve(randomToken),
+			table: components.resolve(tableServiceToken),
+			clock: components.resolve(clockToken),
+			random: components.resolve(randomToken),
 			isHolder: () => placement.leaseEpoch !== undefined,
 		}));
 		lifecycle.register(links.onDidReceive(({message}) => {
@@ -114,24 +114,24 @@
 		return placement;
 	});
 	register(entryServiceToken, () => lifecycle.register(EntryService.create({
-		identity: parts.resolve(identityToken),
-		settings: parts.resolve(settingsServiceToken),
-		sync: parts.resolve(settingsSyncToken),
-		members: parts.resolve(membersToken),
-		router: parts.resolve(routerToken),
-		links: parts.resolve(linksToken),
-		peers: parts.resolve(peersToken),
-		runner: parts.resolve(runnerToken),
-		claims: parts.resolve(claimsToken),
-		accounting: parts.resolve(accountingToken),
-		server: parts.resolve(wireServerToken),
-		clock: parts.resolve(clockToken),
-		log: parts.resolve(loggerFactoryToken).for('entry'),
+		identity: components.resolve(identityToken),
+		settings: components.resolve(settingsServiceToken),
+		sync: components.resolve(settingsSyncToken),
+		members: components.resolve(membersToken),
+		router: components.resolve(routerToken),
+		links: components.resolve(linksToken),
+		peers: components.resolve(peersToken),
+		runner: components.resolve(runnerToken),
+		claims: components.resolve(claimsToken),
+		accounting: components.resolve(accountingToken),
+		server: components.resolve(wireServerToken),
+		clock: components.resolve(clockToken),
+		log: components.resolve(loggerFactoryToken).for('entry'),
 		lifecycle,
 		tls: secrets.callersTls,
 		bootstrapTokenHash: secrets.bootstrapToken === undefined ? undefined : hashToken(secrets.bootstrapToken),
 		stopGraceMs: host.stopGraceMs,
-		placement: parts.resolve(placementToken),
+		placement: components.resolve(placementToken),
 	})));
-	return parts;
+	return components;
 }
--- a/src/daemon/node/compose-feeds.ts
+++ b/src/daemon/node/compose-feeds.ts
@@ -23,7 +23,7 @@
 */
 export function registerFeeds({settings, ports, lifecycle, clock, logOf, register, get}: Composition): void {
 	/** Must be called before the declarations are applied: a host that knows the declaration accepts requests. */
-	const takeDrains = (rows: FeedChanges<OperatorRow>, isAll: boolean) => {
+	const applyDrains = (rows: FeedChanges<OperatorRow>, isAll: boolean) => {
 		const drains = rows.changed.flatMap(({value, revision}) => value.type === 'hallDrain' ? [{hall: value.hall, isDrained: value.isDrained, revision}] : []);
 		if (isAll) {
 			get(hallDrainsToken).replaceAll(drains, rows.revision, listSources.store);
@@ -33,7 +33,7 @@
 		}
 	};
 
-	const takeDeclarations = ({changed}: FeedChanges<OperatorRow>) => {
+	const applyDeclarations = ({changed}: FeedChanges<OperatorRow>) => {
 		for (const {value} of changed) {
 			if (value.type === 'declaration') {
 				get(deploymentBoardToken).offer(value.deployment, 'store');
@@ -49,7 +49,7 @@
 		clock,
 		log: logOf('store'),
 	}));
-	const duty = {
+	const readerOptions = {
 		holdMs: () => get(readingDutyToken).holdMs,
 		mayRest: () => get(readingDutyToken).mayRest(),
 	};
@@ -59,16 +59,16 @@
 		clock,
 		random: get(randomToken),
 		log: logOf('store'),
-		...duty,
+		...readerOptions,
 		isTold: () => get(deploymentBoardToken).current !== undefined,
 		replaceAll(all) {
-			takeDrains(all, true);
-			takeDeclarations(all);
+			applyDrains(all, true);
+			applyDeclarations(all);
 			return true;
 		},
 		apply(changes) {
-			takeDrains(changes, false);
-			takeDeclarations(changes);
+			applyDrains(changes, false);
+			applyDeclarations(changes);
 		},
 		lost: () => undefined,
 		returned: () => undefined,
@@ -81,7 +81,7 @@
 			clock,
 			random: get(randomToken),
 			log: logOf('store'),
-			...duty,
+			...readerOptions,
 			isTold: () => registry.revision > 0,
 			replaceAll({changed, unreadable, revision}) {
 				const nowMs = clock.nowMs();
--- a/src/daemon/node/daemon.ts
+++ b/src/daemon/node/daemon.ts
@@ -25,19 +25,19 @@
 @returns the daemon, listening.
 @throws UnavailableError when it can't listen on an address.
 */
-export async function startDaemon(loaded: LoadedHost, adjust?: (parts: DependencyContainer) => void): Promise<Daemon> {
+export async function startDaemon(loaded: LoadedHost, adjust?: (components: DependencyContainer) => void): Promise<Daemon> {
 	const {host, secrets} = loaded;
-	const parts = host.role === 'entry' ? composeEntry(host, secrets) : composeAgent(host, secrets);
-	adjust?.(parts);
-	const lifecycle = parts.resolve(lifecycleToken);
-	const log = parts.resolve(loggerFactoryToken).for('daemon');
+	const components = host.role === 'entry' ? composeEntry(host, secrets) : composeAgent(host, secrets);
+	adjust?.(components);
+	const lifecycle = components.resolve(lifecycleToken);
+	const log = components.resolve(loggerFactoryToken).for('daemon');
 	lifecycle.onDidStop(() => {
 		log.info('The process has stopped.');
 	});
 	if (host.role === 'entry') {
-		const entry = await parts.resolve(entryServiceToken).start(host);
+		const entry = await components.resolve(entryServiceToken).start(host);
 		return {lifecycle, wire: entry.wire, entry};
 	}
 
-	return {lifecycle, wire: await parts.resolve(agentServiceToken).start(host.wire)};
+	return {lifecycle, wire: await components.resolve(agentServiceToken).start(host.wire)};
 }
--- a/src/daemon/node/direct-composition.ts
+++ b/src/daemon/node/direct-composition.ts
@@ -40,7 +40,7 @@
 	readonly metrics: TextMetrics;
 	readonly logOf: (part: string) => Logger;
 	/** Registers the factory of a component, of which one instance is created when it is first resolved. */
-	readonly register: <T>(token: InjectionToken<T>, make: () => T) => void;
+	readonly register: <T>(token: InjectionToken<T>, factory: () => T) => void;
 	readonly get: <T>(token: InjectionToken<T>) => T;
 	readonly isLeaving: () => boolean;
 	/** Number of hosts that serve, including this one. */
@@ -53,13 +53,13 @@
 @param ports - interfaces of the platform's adapter.
 @param writeLine - receives the log lines; by default they go to standard output.
 */
-export function beginComposition(settings: DirectEntrySettings, ports: PlatformPorts, writeLine?: (line: string) => void): Composition {
-	const parts = container.createChildContainer();
-	const register = <T>(token: InjectionToken<T>, make: () => T) => {
-		parts.register(token, {useFactory: instanceCachingFactory(make)});
+export function createComposition(settings: DirectEntrySettings, ports: PlatformPorts, writeLine?: (line: string) => void): Composition {
+	const components = container.createChildContainer();
+	const register = <T>(token: InjectionToken<T>, factory: () => T) => {
+		components.register(token, {useFactory: instanceCachingFactory(factory)});
 	};
 
-	const get = <T>(token: InjectionToken<T>): T => parts.resolve(token);
+	const get = <T>(token: InjectionToken<T>): T => components.resolve(token);
 	const lifecycle = LifecycleManager.create();
 	const clock: Clock = SystemClock.create();
 	const output = writeLine ? undefined : BoundedOutput.create(clock);
--- a/src/daemon/node/direct-entry.test.ts
+++ b/src/daemon/node/direct-entry.test.ts
@@ -1,4 +1,4 @@
-import {setImmediate as turn} from 'node:timers/promises';
+import {setImmediate as yieldToEventLoop} from 'node:timers/promises';
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
 import {LifecycleManager} from '../../base/common/lifecycle.js';
@@ -8,7 +8,7 @@
 /** Creates an entry with one request that never ends; records what the entry does on a stop, and when. */
 function makeEntry(clock: ManualClock) {
 	const events: string[] = [];
-	const tell = (event: string) => () => {
+	const record = (event: string) => () => {
 		events.push(`${event} at ${clock.nowMs()}`);
 	};
 
@@ -18,9 +18,9 @@
 		lifecycle,
 		clock,
 		log: silentLoggers.for('test'),
-		ingress: {openCount: 1, stopTaking: tell('stops accepting requests'), refuseUnstarted: tell('refuses waiting requests')},
-		mesh: {announce: tell('notifies peers')},
-		desk: {isIdle: true, handOver: () => undefined},
+		ingress: {openCount: 1, stopTaking: record('stops accepting requests'), refuseUnstarted: record('refuses waiting requests')},
+		mesh: {announce: record('notifies peers')},
+		batchHandler: {isIdle: true, handOver: () => undefined},
 	} as unknown as DirectEntryOptions);
 	return {events, lifecycle};
 }
@@ -35,7 +35,7 @@
 	const {events, lifecycle} = makeEntry(clock);
 	void lifecycle.stop();
 	for (let nowMs = 0; nowMs < 8000; nowMs += 50) {
-		await turn();
+		await yieldToEventLoop();
 		clock.advance(50);
 	}
 
--- a/src/daemon/node/direct-entry.ts
+++ b/src/daemon/node/direct-entry.ts
@@ -16,12 +16,12 @@
 a host after two negative responses. A request accepted 3 s after the signal or later must not be cut off for lack of
 time, so accepting ends a margin before that; later requests go to another host, which has time for them.
 */
-const announceMs = 2800;
+const acceptWhileStoppingMs = 2800;
 /** Reserved from the time until the process is terminated from outside. */
 const stopMarginMs = 500;
-const lookMs = 50;
+const pollIntervalMs = 50;
 /** Time for the last refusals to reach their callers; many times the network latency. */
-const lastAnswersMs = 200;
+const lastResponsesMs = 200;
 
 /** Dependencies of an entry. */
 export type DirectEntryOptions = {
@@ -32,7 +32,7 @@
 	readonly metrics: TextMetrics;
 	readonly ingress: Ingress;
 	readonly mesh: PeerMesh;
-	readonly desk: BatchDesk;
+	readonly batchHandler: BatchDesk;
 	readonly wire: WireServer;
 	readonly feeds: ReadonlyArray<Disposable & {start(): void}>;
 };
@@ -88,26 +88,26 @@
 
 	/** Keeps serving until the load balancer has removed this host and the requests and batches that it holds are finished. */
 	private async drain(): Promise<void> {
-		const {clock, ingress, desk, mesh, settings, log} = this.options;
+		const {clock, ingress, batchHandler, mesh, settings, log} = this.options;
 		const startMs = clock.nowMs();
 		const latestMs = startMs + settings.stopGraceMs - stopMarginMs;
 		log.info('The entry is stopping.', {open: ingress.openCount, graceMs: settings.stopGraceMs});
 		mesh.announce();
-		desk.handOver();
-		await this.until(() => clock.nowMs() >= startMs + announceMs);
+		batchHandler.handOver();
+		await this.waitUntil(() => clock.nowMs() >= startMs + acceptWhileStoppingMs);
 		// Requests accepted later might not finish in time; the load balancer was notified well before.
 		ingress.stopTaking();
-		await this.until(() => clock.nowMs() >= latestMs || (ingress.openCount === 0 && desk.isIdle));
+		await this.waitUntil(() => clock.nowMs() >= latestMs || (ingress.openCount === 0 && batchHandler.isIdle));
 		// If a connection closes without a response, its caller learns nothing, not even that it may retry.
 		ingress.refuseUnstarted();
-		await this.until(() => clock.nowMs() >= latestMs + lastAnswersMs || ingress.openCount === 0);
+		await this.waitUntil(() => clock.nowMs() >= latestMs + lastResponsesMs || ingress.openCount === 0);
 		log.info('The entry has stopped.', {open: ingress.openCount, tookMs: Math.round(clock.nowMs() - startMs)});
 	}
 
-	private async until(isTrue: () => boolean): Promise<void> {
-		while (!isTrue()) {
+	private async waitUntil(condition: () => boolean): Promise<void> {
+		while (!condition()) {
 			await new Promise<void>(resolve => {
-				this.options.clock.setTimer(lookMs, resolve);
+				this.options.clock.setTimer(pollIntervalMs, resolve);
 			});
 		}
 	}
--- a/src/daemon/node/load-host-settings.ts
+++ b/src/daemon/node/load-host-settings.ts
@@ -10,7 +10,7 @@
 	hostSettingsSchema, type HostSettings, type SecretSource, type TlsFiles,
 } from '../common/host-settings.js';
 
-const shortestKey = 16;
+const minKeyLength = 16;
 
 /** Secrets and certificates that the settings refer to. */
 export type HostSecrets = {
@@ -33,7 +33,7 @@
 	read(secret: SecretSource, path: string): string {
 		const value = secret.env === undefined ? this.readFile(secret.file ?? '', `${path}/file`).trim() : process.env[secret.env];
 		if (value === undefined || value === '') {
-			this.add(path, secret.env === undefined ? 'the file is empty' : `environment variable ${secret.env} is not set`);
+			this.addProblem(path, secret.env === undefined ? 'the file is empty' : `environment variable ${secret.env} is not set`);
 		}
 
 		return value ?? '';
@@ -47,7 +47,7 @@
 		};
 	}
 
-	add(path: string, message: string): void {
+	addProblem(path: string, message: string): void {
 		this.problems.push({code: 'badSecret', message, place: {source: this.source, path}});
 	}
 
@@ -55,7 +55,7 @@
 		try {
 			return readFileSync(file, 'utf8');
 		} catch (error) {
-			this.add(path, messageOf(error));
+			this.addProblem(path, messageOf(error));
 			return '';
 		}
 	}
@@ -88,8 +88,8 @@
 	const wireKeys = host.wire.keys.map(({keyId, secret}, index) => {
 		const path = `/wire/keys/${index}/secret`;
 		const value = reader.read(secret, path);
-		if (value !== '' && value.length < shortestKey) {
-			reader.add(path, `the key must have at least ${shortestKey} characters`);
+		if (value !== '' && value.length < minKeyLength) {
+			reader.addProblem(path, `the key must have at least ${minKeyLength} characters`);
 		}
 
 		return {keyId, secret: value};
--- a/src/daemon/node/main.ts
+++ b/src/daemon/node/main.ts
@@ -6,7 +6,7 @@
 import {startDaemon} from './daemon.js';
 import {loadHostSettings} from './load-host-settings.js';
 
-const exitCodes = {failed: 1, badSettings: 2, stoppedAtOnce: 3} as const;
+const exitCodes = {failed: 1, badSettings: 2, stoppedImmediately: 3} as const;
 
 async function run(file: string, isCheckOnly: boolean): Promise<void> {
 	const loaded = loadHostSettings(file);
@@ -25,14 +25,14 @@
 	}
 
 	const {lifecycle} = await startDaemon(loaded.value);
-	let signals = 0;
+	let signalCount = 0;
 	const stop = () => {
-		signals++;
-		if (signals === 1) {
+		signalCount++;
+		if (signalCount === 1) {
 			void lifecycle.stop();
 		} else {
 			lifecycle.stopNow();
-			process.exitCode = exitCodes.stoppedAtOnce;
+			process.exitCode = exitCodes.stoppedImmediately;
 		}
 	};
 
--- a/src/entry/common/fleet-router.ts
+++ b/src/entry/common/fleet-router.ts
@@ -14,13 +14,13 @@
 import {UpstreamStats} from '../../routing/common/upstream-stats.js';
 import type {UpstreamLoad} from '../../wire/common/messages.js';
 
-const defaultAnswerMs = 50;
+const defaultRunMs = 50;
 /** Time for which the cached shortest wait of a pool is used. */
-const waitLifeMs = 25;
+const waitCacheMs = 25;
 /** Time for which the cached candidates of a pool are used while no member changes. */
-const viewLifeMs = 100;
+const viewCacheMs = 100;
 /** Reasons for the end of an attempt that say nothing about the upstream, so that the attempt is not counted in its statistics. */
-const innocentReasons = new Set(['lostRace', 'abandoned']);
+const neutralReasons = new Set(['lostRace', 'abandoned']);
 
 /** Dependencies of the router; the policies can be replaced by baselines. */
 export type FleetRouterOptions = {
@@ -80,7 +80,7 @@
 	Handles the first connection of an incarnation: discards what was known of the previous one.
 	@param member - the upstream.
 	*/
-	joined(member: Member): void {
+	handleJoin(member: Member): void {
 		this.candidates.set(member.upstreamId, {
 			upstreamId: member.upstreamId, hall: member.hall, stats: UpstreamStats.create(), joinedMs: member.joinedMs,
 		});
@@ -110,17 +110,17 @@
 
 	choose(stage: StagePlan, excluded: ReadonlySet<string>, prefixHash: number, nowMs: number): Choice | undefined {
 		const {usable} = this.viewOf(stage.pool, nowMs);
-		const left = excluded.size === 0 ? usable : makeCandidateSet(usable.list.filter(candidate => !excluded.has(candidate.upstreamId)));
-		if (left.list.length === 0) {
+		const remaining = excluded.size === 0 ? usable : makeCandidateSet(usable.list.filter(candidate => !excluded.has(candidate.upstreamId)));
+		if (remaining.list.length === 0) {
 			return undefined;
 		}
 
 		const {model, adapter} = stage.policy;
-		return this.options.chooser.choose(left, {
+		return this.options.chooser.choose(remaining, {
 			hall: this.options.hall,
 			...(stage.kind === 'generate' && {model, adapter}),
 			prefixHash: stage.kind === 'generate' ? prefixHash : 0,
-			expectedMs: this.runTimes.typicalMs(stage.key) ?? defaultAnswerMs,
+			expectedMs: this.runTimes.typicalMs(stage.key) ?? defaultRunMs,
 			slots: stage.slots,
 		}, nowMs);
 	}
@@ -181,7 +181,7 @@
 
 		candidate.stats.inFlight = Math.max(0, candidate.stats.inFlight - 1);
 		const isFailure = attempt.state === attemptStates.failed || attempt.state === attemptStates.unknown;
-		if (innocentReasons.has(attempt.reason) || attempt.state === attemptStates.notRun) {
+		if (neutralReasons.has(attempt.reason) || attempt.state === attemptStates.notRun) {
 			return;
 		}
 
@@ -212,9 +212,9 @@
 
 	/** Returns the shortest wait of a pool, cached for a short time so that the cost of admission does not grow with the pool. */
 	private shortestWaitMs(stage: StagePlan, nowMs: number): number {
-		const known = this.waits.get(stage.pool);
-		if (known && nowMs - known.atMs < waitLifeMs) {
-			return known.waitMs;
+		const cached = this.waits.get(stage.pool);
+		if (cached && nowMs - cached.atMs < waitCacheMs) {
+			return cached.waitMs;
 		}
 
 		const typicalMs = this.runTimes.typicalMs(stage.key) ?? 0;
@@ -227,9 +227,9 @@
 	/** Returns the cached state of a pool; recomputed when a member changes, and periodically because silence changes no member. */
 	private viewOf(pool: string, nowMs: number): PoolView {
 		const {members, isAdaptive} = this.options;
-		const known = this.views.get(pool);
-		if (known?.version === members.version && nowMs - known.atMs < viewLifeMs) {
-			return known;
+		const cached = this.views.get(pool);
+		if (cached?.version === members.version && nowMs - cached.atMs < viewCacheMs) {
+			return cached;
 		}
 
 		const all = members.candidates(pool, nowMs).flatMap(member => this.candidates.get(member.upstreamId) ?? []);
--- a/src/entry/common/fleet-share.ts
+++ b/src/entry/common/fleet-share.ts
@@ -3,22 +3,22 @@
 import {subsetOf} from '../../routing/common/subset.js';
 import {roles} from '../../wire/common/messages.js';
 
-const shortestPingMs = 500;
+const minPingIntervalMs = 500;
 /** Maximum traffic of an entry for pings and their replies; with more links, pings are sent less often. */
-const pingBytesPerSecond = 10_000;
+const maxPingBytesPerSecond = 10_000;
 /** Size of a ping and its reply, which reports the load. */
 const pingExchangeBytes = 221;
 /** Maximum number of links of an entry; a larger fleet is divided among the entries. */
-const mostLinks = 96;
-const fewestOfPool = 8;
+const maxLinks = 96;
+const minAgentsPerPool = 8;
 
 /**
 Returns the time between two pings on each link.
-@param links - number of links of the entry.
+@param linkCount - number of links of the entry.
 @returns the time in milliseconds.
 */
-export function pingIntervalMs(links: number): number {
-	return Math.max(shortestPingMs, links * pingExchangeBytes * 1000 / pingBytesPerSecond);
+export function pingIntervalMs(linkCount: number): number {
+	return Math.max(minPingIntervalMs, linkCount * pingExchangeBytes * 1000 / maxPingBytesPerSecond);
 }
 
 /**
@@ -27,9 +27,9 @@
 @param entryId - host id of the entry.
 @returns all agents of a small fleet, or an even share of each pool of a large one.
 */
-export function shareOf(hosts: readonly ListedHost[], entryId: string): ListedHost[] {
+export function agentsForEntry(hosts: readonly ListedHost[], entryId: string): ListedHost[] {
 	const agents = hosts.filter(host => host.role === roles.agent);
-	if (agents.length <= mostLinks) {
+	if (agents.length <= maxLinks) {
 		return agents;
 	}
 
@@ -38,7 +38,7 @@
 	const pools = new Set(agents.map(host => host.pool));
 	return [...pools].flatMap(name => {
 		const pool = agents.filter(host => host.pool === name);
-		const size = Math.max(fewestOfPool, Math.floor(mostLinks * pool.length / agents.length));
+		const size = Math.max(minAgentsPerPool, Math.floor(maxLinks * pool.length / agents.length));
 		return subsetOf(pool, position, size);
 	});
 }
--- a/src/entry/common/planner.ts
+++ b/src/entry/common/planner.ts
@@ -11,12 +11,12 @@
 /** Methods that are idempotent by RFC 9110; calls with others are not retried, whether marked as not repeatable or not. */
 const idempotentMethods = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'TRACE']);
 /** Maximum number of targets cached between changes of the settings. */
-const mostTargets = 20_000;
+const maxCachedTargets = 20_000;
 /** Requests whose inputs are the same for this many bytes at the start are assumed to share a prompt prefix. */
 const prefixBytes = 64;
 
 /** Properties of a caller's request. */
-export type Ask = {
+export type PlanRequest = {
 	readonly requestId: string;
 	readonly workspace: string;
 	/** Name of a pipeline, or of a service where `http` is given. */
@@ -24,7 +24,7 @@
 	readonly deadlineMs?: number;
 	/** Whether the caller allows the request to be repeated; the settings may forbid it as well. */
 	readonly isRepeatable: boolean;
-	readonly hasKey: boolean;
+	readonly hasIdempotencyKey: boolean;
 	readonly isStreaming: boolean;
 	readonly input: Uint8Array;
 	readonly http?: HttpCall;
@@ -53,24 +53,24 @@
 	@param nowMs - time of receipt, from which the deadline counts.
 	@returns the plan, or why none can be made.
 	*/
-	plan(ask: Ask, nowMs: number): Outcome<RequestPlan, PlanFailure> {
-		const target = this.targetOf(ask);
-		return target.ok ? ok(planOf(this.tree.revision, target.value, ask, nowMs)) : target;
+	plan(request: PlanRequest, nowMs: number): Outcome<RequestPlan, PlanFailure> {
+		const target = this.targetOf(request);
+		return target.ok ? ok(planOf(this.tree.revision, target.value, request, nowMs)) : target;
 	}
 
-	private targetOf(ask: Ask): Outcome<Target, PlanFailure> {
-		if (this.revision !== this.tree.revision || this.targets.size > mostTargets) {
+	private targetOf(request: PlanRequest): Outcome<Target, PlanFailure> {
+		if (this.revision !== this.tree.revision || this.targets.size > maxCachedTargets) {
 			this.targets.clear();
 			this.revision = this.tree.revision;
 		}
 
-		const key = `${ask.workspace} ${ask.http?.method ?? ''} ${ask.target}`;
-		const known = this.targets.get(key);
-		if (known) {
-			return ok(known);
+		const key = `${request.workspace} ${request.http?.method ?? ''} ${request.target}`;
+		const cached = this.targets.get(key);
+		if (cached) {
+			return ok(cached);
 		}
 
-		const target = readTarget(this.tree, ask);
+		const target = readTarget(this.tree, request);
 		if (target.ok) {
 			this.targets.set(key, target.value);
 		}
@@ -79,81 +79,81 @@
 	}
 }
 
-function readTarget(tree: SettingsTree, ask: Ask): Outcome<Target, PlanFailure> {
-	if (!tree.workspace(ask.workspace)) {
-		return fail({code: 'unknownWorkspace', message: `workspace "${ask.workspace}" is not declared`});
+function readTarget(tree: SettingsTree, request: PlanRequest): Outcome<Target, PlanFailure> {
+	if (!tree.workspace(request.workspace)) {
+		return fail({code: 'unknownWorkspace', message: `workspace "${request.workspace}" is not declared`});
 	}
 
-	const collection = ask.http ? 'services' : 'pipelines';
-	const path = `/workspaces/${ask.workspace}/${collection}/${ask.target}`;
+	const collection = request.http ? 'services' : 'pipelines';
+	const path = `/workspaces/${request.workspace}/${collection}/${request.target}`;
 	const policy = tree.policyAt(path);
-	const stages = ask.http ? serviceStages(tree, ask, policy) : pipelineStages(tree, ask, path);
+	const stages = request.http ? serviceStages(tree, request, policy) : pipelineStages(tree, request, path);
 	if (!stages.ok) {
 		return stages;
 	}
 
 	return policy.isEnabled
 		? ok({policy, stages: stages.value})
-		: fail({code: 'disabled', message: `"${ask.target}" is disabled for this workspace`});
+		: fail({code: 'disabled', message: `"${request.target}" is disabled for this workspace`});
 }
 
-function planOf(settingsRevision: number, {policy, stages}: Target, ask: Ask, nowMs: number): RequestPlan {
-	const deadlineMs = nowMs + (ask.deadlineMs ?? policy.deadlineMs);
-	const isMarked = !ask.isRepeatable || !policy.isRepeatable;
-	const isRepeatable = !isMarked && (ask.http === undefined || idempotentMethods.has(ask.http.method));
+function planOf(settingsRevision: number, {policy, stages}: Target, request: PlanRequest, nowMs: number): RequestPlan {
+	const deadlineMs = nowMs + (request.deadlineMs ?? policy.deadlineMs);
+	const isRepeatForbidden = !request.isRepeatable || !policy.isRepeatable;
+	const isRepeatable = !isRepeatForbidden && (request.http === undefined || idempotentMethods.has(request.http.method));
 	return {
-		requestId: ask.requestId,
-		workspace: ask.workspace,
-		pipeline: ask.target,
+		requestId: request.requestId,
+		workspace: request.workspace,
+		pipeline: request.target,
 		stages,
 		policy,
 		isRepeatable,
 		settingsRevision,
-		needsClaim: isMarked || ask.hasKey,
+		needsClaim: isRepeatForbidden || request.hasIdempotencyKey,
 		needsPreparation: false,
 		rules: agentRules,
-		isStreaming: ask.isStreaming,
+		isStreaming: request.isStreaming,
 		startMs: nowMs,
 		deadlineMs,
 		giveUpMs: deadlineMs + policy.maxLateMs,
-		input: ask.input,
-		...(ask.http && {http: ask.http}),
-		prefixHash: prefixHashOf(ask),
-		seed: hashText(ask.requestId),
+		input: request.input,
+		...(request.http && {http: request.http}),
+		prefixHash: prefixHashOf(request),
+		seed: hashText(request.requestId),
 	};
 }
 
-function pipelineStages(tree: SettingsTree, ask: Ask, path: string): Outcome<StagePlan[], PlanFailure> {
-	const order = tree.stagesOf(ask.workspace, ask.target);
+function pipelineStages(tree: SettingsTree, request: PlanRequest, path: string): Outcome<StagePlan[], PlanFailure> {
+	const order = tree.stagesOf(request.workspace, request.target);
 	if (!order) {
-		return fail({code: 'unknownPipeline', message: `pipeline "${ask.target}" is not declared`});
+		return fail({code: 'unknownPipeline', message: `pipeline "${request.target}" is not declared`});
 	}
 
 	const stages = order.map((name, index) => {
 		const policy = tree.policyAt(`${path}/stages/${name}`);
-		const kind = tree.stageKind(ask.workspace, ask.target, name) ?? 'run';
+		const kind = tree.stageKind(request.workspace, request.target, name) ?? 'run';
 		return {
 			name,
 			index,
 			kind,
 			policy,
 			...poolOf(tree, policy),
-			key: `${ask.target}/${name}/${policy.model ?? ''}/${policy.maxTokens}`,
-			budgetKey: `${ask.workspace}/${ask.target}/${name}`,
+			key: `${request.target}/${name}/${policy.model ?? ''}/${policy.maxTokens}`,
+			budgetKey: `${request.workspace}/${request.target}/${name}`,
 		};
 	});
 	// A disabled stage is omitted; the stages after it get its input.
 	return ok(stages.filter(stage => stage.policy.isEnabled).map((stage, index) => ({...stage, index})));
 }
 
-function serviceStages(tree: SettingsTree, ask: Ask, policy: EffectivePolicy): Outcome<StagePlan[], PlanFailure> {
-	if (!tree.hasService(ask.workspace, ask.target)) {
-		return fail({code: 'unknownService', message: `service "${ask.target}" is not declared`});
+function serviceStages(tree: SettingsTree, request: PlanRequest, policy: EffectivePolicy): Outcome<StagePlan[], PlanFailure> {
+	if (!tree.hasService(request.workspace, request.target)) {
+		return fail({code: 'unknownService', message: `service "${request.target}" is not declared`});
 	}
 
-	const key = `service/${ask.target}/${ask.http!.method}`;
+	const key = `service/${request.target}/${request.http!.method}`;
 	return ok([{
-		name: ask.target, index: 0, kind: 'http', policy, ...poolOf(tree, policy), key, budgetKey: `${ask.workspace}/${key}`,
+		name: request.target, index: 0, kind: 'http', policy, ...poolOf(tree, policy), key, budgetKey: `${request.workspace}/${key}`,
 	}]);
 }
 
@@ -162,7 +162,7 @@
 	return {pool, slots: tree.pool(pool)?.slots ?? defaultSlots};
 }
 
-function prefixHashOf(ask: Ask): number {
-	const start = new TextDecoder().decode(ask.input.subarray(0, prefixBytes));
-	return start.length < prefixBytes ? 0 : hashText(`${ask.target} ${start}`);
+function prefixHashOf(request: PlanRequest): number {
+	const start = new TextDecoder().decode(request.input.subarray(0, prefixBytes));
+	return start.length < prefixBytes ? 0 : hashText(`${request.target} ${start}`);
 }
--- a/src/entry/node/caller-request.ts
+++ b/src/entry/node/caller-request.ts
@@ -7,11 +7,11 @@
 import {problemOf, type Problem} from '../common/problems.js';
 import {headerOf} from './http-common.js';
 
-const mostDeadlineMs = 600_000;
-const longestKey = 128;
+const maxDeadlineMs = 600_000;
+const maxKeyLength = 128;
 
 /** Headers that are not forwarded to a service: those addressed to this system, and those about the caller's connection. */
-const ownHeaders = new Set([
+const unforwardedHeaders = new Set([
 	'host',
 	'connection',
 	'keep-alive',
@@ -49,19 +49,19 @@
 export function readCallerHeaders(request: IncomingMessage): Outcome<CallerHeaders, Problem> {
 	const deadline = headerOf(request, 'deadline-ms');
 	const deadlineMs = deadline === undefined ? undefined : Number(deadline);
-	if (deadlineMs !== undefined && !(Number.isInteger(deadlineMs) && deadlineMs > 0 && deadlineMs <= mostDeadlineMs)) {
-		return fail(problemOf('badRequest', `expected whole milliseconds from 1 to ${mostDeadlineMs}`, {place: 'header Deadline-Ms'}));
+	if (deadlineMs !== undefined && !(Number.isInteger(deadlineMs) && deadlineMs > 0 && deadlineMs <= maxDeadlineMs)) {
+		return fail(problemOf('badRequest', `expected whole milliseconds from 1 to ${maxDeadlineMs}`, {place: 'header Deadline-Ms'}));
 	}
 
 	for (const name of ['idempotency-key', 'x-request-id']) {
 		const value = headerOf(request, name);
-		if (value !== undefined && !isKey(value)) {
-			return fail(problemOf('badRequest', `expected 1 to ${longestKey} visible ASCII characters`, {place: `header ${name}`}));
+		if (value !== undefined && !isValidKey(value)) {
+			return fail(problemOf('badRequest', `expected 1 to ${maxKeyLength} visible ASCII characters`, {place: `header ${name}`}));
 		}
 	}
 
-	const mark = headerOf(request, 'not-repeatable') ?? 'false';
-	if (mark !== 'true' && mark !== 'false') {
+	const notRepeatable = headerOf(request, 'not-repeatable') ?? 'false';
+	if (notRepeatable !== 'true' && notRepeatable !== 'false') {
 		return fail(problemOf('badRequest', 'expected "true" or "false"', {place: 'header Not-Repeatable'}));
 	}
 
@@ -69,14 +69,14 @@
 		requestId: headerOf(request, 'x-request-id'),
 		deadlineMs,
 		idempotencyKey: headerOf(request, 'idempotency-key'),
-		isRepeatable: mark === 'false',
+		isRepeatable: notRepeatable === 'false',
 		isStreaming: (headerOf(request, 'accept') ?? '').includes('text/event-stream'),
 		isExplained: headerOf(request, 'explain') === 'true',
 	});
 }
 
-function isKey(value: string): boolean {
-	return value.length <= longestKey && /^[!-~]+$/v.test(value);
+function isValidKey(value: string): boolean {
+	return value.length <= maxKeyLength && /^[!-~]+$/v.test(value);
 }
 
 /**
@@ -98,9 +98,9 @@
 Lists the headers that are forwarded to an HTTP service.
 @param request - the request.
 */
-export function passedHeaders(request: IncomingMessage): Header[] {
+export function forwardedHeaders(request: IncomingMessage): Header[] {
 	return Object.entries(request.headers).flatMap(([name, value]) => {
 		const values = Array.isArray(value) ? value : [value ?? ''];
-		return ownHeaders.has(name) ? [] : values.map(item => ({name, value: item}));
+		return unforwardedHeaders.has(name) ? [] : values.map(item => ({name, value: item}));
 	});
 }
--- a/src/entry/node/callers-api.ts
+++ b/src/entry/node/callers-api.ts
@@ -14,17 +14,17 @@
 import {Planner} from '../common/planner.js';
 import {problemOf, type Problem} from '../common/problems.js';
 import type {RequestRunner} from '../../request/node/request-runner.js';
-import {AnswerWriter} from './answer-writer.js';
+import {ResponseWriter} from './response-writer.js';
 import {
-	checkJsonBody, passedHeaders, readCallerHeaders, type CallerHeaders,
+	checkJsonBody, forwardedHeaders, readCallerHeaders, type CallerHeaders,
 } from './caller-request.js';
 import {
 	attachApp, hasToken, makeApp, readBody, sendJson, sendProblem,
 } from './http-common.js';
 
 /** Difference between the clocks of hosts that is allowed for when a claim expires. */
-const clockMarginMs = 5000;
-const progressRetryMs = 1000;
+const maxClockSkewMs = 5000;
+const defaultRetryAfterMs = 1000;
 
 /** Dependencies of the interface. */
 export type CallersApiOptions = {
@@ -38,12 +38,12 @@
 	/** Returns why this host accepts no requests, or undefined if it does. */
 	readonly notReadyReason: () => string | undefined;
 	/** Whether a planned stop was announced: the load balancer should send no more requests, but those that arrive are still accepted. */
-	readonly isAnnounced: () => boolean;
+	readonly isStopAnnounced: () => boolean;
 };
 
 type Target = {readonly workspace: string; readonly name: string; readonly http?: {readonly method: string; readonly path: string}};
 
-type Parsed = {readonly headers: CallerHeaders; readonly body: Uint8Array; readonly target: Target; readonly requestId: string};
+type ParsedRequest = {readonly headers: CallerHeaders; readonly body: Uint8Array; readonly target: Target; readonly requestId: string};
 
 /** Handles callers' requests. */
 export class CallersApi {
@@ -61,7 +61,7 @@
 			sendJson(response, 200, {status: 'ok'});
 		});
 		this.app.get('/readyz', (_request, response) => {
-			const reason = options.notReadyReason() ?? (options.isAnnounced() ? 'this host is about to stop' : undefined);
+			const reason = options.notReadyReason() ?? (options.isStopAnnounced() ? 'this host is about to stop' : undefined);
 			sendJson(response, reason === undefined ? 200 : 503, reason === undefined ? {status: 'ready'} : {status: 'notReady', reason});
 		});
 		this.app.post('/v1/workspaces/:workspace/pipelines/:pipeline/requests', async (request, response) => {
@@ -100,7 +100,7 @@
 			target: target.name,
 			deadlineMs: headers.deadlineMs,
 			isRepeatable: headers.isRepeatable,
-			hasKey: headers.idempotencyKey !== undefined,
+			hasIdempotencyKey: headers.idempotencyKey !== undefined,
 			isStreaming: headers.isStreaming && !target.http,
 			input: body,
 			http: httpCallOf(request, parsed),
@@ -121,59 +121,59 @@
 		this.run(response, plan.value, parsed, key);
 	}
 
-	private async parse(request: IncomingMessage, target: Target): Promise<Parsed | Problem> {
-		const refused = {outcome: outcomes.refused, notRun: true};
+	private async parse(request: IncomingMessage, target: Target): Promise<ParsedRequest | Problem> {
+		const refusalFields = {outcome: outcomes.refused, notRun: true};
 		const notReady = this.options.notReadyReason();
 		if (notReady !== undefined) {
-			return problemOf('notReady', notReady, {...refused, retryAfterMs: progressRetryMs});
+			return problemOf('notReady', notReady, {...refusalFields, retryAfterMs: defaultRetryAfterMs});
 		}
 
 		const hashes = this.options.settings.tree.workspace(target.workspace)?.tokenHashes ?? [];
 		if (!hasToken(request, hashes)) {
-			return problemOf('unauthorized', 'the bearer token is not one of this workspace', refused);
+			return problemOf('unauthorized', 'the bearer token is not one of this workspace', refusalFields);
 		}
 
 		const headers = readCallerHeaders(request);
 		if (!headers.ok) {
-			return {...headers.error, ...refused};
+			return {...headers.error, ...refusalFields};
 		}
 
 		const body = await readBody(request);
 		if (!body.ok) {
-			return {...body.error, ...refused};
+			return {...body.error, ...refusalFields};
 		}
 
 		const problem = target.http ? undefined : checkJsonBody(body.value);
 		return problem
-			? {...problem, ...refused}
+			? {...problem, ...refusalFields}
 			: {
 				headers: headers.value, body: body.value, target, requestId: headers.value.requestId ?? newId(),
 			};
 	}
 
-	private run(response: ServerResponse, plan: RequestPlan, parsed: Parsed, key: string | undefined): void {
+	private run(response: ServerResponse, plan: RequestPlan, parsed: ParsedRequest, key: string | undefined): void {
 		const limiter = this.limiterOf(plan.workspace);
-		const entered = limiter.tryEnter(plan.policy, this.options.clock.nowMs());
-		if (!entered.ok) {
-			const {code, retryAfterMs} = entered.error;
+		const admitted = limiter.tryEnter(plan.policy, this.options.clock.nowMs());
+		if (!admitted.ok) {
+			const {code, retryAfterMs} = admitted.error;
 			sendProblem(response, problemOf(code, 'this workspace sends more than its limits allow', {
 				requestId: plan.requestId, outcome: outcomes.refused, notRun: true, retryAfterMs,
 			}));
 			return;
 		}
 
-		const writer = AnswerWriter.create(response, {
-			requestId: plan.requestId, isStreaming: plan.isStreaming, isExplained: parsed.headers.isExplained, isPlain: plan.http !== undefined,
+		const writer = ResponseWriter.create(response, {
+			requestId: plan.requestId, isStreaming: plan.isStreaming, isExplained: parsed.headers.isExplained, isPassThrough: plan.http !== undefined,
 		});
 		let granted: GrantedClaim | undefined;
-		let ended: RequestResult | undefined;
-		let isTaken = false;
-		const gone = this.options.runner.start(plan, {
+		let finalResult: RequestResult | undefined;
+		let isKeyTaken = false;
+		const notifyCallerGone = this.options.runner.start(plan, {
 			claim: async () => {
 				const claimed = await this.options.claims.claim(claimKey(plan.workspace, key!), this.claimOf(plan, parsed));
 				if (claimed.ok) {
 					granted = claimed.value;
-					if (ended) {
+					if (finalResult) {
 						// The request was abandoned while its claim was being written, so nothing ran.
 						void this.options.claims.settle(granted, outcomes.refused);
 					}
@@ -182,18 +182,18 @@
 				return claimed;
 			},
 			taken: ({claim}) => {
-				isTaken = true;
+				isKeyTaken = true;
 				this.answerRepeat(response, plan, claim, parsed);
 			},
 			deliver: async (units, data) => writer.deliver(units, data),
 			finish: result => {
-				ended = result;
+				finalResult = result;
 				limiter.leave();
-				if (!isTaken) {
+				if (!isKeyTaken) {
 					this.options.accounting.record(plan, result);
-					const answer = writer.finish(result);
+					const storedResponse = writer.finish(result);
 					if (granted) {
-						void this.options.claims.settle(granted, result.outcome, answer);
+						void this.options.claims.settle(granted, result.outcome, storedResponse);
 					}
 				}
 			},
@@ -205,12 +205,12 @@
 		});
 		response.on('close', () => {
 			if (!response.writableFinished) {
-				gone();
+				notifyCallerGone();
 			}
 		});
 	}
 
-	private claimOf(plan: RequestPlan, parsed: Parsed): Claim {
+	private claimOf(plan: RequestPlan, parsed: ParsedRequest): Claim {
 		const wallMs = this.options.clock.wallMs();
 		const {http} = plan;
 		const target = http ? `${http.method} ${plan.pipeline}${http.path}` : plan.pipeline;
@@ -220,19 +220,19 @@
 			fingerprint: hashText(`${target}\n${new TextDecoder('latin1').decode(parsed.body)}`),
 			state: 'claimed',
 			claimedAtMs: wallMs,
-			endsByMs: wallMs + (plan.giveUpMs - plan.startMs) + clockMarginMs,
+			endsByMs: wallMs + (plan.giveUpMs - plan.startMs) + maxClockSkewMs,
 		};
 	}
 
 	/** Answers a request whose key was used before with the state or the response of the first request. */
-	private answerRepeat(response: ServerResponse, plan: RequestPlan, claim: Claim, parsed: Parsed): void {
+	private answerRepeat(response: ServerResponse, plan: RequestPlan, claim: Claim, parsed: ParsedRequest): void {
 		const {requestId} = plan;
-		const isOver = this.options.clock.wallMs() > claim.endsByMs;
+		const isExpired = this.options.clock.wallMs() > claim.endsByMs;
 		if (claim.fingerprint !== this.claimOf(plan, parsed).fingerprint) {
 			sendProblem(response, problemOf('idempotencyKeyReused', 'the key was used for another request', {requestId, outcome: outcomes.refused, notRun: true}));
-		} else if (claim.state === 'claimed' && !isOver) {
+		} else if (claim.state === 'claimed' && !isExpired) {
 			sendProblem(response, problemOf('requestInProgress', 'the first request with this key has not ended', {
-				requestId: claim.requestId, retryAfterMs: progressRetryMs,
+				requestId: claim.requestId, retryAfterMs: defaultRetryAfterMs,
 			}));
 		} else if (claim.state === outcomes.completed && claim.answer) {
 			const {status, contentType, text} = claim.answer;
@@ -259,8 +259,8 @@
 	}
 }
 
-function httpCallOf(request: IncomingMessage, {target, body}: Parsed): HttpCall | undefined {
+function httpCallOf(request: IncomingMessage, {target, body}: ParsedRequest): HttpCall | undefined {
 	return target.http && {
-		kind: 'http', method: target.http.method, path: target.http.path || '/', headers: passedHeaders(request), body,
+		kind: 'http', method: target.http.method, path: target.http.path || '/', headers: forwardedHeaders(request), body,
 	};
 }
--- a/src/entry/node/entry-service.ts
+++ b/src/entry/node/entry-service.ts
@@ -22,9 +22,9 @@
 import {OperatorsApi} from './operators-api.js';
 import type {PeerLinks} from './peer-links.js';
 
-const drainCheckMs = 20;
+const drainCheckIntervalMs = 20;
 /** Maximum time for which a stopping entry tries to store the outcomes of requests that run at most once. */
-const settleWaitMs = 5000;
+const settleTimeoutMs = 5000;
 
 /** Endpoints that an entry listens on. */
 export type EntryEndpoints = {readonly wire: Endpoint; readonly callers: Endpoint; readonly operators: Endpoint};
@@ -60,7 +60,7 @@
 
 	private readonly callersServer: Server;
 	private readonly operatorsServer: Server;
-	private isClosedToNew = false;
+	private hasStoppedAccepting = false;
 
 	private constructor(private readonly options: EntryOptions) {
 		this.callersServer = makeHttpServer(options.tls);
@@ -69,7 +69,7 @@
 			...options,
 			incarnation: options.identity.incarnation,
 			notReadyReason: () => this.notReadyReason(),
-			isAnnounced: () => options.lifecycle.phase !== lifecyclePhases.running,
+			isStopAnnounced: () => options.lifecycle.phase !== lifecyclePhases.running,
 		}).attachTo(this.callersServer);
 		OperatorsApi.create({
 			settings: options.settings,
@@ -151,7 +151,7 @@
 	}
 
 	private notReadyReason(): string | undefined {
-		if (this.isClosedToNew) {
+		if (this.hasStoppedAccepting) {
 			return 'this host is stopping';
 		}
 
@@ -169,20 +169,20 @@
 		log.info('The entry is stopping and finishes its requests in flight.', {inFlight: runner.size});
 		await this.options.placement.release();
 		await this.wait(stopGraceMs);
-		this.isClosedToNew = true;
+		this.hasStoppedAccepting = true;
 		while (runner.size > 0) {
-			await this.wait(drainCheckMs);
+			await this.wait(drainCheckIntervalMs);
 		}
 
-		const settleByMs = this.options.clock.nowMs() + settleWaitMs;
+		const settleByMs = this.options.clock.nowMs() + settleTimeoutMs;
 		while (!this.options.claims.isSettled && this.options.clock.nowMs() < settleByMs) {
-			await this.wait(drainCheckMs);
+			await this.wait(drainCheckIntervalMs);
 		}
 
 		// The last responses may still be in transit to their callers.
 		this.callersServer.close();
 		this.callersServer.closeIdleConnections();
-		await this.wait(drainCheckMs);
+		await this.wait(drainCheckIntervalMs);
 	}
 
 	private async wait(delayMs: number): Promise<void> {
--- a/src/entry/node/fleet-links.ts
+++ b/src/entry/node/fleet-links.ts
@@ -13,17 +13,17 @@
 import {WireClient, type WireClientOptions} from '../../wire/node/wire-client.js';
 import type {WireConnection} from '../../wire/node/wire-connection.js';
 import type {FleetRouter} from '../common/fleet-router.js';
-import {pingIntervalMs, shareOf} from '../common/fleet-share.js';
+import {pingIntervalMs, agentsForEntry} from '../common/fleet-share.js';
 
-const listMs = 1000;
+const listIntervalMs = 1000;
 /** Number of ping intervals without a message after which an upstream counts as silent. */
-const missedPings = 3;
+const maxMissedPings = 3;
 /** Shortest time without a message after which a connection is closed. */
-const silenceMs = 4000;
+const minSilenceTimeoutMs = 4000;
 /** Number of consecutive reads of the host list that must lack a host before its link is removed. */
-const missesToDrop = 10;
+const missesBeforeRemoval = 10;
 /** While more than this share of the linked hosts is missing from the list, the list is not trusted and no link is removed. */
-const distrustShare = 0.5;
+const maxMissingShare = 0.5;
 
 /** Dependencies of the links. */
 export type FleetLinksOptions = {
@@ -38,12 +38,12 @@
 	readonly log: Logger;
 };
 
-type Link = {
+type AgentLink = {
 	host: ListedHost;
 	readonly client: WireClient;
 	connection: WireConnection | undefined;
-	lastHeardMs: number;
-	misses: number;
+	lastReceivedMs: number;
+	missCount: number;
 };
 
 /** Maintains the connections to agents. */
@@ -52,23 +52,23 @@
 		return new FleetLinks(options);
 	}
 
-	private readonly links = new Map<string, Link>();
-	private readonly byUpstream = new Map<string, WireConnection>();
-	private readonly owned = DisposableStore.create();
+	private readonly links = new Map<string, AgentLink>();
+	private readonly connectionsByUpstream = new Map<string, WireConnection>();
+	private readonly disposables = DisposableStore.create();
 	private readonly didReceive = Emitter.create<UpstreamMessage>();
-	private readonly didLose = Emitter.create<string>();
+	private readonly didDisconnect = Emitter.create<string>();
 	private readonly didReconnect = Emitter.create<string>();
-	private readonly didReplace = Emitter.create<string>();
-	private readonly didJoin = Emitter.create<string>();
+	private readonly didReplaceIncarnation = Emitter.create<string>();
+	private readonly didBecomeAvailable = Emitter.create<string>();
 	private isDisposed = false;
 
 	private constructor(private readonly options: FleetLinksOptions) {
 		const {clock, random, settings} = options;
-		this.owned.add(setRepeating(clock, () => jitter(random, listMs), async () => this.readList()));
-		this.owned.add(setRepeating(clock, () => jitter(random, this.pingMs, 0.1), () => {
+		this.disposables.add(setRepeating(clock, () => jitter(random, listIntervalMs), async () => this.readList()));
+		this.disposables.add(setRepeating(clock, () => jitter(random, this.pingMs, 0.1), () => {
 			this.ping();
 		}));
-		this.owned.add(settings.onDidChangeRevision(() => {
+		this.disposables.add(settings.onDidChangeRevision(() => {
 			this.applySettings();
 		}));
 	}
@@ -80,7 +80,7 @@
 
 	/** Fires with the id of an upstream when the connection to its agent is lost. */
 	get onDidLose() {
-		return this.didLose.event;
+		return this.didDisconnect.event;
 	}
 
 	/** Fires with the id of an upstream when its agent reconnects in the same incarnation. */
@@ -90,16 +90,16 @@
 
 	/** Fires with the id of an upstream when its agent connects in another incarnation than before. */
 	get onDidReplace() {
-		return this.didReplace.event;
+		return this.didReplaceIncarnation.event;
 	}
 
 	/** Fires with the id of an upstream that may be chosen from now on. */
 	get onDidJoin() {
-		return this.didJoin.event;
+		return this.didBecomeAvailable.event;
 	}
 
 	get connectedCount(): number {
-		return this.byUpstream.size;
+		return this.connectionsByUpstream.size;
 	}
 
 	/**
@@ -109,7 +109,7 @@
 	@returns false if nothing was written.
 	*/
 	send(upstreamId: string, message: Message): boolean {
-		return this.byUpstream.get(upstreamId)?.send(message) ?? false;
+		return this.connectionsByUpstream.get(upstreamId)?.send(message) ?? false;
 	}
 
 	/** Reads the host list now, and opens and closes connections accordingly. */
@@ -121,26 +121,26 @@
 		}
 
 		const agents = hosts.value.filter(host => host.role === roles.agent);
-		const wanted = shareOf(hosts.value, this.options.wire.identity.hostId);
-		const seen = new Set(wanted.map(host => host.hostId));
-		for (const host of wanted) {
+		const assigned = agentsForEntry(hosts.value, this.options.wire.identity.hostId);
+		const assignedIds = new Set(assigned.map(host => host.hostId));
+		for (const host of assigned) {
 			this.options.members.listed(host.hostId, host.state);
 			this.ensureLink(host);
 		}
 
-		this.options.members.setHeartbeatTimeout(missedPings * this.pingMs);
+		this.options.members.setHeartbeatTimeout(maxMissedPings * this.pingMs);
 
-		const listed = new Set(agents.map(host => host.hostId));
-		this.dropUnshared([...this.links.values()].filter(link => listed.has(link.host.hostId) && !seen.has(link.host.hostId)));
-		const missing = [...this.links.values()].filter(link => !listed.has(link.host.hostId));
-		if (missing.length <= this.links.size * distrustShare) {
-			this.dropMissing(missing);
+		const listedIds = new Set(agents.map(host => host.hostId));
+		this.removeUnassigned([...this.links.values()].filter(link => listedIds.has(link.host.hostId) && !assignedIds.has(link.host.hostId)));
+		const missing = [...this.links.values()].filter(link => !listedIds.has(link.host.hostId));
+		if (missing.length <= this.links.size * maxMissingShare) {
+			this.removeMissing(missing);
 		}
 	}
 
 	dispose(): void {
 		this.isDisposed = true;
-		this.owned.dispose();
+		this.disposables.dispose();
 		for (const link of this.links.values()) {
 			link.client.dispose();
 		}
@@ -152,26 +152,26 @@
 
 	private ensureLink(host: ListedHost): void {
 		const link = this.links.get(host.hostId);
-		const isSamePlace = link?.host.address === host.address && link.host.port === host.port;
-		if (link && isSamePlace) {
+		const isSameEndpoint = link?.host.address === host.address && link.host.port === host.port;
+		if (link && isSameEndpoint) {
 			link.host = host;
-			link.misses = 0;
+			link.missCount = 0;
 			return;
 		}
 
 		link?.client.dispose();
 		const client = WireClient.create({address: host.address, port: host.port}, this.options.wire);
-		const created: Link = {
-			host, client, connection: undefined, lastHeardMs: this.now(), misses: 0,
+		const created: AgentLink = {
+			host, client, connection: undefined, lastReceivedMs: this.now(), missCount: 0,
 		};
 		this.links.set(host.hostId, created);
 		client.onDidConnect(connection => {
-			this.connected(created, connection);
+			this.handleConnect(created, connection);
 		});
 	}
 
 	/** Closes the links to hosts that are now assigned to other entries, once no request of this entry runs there. */
-	private dropUnshared(links: readonly Link[]): void {
+	private removeUnassigned(links: readonly AgentLink[]): void {
 		for (const link of links) {
 			const upstreamId = link.connection?.peer?.upstreamId;
 			if (upstreamId === undefined || this.options.router.statsOf(upstreamId)?.inFlight === 0) {
@@ -181,17 +181,17 @@
 		}
 	}
 
-	private dropMissing(missing: readonly Link[]): void {
+	private removeMissing(missing: readonly AgentLink[]): void {
 		for (const link of missing) {
-			link.misses++;
-			if (link.misses >= missesToDrop && !link.connection) {
+			link.missCount++;
+			if (link.missCount >= missesBeforeRemoval && !link.connection) {
 				link.client.dispose();
 				this.links.delete(link.host.hostId);
 			}
 		}
 	}
 
-	private connected(link: Link, connection: WireConnection): void {
+	private handleConnect(link: AgentLink, connection: WireConnection): void {
 		const {members, router, sync, log} = this.options;
 		const {peer} = connection;
 		const upstreamId = peer?.upstreamId;
@@ -201,50 +201,50 @@
 		}
 
 		link.connection = connection;
-		link.lastHeardMs = this.now();
+		link.lastReceivedMs = this.now();
 		const wasKnown = router.statsOf(upstreamId) !== undefined;
 		const isNew = members.connected(peer, this.now());
-		this.byUpstream.set(upstreamId, connection);
+		this.connectionsByUpstream.set(upstreamId, connection);
 		connection.onDidClose(reason => {
-			this.lost(link, connection, reason);
+			this.handleDisconnect(link, connection, reason);
 		});
 		sync.attach(connection);
 		connection.onDidReceive(message => {
-			link.lastHeardMs = this.now();
-			this.receive(upstreamId, connection, message);
+			link.lastReceivedMs = this.now();
+			this.handleMessage(upstreamId, connection, message);
 		});
 		if (isNew) {
 			log.info('Connected to an agent.', {upstream: upstreamId, pool: peer.pool, hall: peer.hall});
 			const member = members.all().find(item => item.upstreamId === upstreamId)!;
-			router.joined(member);
+			router.handleJoin(member);
 			if (wasKnown) {
-				this.didReplace.fire(upstreamId);
+				this.didReplaceIncarnation.fire(upstreamId);
 			}
 		} else {
 			this.didReconnect.fire(upstreamId);
 		}
 
-		this.didJoin.fire(upstreamId);
+		this.didBecomeAvailable.fire(upstreamId);
 	}
 
-	private lost(link: Link, connection: WireConnection, reason: string): void {
+	private handleDisconnect(link: AgentLink, connection: WireConnection, reason: string): void {
 		const {peer} = connection;
 		if (link.connection === connection) {
 			link.connection = undefined;
 		}
 
-		if (peer?.upstreamId !== undefined && this.byUpstream.get(peer.upstreamId) === connection) {
-			this.byUpstream.delete(peer.upstreamId);
+		if (peer?.upstreamId !== undefined && this.connectionsByUpstream.get(peer.upstreamId) === connection) {
+			this.connectionsByUpstream.delete(peer.upstreamId);
 			this.options.members.disconnected(peer.upstreamId, peer.incarnation);
 			if (!this.isDisposed) {
 				this.options.log.warn('The connection to an agent was lost.', {upstream: peer.upstreamId, reason});
 			}
 
-			this.didLose.fire(peer.upstreamId);
+			this.didDisconnect.fire(peer.upstreamId);
 		}
 	}
 
-	private receive(upstreamId: string, connection: WireConnection, message: Message): void {
+	private handleMessage(upstreamId: string, connection: WireConnection, message: Message): void {
 		const {members, router} = this.options;
 		const nowMs = this.now();
 		switch (message.type) {
@@ -281,7 +281,7 @@
 	private ping(): void {
 		const nowMs = this.now();
 		for (const link of this.links.values()) {
-			if (link.connection && nowMs - link.lastHeardMs > Math.max(silenceMs, missedPings * this.pingMs)) {
+			if (link.connection && nowMs - link.lastReceivedMs > Math.max(minSilenceTimeoutMs, maxMissedPings * this.pingMs)) {
 				link.connection.close('silent');
 			} else {
 				link.connection?.send({type: 'ping', nonce: 0, settingsRevision: this.revision});
--- a/src/entry/node/http-common.ts
+++ b/src/entry/node/http-common.ts
@@ -16,14 +16,14 @@
 	maxHeaderBytes: 16 * 1024,
 	headersTimeoutMs: 10_000,
 	bodyTimeoutMs: 20_000,
-	keepAliveMs: 65_000,
+	keepAliveTimeoutMs: 65_000,
 } as const;
 
 const serverOptions: ServerOptions = {
 	maxHeaderSize: httpLimits.maxHeaderBytes,
 	headersTimeout: httpLimits.headersTimeoutMs,
 	requestTimeout: httpLimits.bodyTimeoutMs,
-	keepAliveTimeout: httpLimits.keepAliveMs,
+	keepAliveTimeout: httpLimits.keepAliveTimeoutMs,
 };
 
 /**
@@ -85,14 +85,14 @@
 @returns its bytes, or a problem if the body is too large or incomplete.
 */
 export async function readBody(request: IncomingMessage, maxBytes = httpLimits.maxBodyBytes): Promise<Outcome<Uint8Array, Problem>> {
-	const pieces: Uint8Array[] = [];
+	const chunks: Uint8Array[] = [];
 	let sizeBytes = 0;
 	try {
 		// When reading stops early, the connection must stay open, because the response is still to be sent on it.
-		for await (const piece of request.iterator({destroyOnReturn: false})) {
-			if (piece instanceof Uint8Array) {
-				pieces.push(piece);
-				sizeBytes += piece.byteLength;
+		for await (const chunk of request.iterator({destroyOnReturn: false})) {
+			if (chunk instanceof Uint8Array) {
+				chunks.push(chunk);
+				sizeBytes += chunk.byteLength;
 			}
 
 			if (sizeBytes > maxBytes) {
@@ -105,9 +105,9 @@
 
 	const body = new Uint8Array(sizeBytes);
 	let offset = 0;
-	for (const piece of pieces) {
-		body.set(piece, offset);
-		offset += piece.byteLength;
+	for (const chunk of chunks) {
+		body.set(chunk, offset);
+		offset += chunk.byteLength;
 	}
 
 	return ok(body);
--- a/src/entry/node/operators-api.ts
+++ b/src/entry/node/operators-api.ts
@@ -15,8 +15,8 @@
 	attachApp, hasToken, makeApp, readBody, sendJson, sendProblem,
 } from './http-common.js';
 
-const mostHistory = 1000;
-const mostBodyBytes = 32 * 1024 * 1024;
+const maxHistoryLimit = 1000;
+const maxBodyBytes = 32 * 1024 * 1024;
 const retryAfterMs = 1000;
 
 /** Dependencies of the interface. */
@@ -128,8 +128,8 @@
 		const query = queryOf(request);
 		const after = Number(query.get('after') ?? 0);
 		const limit = Number(query.get('limit') ?? 50);
-		if (!Number.isInteger(after) || after < 0 || !Number.isInteger(limit) || limit < 1 || limit > mostHistory) {
-			sendProblem(response, problemOf('badRequest', `expected whole numbers, limit from 1 to ${mostHistory}`, {place: 'query after, limit'}));
+		if (!Number.isInteger(after) || after < 0 || !Number.isInteger(limit) || limit < 1 || limit > maxHistoryLimit) {
+			sendProblem(response, problemOf('badRequest', `expected whole numbers, limit from 1 to ${maxHistoryLimit}`, {place: 'query after, limit'}));
 			return;
 		}
 
@@ -142,7 +142,7 @@
 	}
 
 	private async postChange(request: IncomingMessage, response: ServerResponse, operator: Operator): Promise<void> {
-		const body = await readChecked(request, changeRequestSchema);
+		const body = await readValidBody(request, changeRequestSchema);
 		if (!body.ok) {
 			sendProblem(response, body.error);
 			return;
@@ -181,8 +181,8 @@
 	return new URL(request.url ?? '/', 'http://localhost').searchParams;
 }
 
-async function readChecked<T>(request: IncomingMessage, schema: z.ZodType<T>): Promise<Outcome<T, Problem>> {
-	const body = await readBody(request, mostBodyBytes);
+async function readValidBody<T>(request: IncomingMessage, schema: z.ZodType<T>): Promise<Outcome<T, Problem>> {
+	const body = await readBody(request, maxBodyBytes);
 	if (!body.ok) {
 		return body;
 	}
--- a/src/entry/node/peer-links.ts
+++ b/src/entry/node/peer-links.ts
@@ -10,10 +10,10 @@
 import type {WireConnection} from '../../wire/node/wire-connection.js';
 import type {WireServer} from '../../wire/node/wire-server.js';
 
-const listMs = 2000;
-const pingMs = 1000;
+const listIntervalMs = 2000;
+const pingIntervalMs = 1000;
 /** Maximum number of entries that this one connects to; a change still reaches all others through these. */
-const mostPeers = 8;
+const maxPeers = 8;
 
 /** Dependencies of the peer links. */
 export type PeerLinksOptions = {
@@ -34,15 +34,15 @@
 
 	private readonly clients = new Map<string, WireClient>();
 	private readonly connections = new Set<WireConnection>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 
 	private constructor(private readonly options: PeerLinksOptions) {
 		const {clock, random, server} = options;
-		this.owned.add(server.onDidConnect(connection => {
-			this.connected(connection);
+		this.disposables.add(server.onDidConnect(connection => {
+			this.handleConnect(connection);
 		}));
-		this.owned.add(setRepeating(clock, () => jitter(random, listMs), async () => this.readList()));
-		this.owned.add(setRepeating(clock, () => jitter(random, pingMs), () => {
+		this.disposables.add(setRepeating(clock, () => jitter(random, listIntervalMs), async () => this.readList()));
+		this.disposables.add(setRepeating(clock, () => jitter(random, pingIntervalMs), () => {
 			this.ping();
 		}));
 	}
@@ -58,35 +58,35 @@
 		const entries = hosts.value.filter(host => host.role === roles.entry && host.hostId !== ownId);
 		// Each host connects to those that follow it in the ring of sorted ids, so that all are reachable with few links per host.
 		const sorted = entries.toSorted((a, b) => a.hostId.localeCompare(b.hostId));
-		const after = sorted.filter(host => host.hostId > ownId);
-		const chosen = [...after, ...sorted.filter(host => host.hostId < ownId)].slice(0, mostPeers);
+		const following = sorted.filter(host => host.hostId > ownId);
+		const chosen = [...following, ...sorted.filter(host => host.hostId < ownId)].slice(0, maxPeers);
 		const wanted = new Map(chosen.map(({address, port}) => [`${address}:${port}`, {address, port}]));
-		for (const [place, client] of this.clients) {
-			if (!wanted.has(place)) {
+		for (const [endpointKey, client] of this.clients) {
+			if (!wanted.has(endpointKey)) {
 				client.dispose();
-				this.clients.delete(place);
+				this.clients.delete(endpointKey);
 			}
 		}
 
-		for (const [place, endpoint] of wanted) {
-			if (!this.clients.has(place)) {
+		for (const [endpointKey, endpoint] of wanted) {
+			if (!this.clients.has(endpointKey)) {
 				const client = WireClient.create(endpoint, this.options.wire);
-				this.clients.set(place, client);
+				this.clients.set(endpointKey, client);
 				client.onDidConnect(connection => {
-					this.connected(connection);
+					this.handleConnect(connection);
 				});
 			}
 		}
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 		for (const client of this.clients.values()) {
 			client.dispose();
 		}
 	}
 
-	private connected(connection: WireConnection): void {
+	private handleConnect(connection: WireConnection): void {
 		this.connections.add(connection);
 		connection.onDidClose(() => {
 			this.connections.delete(connection);
--- a/src/entry/node/answer-writer.ts
+++ b/src/entry/node/response-writer.ts
@@ -8,25 +8,25 @@
 const statusOk = 200;
 
 /** Options of a response. */
-export type AnswerOptions = {
+export type ResponseWriterOptions = {
 	readonly requestId: string;
 	readonly isStreaming: boolean;
 	readonly isExplained: boolean;
 	/** Whether this is the response of an HTTP service, which is passed through unchanged. */
-	readonly isPlain: boolean;
+	readonly isPassThrough: boolean;
 };
 
 /** Writes one response. */
-export class AnswerWriter {
-	static create(response: ServerResponse, options: AnswerOptions): AnswerWriter {
-		return new AnswerWriter(response, options);
+export class ResponseWriter {
+	static create(response: ServerResponse, options: ResponseWriterOptions): ResponseWriter {
+		return new ResponseWriter(response, options);
 	}
 
 	private readonly decoder = new TextDecoder();
 	private isStreamOpen = false;
 	private sequence = 0;
 
-	private constructor(private readonly response: ServerResponse, private readonly options: AnswerOptions) {}
+	private constructor(private readonly response: ServerResponse, private readonly options: ResponseWriterOptions) {}
 
 	/**
 	Writes units of a streamed response.
@@ -37,9 +37,9 @@
 	deliver(units: number, data: Uint8Array): Promise<void> | undefined {
 		this.openStream();
 		const text = this.decoder.decode(data, {stream: true});
-		const isFree = this.writeEvent('chunk', {sequence: this.sequence, units, text});
+		const hasSpace = this.writeEvent('chunk', {sequence: this.sequence, units, text});
 		this.sequence += units;
-		if (isFree || this.response.destroyed) {
+		if (hasSpace || this.response.destroyed) {
 			return undefined;
 		}
 
@@ -60,8 +60,8 @@
 			return undefined;
 		}
 
-		if (this.options.isPlain) {
-			return this.finishPlain(result);
+		if (this.options.isPassThrough) {
+			return this.finishPassThrough(result);
 		}
 
 		const summary = this.summaryOf(result);
@@ -75,15 +75,15 @@
 			this.response.end();
 		} else {
 			this.setHeaders(result);
-			sendJson(this.response, statusOk, {...summary, answer: answerOf(result.body)});
+			sendJson(this.response, statusOk, {...summary, answer: jsonOrTextOf(result.body)});
 		}
 
 		return {
-			status: statusOk, contentType: 'application/json; charset=utf-8', text: JSON.stringify({...summary, answer: answerOf(result.body)}),
+			status: statusOk, contentType: 'application/json; charset=utf-8', text: JSON.stringify({...summary, answer: jsonOrTextOf(result.body)}),
 		};
 	}
 
-	private finishPlain(result: RequestResult): KeptAnswer | undefined {
+	private finishPassThrough(result: RequestResult): KeptAnswer | undefined {
 		const status = result.http?.status ?? statusOk;
 		this.setHeaders(result);
 		const headers = new Headers((result.http?.headers ?? []).filter(({name}) => name !== 'content-length').map(({name, value}) => [name, value]));
@@ -129,7 +129,7 @@
 		this.response.setHeader('x-request-id', this.options.requestId);
 		this.response.setHeader('x-outcome', result.outcome);
 		this.response.setHeader('x-late', String(result.isLate));
-		if (this.options.isPlain) {
+		if (this.options.isPassThrough) {
 			this.response.setHeader('x-upstream', result.stages[0].attempts.at(-1)?.upstreamId ?? '');
 			if (this.options.isExplained) {
 				this.response.setHeader('x-explain', JSON.stringify(result.stages));
@@ -156,7 +156,7 @@
 }
 
 /** Parses the output of the last stage as JSON, or returns its text if it is not JSON. */
-function answerOf(body: Uint8Array): unknown {
+function jsonOrTextOf(body: Uint8Array): unknown {
 	const text = new TextDecoder().decode(body);
 	try {
 		return JSON.parse(text);
--- a/test/world-entry.ts
+++ b/test/world-entry.ts
@@ -93,7 +93,7 @@
 			hostId: upstreamId, incarnation, role: 'agent', hall: 'a', upstreamId, pool: 'pool',
 		}, this.nowMs);
 		if (isNew) {
-			this.router.joined(this.members.all().find(member => member.upstreamId === upstreamId)!);
+			this.router.handleJoin(this.members.all().find(member => member.upstreamId === upstreamId)!);
 		}
 
 		return isNew;
