--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -1,9 +1,9 @@
 /**
-The parts of an entry that calls upstreams itself, in one visible place.
+Composes all components of an entry that calls upstreams itself in one place.
 
-Left out here, because a deployment of this kind gives it from outside: claims (callers repeat a request
-that may run only once only after a promise that it has not run), the settings tree and its order of
-changes (the platform's store accepts declarations), the placement lease and orders, and the agents.
+Omitted, because a deployment of this kind provides them from outside: claims (callers repeat a request that may
+run only once only after a guarantee that it has not run), the settings tree and its order of changes (the
+platform's store accepts declarations), the placement lease and orders, and the agents.
 */
 import type {InjectionToken} from 'tsyringe';
 import {setRepeating} from '../../base/common/clock.js';
@@ -50,43 +50,43 @@
 } from './compose-feeds.js';
 import {registerState} from './compose-state.js';
 import {wireOptionsToken, wireServerToken} from './daemon-tokens.js';
-import {beginComposition, type Composition, type PlatformPorts} from './direct-composition.js';
+import {createComposition, type Composition, type PlatformPorts} from './direct-composition.js';
 import {DirectEntry} from './direct-entry.js';
 
-const enginesToken: InjectionToken<EngineChooser> = Symbol('EngineChooser');
+const engineChooserToken: InjectionToken<EngineChooser> = Symbol('EngineChooser');
 const availabilityToken: InjectionToken<PoolAvailability> = Symbol('PoolAvailability');
 const routerToken: InjectionToken<DirectRouter> = Symbol('DirectRouter');
-const promptNewsToken: InjectionToken<PromptNews> = Symbol('PromptNews');
+const promptUpdatesToken: InjectionToken<PromptNews> = Symbol('PromptNews');
 const linksToken: InjectionToken<DirectLinks> = Symbol('DirectLinks');
 
-/** Part of an upstream's connections that all hosts together use; the rest is for hosts that have just come. */
+/** Share of an upstream's connections that all hosts together use; the remainder is reserved for hosts that have just joined. */
 const usedConnectionShare = 0.8;
-/** Connections this host may always have to one upstream, however many hosts there are. */
-const fewestLanes = 4;
-/** How often the list of servers is looked through for times that are over. */
-const sweepMs = 200;
+/** Connections that this host may always have to one upstream, regardless of the number of hosts. */
+const minConnections = 4;
+/** How often the list of servers is checked for missing servers whose time to come back is over. */
+const sweepIntervalMs = 200;
 
 /**
-Puts an entry together.
-@param settings - of the host.
-@param ports - of the platform's adapter.
-@param writeLine - where log lines go; standard output unless given.
+Composes an entry.
+@param settings - settings of the host.
+@param ports - interfaces of the platform's adapter.
+@param writeLine - receives the log lines; by default they go to standard output.
 @returns the entry, not started.
 */
 export function composeDirectEntry(settings: DirectEntrySettings, ports: PlatformPorts, writeLine?: (line: string) => void): DirectEntry {
-	const composition = beginComposition(settings, ports, writeLine);
+	const composition = createComposition(settings, ports, writeLine);
 	registerPeers(composition);
 	registerState(composition);
 	registerFeeds(composition);
 	registerQuarantine(composition);
 	registerUpstreams(composition);
 	registerPreparation(composition);
-	registerDoor(composition);
-	keepStateAlike(composition);
+	registerIngress(composition);
+	synchronizeState(composition);
 	return makeEntry(composition);
 }
 
-/** The connections to the other hosts. */
+/** Registers the connections to the other hosts. */
 function registerPeers({settings, lifecycle, clock, logOf, register, get, isLeaving}: Composition): void {
 	register(wireOptionsToken, (): WireClientOptions => ({
 		identity: {
@@ -113,7 +113,7 @@
 	})));
 }
 
-/** Which requests end the servers that run them. */
+/** Registers the quarantine, which finds out which requests crash the servers that run them. */
 function registerQuarantine({lifecycle, clock, metrics, logOf, register, get}: Composition): void {
 	register(quarantineToken, () => lifecycle.register(Quarantine.create({
 		serverEnds: lifecycle.register(ServerEnds.create({registry: get(serverRegistryToken), check: ConnectCheck.create(), clock})),
@@ -123,9 +123,9 @@
 	})));
 }
 
-/** Which upstream serves a request, and the calls to it. */
+/** Registers the choice of the upstream that serves a request, and the calls to upstreams. */
 function registerUpstreams({settings, ports, lifecycle, clock, logOf, register, get, hostCount}: Composition): void {
-	register(enginesToken, () => EngineChooser.create(EngineLoads.create()));
+	register(engineChooserToken, () => EngineChooser.create(EngineLoads.create()));
 	register(availabilityToken, () => PoolAvailability.create({
 		registry: get(serverRegistryToken), bounds: get(sendBoundsToken),
 	}));
@@ -136,15 +136,15 @@
 		bounds: settings.repeats,
 		hostCount,
 		newDispatchId: newId,
-		engines: get(enginesToken),
+		engines: get(engineChooserToken),
 		assigned(serverId, prompt) {
-			get(promptNewsToken).add(serverId, prompt);
+			get(promptUpdatesToken).add(serverId, prompt);
 		},
 		quarantine: get(quarantineToken),
 		availability: get(availabilityToken),
 		refusals: get(serverRefusalsToken),
 	}));
-	register(promptNewsToken, () => lifecycle.register(PromptNews.create({
+	register(promptUpdatesToken, () => lifecycle.register(PromptNews.create({
 		hostId: settings.hostId,
 		room: roomOf(settings.capacity),
 		mesh: get(peerMeshToken),
@@ -160,8 +160,8 @@
 		clock,
 		log: logOf('requests'),
 		mostLanes(pool) {
-			const most = get(deploymentBoardToken).current?.pool(pool)?.maxConnections ?? fewestLanes;
-			return Math.max(fewestLanes, Math.floor((most * usedConnectionShare) / hostCount()));
+			const maxConnections = get(deploymentBoardToken).current?.pool(pool)?.maxConnections ?? minConnections;
+			return Math.max(minConnections, Math.floor((maxConnections * usedConnectionShare) / hostCount()));
 		},
 		heard(serverId, dispatchId) {
 			get(routerToken).heard(serverId, dispatchId, clock.nowMs());
@@ -170,7 +170,7 @@
 	})));
 }
 
-/** The batches for the work before requests. */
+/** Registers the batches for the preparation of requests. */
 function registerPreparation({settings, ports, lifecycle, clock, metrics, logOf, register, get, isLeaving, hostCount}: Composition): void {
 	register(batchDeskToken, () => lifecycle.register(BatchDesk.create({
 		hostId: settings.hostId,
@@ -196,8 +196,8 @@
 	})));
 }
 
-/** Where callers and the balancer come. */
-function registerDoor({ports, lifecycle, clock, metrics, logOf, register, get, isLeaving}: Composition): void {
+/** Registers the servers for callers and for the load balancer's readiness checks. */
+function registerIngress({ports, lifecycle, clock, metrics, logOf, register, get, isLeaving}: Composition): void {
 	const notReadyReason = () => {
 		if (isLeaving()) {
 			return 'this host is about to stop';
@@ -239,8 +239,8 @@
 	})));
 }
 
-/** What goes on by itself from the start: hosts tell each other what they know, and what is out of date goes. */
-function keepStateAlike({lifecycle, clock, logOf, get}: Composition): void {
+/** Starts the background work: hosts exchange their state, and outdated state is removed. */
+function synchronizeState({lifecycle, clock, logOf, get}: Composition): void {
 	lifecycle.register(StateExchange.create({
 		mesh: get(peerMeshToken),
 		board: get(deploymentBoardToken),
@@ -262,14 +262,14 @@
 	lifecycle.register(LeavingNews.create({leaving: get(leavingServersToken), mesh: get(peerMeshToken)}));
 	lifecycle.register(LimitNews.create({limits: get(serverLimitsToken), mesh: get(peerMeshToken), clock}));
 	lifecycle.register(QuarantineNews.create({quarantine: get(quarantineToken), mesh: get(peerMeshToken), clock}));
-	lifecycle.register(setRepeating(clock, () => sweepMs, () => {
+	lifecycle.register(setRepeating(clock, () => sweepIntervalMs, () => {
 		get(serverRegistryToken).tick(clock.nowMs());
 	}));
-	// Made at once, so that peers' news are heard before the first request.
-	get(promptNewsToken);
+	// Created at once, so that peers' updates are received before the first request.
+	get(promptUpdatesToken);
 }
 
-/** The entry itself; asking for its parts makes them. */
+/** Creates the entry; resolving its components creates them. */
 function makeEntry({settings, lifecycle, clock, metrics, logOf, get}: Composition): DirectEntry {
 	return DirectEntry.create({
 		settings,
@@ -279,7 +279,7 @@
 		metrics,
 		ingress: get(ingressToken),
 		mesh: get(peerMeshToken),
-		desk: get(batchDeskToken),
+		batchHandler: get(batchDeskToken),
 		wire: get(wireServerToken),
 		feeds: [get(declarationFeedToken), get(serverFeedToken)],
 	});
--- a/src/daemon/node/load-host-settings.ts
+++ b/src/daemon/node/load-host-settings.ts
@@ -1,4 +1,4 @@
-/** Reads and checks a host's settings, with the secrets they name, before anything starts. */
+/** Reads and validates a host's settings and the secrets they refer to, before anything starts. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import {messageOf, type InputProblem} from '../../base/common/errors.js';
@@ -10,9 +10,9 @@
 	hostSettingsSchema, type HostSettings, type SecretSource, type TlsFiles,
 } from '../common/host-settings.js';
 
-const shortestKey = 16;
+const minKeyLength = 16;
 
-/** Secrets and certificates that the settings name. */
+/** Secrets and certificates that the settings refer to. */
 export type HostSecrets = {
 	readonly wireKeys: readonly WireKey[];
 	readonly platformToken: string;
@@ -24,7 +24,7 @@
 /** Everything a host needs to start. */
 export type LoadedHost = {readonly host: HostSettings; readonly secrets: HostSecrets};
 
-/** Reads secrets, and collects what is wrong with them. */
+/** Reads secrets, and collects the problems found. */
 class SecretReader {
 	readonly problems: InputProblem[] = [];
 
@@ -33,7 +33,7 @@
 	read(secret: SecretSource, path: string): string {
 		const value = secret.env === undefined ? this.readFile(secret.file ?? '', `${path}/file`).trim() : process.env[secret.env];
 		if (value === undefined || value === '') {
-			this.add(path, secret.env === undefined ? 'the file is empty' : `environment variable ${secret.env} is not set`);
+			this.addProblem(path, secret.env === undefined ? 'the file is empty' : `environment variable ${secret.env} is not set`);
 		}
 
 		return value ?? '';
@@ -47,7 +47,7 @@
 		};
 	}
 
-	add(path: string, message: string): void {
+	addProblem(path: string, message: string): void {
 		this.problems.push({code: 'badSecret', message, place: {source: this.source, path}});
 	}
 
@@ -55,7 +55,7 @@
 		try {
 			return readFileSync(file, 'utf8');
 		} catch (error) {
-			this.add(path, messageOf(error));
+			this.addProblem(path, messageOf(error));
 			return '';
 		}
 	}
@@ -64,7 +64,7 @@
 /**
 Reads a host's settings.
 @param file - path of the file, in JSON with comments.
-@returns the checked settings, or everything wrong with them.
+@returns the validated settings and their secrets, or all problems found.
 */
 export function loadHostSettings(file: string): Outcome<LoadedHost, InputProblem[]> {
 	let bytes: Uint8Array;
@@ -88,8 +88,8 @@
 	const wireKeys = host.wire.keys.map(({keyId, secret}, index) => {
 		const path = `/wire/keys/${index}/secret`;
 		const value = reader.read(secret, path);
-		if (value !== '' && value.length < shortestKey) {
-			reader.add(path, `a key has at least ${shortestKey} characters`);
+		if (value !== '' && value.length < minKeyLength) {
+			reader.addProblem(path, `the key must have at least ${minKeyLength} characters`);
 		}
 
 		return {keyId, secret: value};
--- a/src/entry/common/fleet-router.ts
+++ b/src/entry/common/fleet-router.ts
@@ -1,4 +1,4 @@
-/** Routing of one entry: joins membership, statistics, estimates and budgets for the request machine. */
+/** Routing of one entry: combines membership, statistics, estimates and budgets for the request state machine. */
 import {type MemberTable, type Member} from '../../membership/common/member-table.js';
 import type {Attempt} from '../../request/common/attempt.js';
 import {attemptStates, type StagePlan} from '../../request/common/request-plan.js';
@@ -14,26 +14,26 @@
 import {UpstreamStats} from '../../routing/common/upstream-stats.js';
 import type {UpstreamLoad} from '../../wire/common/messages.js';
 
-const defaultAnswerMs = 50;
-/** How long the shortest wait of a pool is taken as known. */
-const waitLifeMs = 25;
-/** How long the candidates of a pool are taken as known while no member changes. */
-const viewLifeMs = 100;
-/** Upstream failures that say something about the upstream, not about the request. */
-const innocentReasons = new Set(['lostRace', 'abandoned']);
+const defaultRunMs = 50;
+/** Time for which the cached shortest wait of a pool is used. */
+const waitCacheMs = 25;
+/** Time for which the cached candidates of a pool are used while no member changes. */
+const viewCacheMs = 100;
+/** Reasons for the end of an attempt that say nothing about the upstream, so that the attempt is not counted in its statistics. */
+const neutralReasons = new Set(['lostRace', 'abandoned']);
 
-/** What the router is made of; the policies may be exchanged for baselines. */
+/** Dependencies of the router; the policies can be replaced by baselines. */
 export type FleetRouterOptions = {
 	readonly hall: string;
 	readonly members: MemberTable;
 	readonly chooser: UpstreamChooser;
 	readonly prefixes: PrefixIndex;
 	readonly newDispatchId: () => string;
-	/** Whether outliers are taken out and requests refused by predicted time. */
+	/** Whether outliers are ejected and requests refused because of their predicted time. */
 	readonly isAdaptive: boolean;
 };
 
-/** What is known of a pool for a short while. */
+/** State of a pool, cached for a short time. */
 type PoolView = {
 	readonly version: number;
 	readonly atMs: number;
@@ -42,15 +42,15 @@
 	readonly medianSlowness: number | undefined;
 };
 
-/** Routes for one entry. */
+/** Routes the requests of one entry. */
 export class FleetRouter implements RequestRouter {
 	static create(options: FleetRouterOptions): FleetRouter {
 		return new FleetRouter(options);
 	}
 
-	/** From the first dispatch to the end of a stage, waits and retries included. */
+	/** Time from the first dispatch to the end of a stage, including waits and retries. */
 	readonly estimates = StageEstimates.create();
-	/** Time on the upstream alone. */
+	/** Time on the upstream only. */
 	private readonly runTimes = StageEstimates.create();
 	private readonly views = new Map<string, PoolView>();
 	private readonly waits = new Map<string, {readonly waitMs: number; readonly atMs: number}>();
@@ -61,26 +61,26 @@
 
 	private constructor(private readonly options: FleetRouterOptions) {}
 
-	/** Agents say themselves when they take more. */
+	/** Not known here: agents themselves report when they accept more work. */
 	retryAfterMs(): undefined {
 		return undefined;
 	}
 
-	/** A stage may always wait for an agent. */
+	/** Never given: a stage may always wait for an agent. */
 	unavailability(): undefined {
 		return undefined;
 	}
 
-	/** An agent stands between a request and its upstream; which requests end upstreams is not known here. */
+	/** Always clear: the entry can't know which requests crash upstreams, because an agent runs between it and the upstream. */
 	standingOf(): Standing {
 		return clearStanding;
 	}
 
 	/**
-	An incarnation was met for the first time: what was known of the old one is forgotten.
+	Handles the first connection of an incarnation: discards what was known of the previous one.
 	@param member - the upstream.
 	*/
-	joined(member: Member): void {
+	handleJoin(member: Member): void {
 		this.candidates.set(member.upstreamId, {
 			upstreamId: member.upstreamId, hall: member.hall, stats: UpstreamStats.create(), joinedMs: member.joinedMs,
 		});
@@ -88,10 +88,10 @@
 	}
 
 	/**
-	A report or a reply told the load of an upstream.
-	@param upstreamId - which.
-	@param load - as told.
-	@param nowMs - the time.
+	Records the load of an upstream, as given in a report or a reply.
+	@param upstreamId - id of the upstream.
+	@param load - the load, if the message gave one.
+	@param nowMs - the current time.
 	*/
 	observeLoad(upstreamId: string, load: UpstreamLoad | undefined, nowMs: number): void {
 		if (load) {
@@ -99,7 +99,7 @@
 		}
 	}
 
-	/** @returns what is known of an upstream. */
+	/** @returns the statistics of an upstream, or undefined if it is unknown. */
 	statsOf(upstreamId: string): UpstreamStats | undefined {
 		return this.candidates.get(upstreamId)?.stats;
 	}
@@ -110,17 +110,17 @@
 
 	choose(stage: StagePlan, excluded: ReadonlySet<string>, prefixHash: number, nowMs: number): Choice | undefined {
 		const {usable} = this.viewOf(stage.pool, nowMs);
-		const left = excluded.size === 0 ? usable : makeCandidateSet(usable.list.filter(candidate => !excluded.has(candidate.upstreamId)));
-		if (left.list.length === 0) {
+		const remaining = excluded.size === 0 ? usable : makeCandidateSet(usable.list.filter(candidate => !excluded.has(candidate.upstreamId)));
+		if (remaining.list.length === 0) {
 			return undefined;
 		}
 
 		const {model, adapter} = stage.policy;
-		return this.options.chooser.choose(left, {
+		return this.options.chooser.choose(remaining, {
 			hall: this.options.hall,
 			...(stage.kind === 'generate' && {model, adapter}),
 			prefixHash: stage.kind === 'generate' ? prefixHash : 0,
-			expectedMs: this.runTimes.typicalMs(stage.key) ?? defaultAnswerMs,
+			expectedMs: this.runTimes.typicalMs(stage.key) ?? defaultRunMs,
 			slots: stage.slots,
 		}, nowMs);
 	}
@@ -135,7 +135,7 @@
 
 	hedgeDelayMs(stage: StagePlan): number | undefined {
 		const {hedgeShare, attainmentWeight} = stage.policy;
-		// Worth its cost only where attainment counts for more than cost.
+		// A hedge is worth its cost only where attainment is weighted higher than cost.
 		return hedgeShare > 0 && attainmentWeight > 0.5 ? this.estimates.slowMs(stage.key) : undefined;
 	}
 
@@ -181,7 +181,7 @@
 
 		candidate.stats.inFlight = Math.max(0, candidate.stats.inFlight - 1);
 		const isFailure = attempt.state === attemptStates.failed || attempt.state === attemptStates.unknown;
-		if (innocentReasons.has(attempt.reason) || attempt.state === attemptStates.notRun) {
+		if (neutralReasons.has(attempt.reason) || attempt.state === attemptStates.notRun) {
 			return;
 		}
 
@@ -199,7 +199,7 @@
 	}
 
 	didBegin(): void {
-		// Agents tell how long a call waited for its upstream.
+		// Nothing to record: agents report how long a call waited for its upstream.
 	}
 
 	didComplete(stage: StagePlan, tookMs: number): void {
@@ -210,11 +210,11 @@
 		return this.options.newDispatchId();
 	}
 
-	/** Looked up once in a while for each pool: a door must not cost more the larger the pool is. */
+	/** Returns the shortest wait of a pool, cached for a short time so that the cost of admission does not grow with the pool. */
 	private shortestWaitMs(stage: StagePlan, nowMs: number): number {
-		const known = this.waits.get(stage.pool);
-		if (known && nowMs - known.atMs < waitLifeMs) {
-			return known.waitMs;
+		const cached = this.waits.get(stage.pool);
+		if (cached && nowMs - cached.atMs < waitCacheMs) {
+			return cached.waitMs;
 		}
 
 		const typicalMs = this.runTimes.typicalMs(stage.key) ?? 0;
@@ -224,12 +224,12 @@
 		return waitMs;
 	}
 
-	/** What is known of a pool, looked up again when a member changes, and from time to time for silence. */
+	/** Returns the cached state of a pool; recomputed when a member changes, and periodically because silence changes no member. */
 	private viewOf(pool: string, nowMs: number): PoolView {
 		const {members, isAdaptive} = this.options;
-		const known = this.views.get(pool);
-		if (known?.version === members.version && nowMs - known.atMs < viewLifeMs) {
-			return known;
+		const cached = this.views.get(pool);
+		if (cached?.version === members.version && nowMs - cached.atMs < viewCacheMs) {
+			return cached;
 		}
 
 		const all = members.candidates(pool, nowMs).flatMap(member => this.candidates.get(member.upstreamId) ?? []);
--- a/src/entry/node/caller-request.ts
+++ b/src/entry/node/caller-request.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's HTTP request into what it asks for. */
+/** Parses and validates a caller's HTTP request. */
 import type {IncomingMessage} from 'node:http';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import {readJsonc} from '../../base/common/jsonc.js';
@@ -7,11 +7,11 @@
 import {problemOf, type Problem} from '../common/problems.js';
 import {headerOf} from './http-common.js';
 
-const mostDeadlineMs = 600_000;
-const longestKey = 128;
+const maxDeadlineMs = 600_000;
+const maxKeyLength = 128;
 
-/** Headers that are ours, or that speak of the caller's connection, and are not passed on to a service. */
-const ownHeaders = new Set([
+/** Headers that are not forwarded to a service: those addressed to this system, and those about the caller's connection. */
+const unforwardedHeaders = new Set([
 	'host',
 	'connection',
 	'keep-alive',
@@ -31,7 +31,7 @@
 	'x-request-id',
 ]);
 
-/** What the headers of a request say. */
+/** Parsed headers of a request. */
 export type CallerHeaders = {
 	readonly requestId?: string;
 	readonly deadlineMs?: number;
@@ -42,26 +42,26 @@
 };
 
 /**
-Reads the headers that callers may set.
+Parses the headers that callers may set.
 @param request - the request.
-@returns what they say, or the first that is wrong.
+@returns the parsed headers, or a problem that describes the first invalid one.
 */
 export function readCallerHeaders(request: IncomingMessage): Outcome<CallerHeaders, Problem> {
 	const deadline = headerOf(request, 'deadline-ms');
 	const deadlineMs = deadline === undefined ? undefined : Number(deadline);
-	if (deadlineMs !== undefined && !(Number.isInteger(deadlineMs) && deadlineMs > 0 && deadlineMs <= mostDeadlineMs)) {
-		return fail(problemOf('badRequest', `expected whole milliseconds from 1 to ${mostDeadlineMs}`, {place: 'header Deadline-Ms'}));
+	if (deadlineMs !== undefined && !(Number.isInteger(deadlineMs) && deadlineMs > 0 && deadlineMs <= maxDeadlineMs)) {
+		return fail(problemOf('badRequest', `expected whole milliseconds from 1 to ${maxDeadlineMs}`, {place: 'header Deadline-Ms'}));
 	}
 
 	for (const name of ['idempotency-key', 'x-request-id']) {
 		const value = headerOf(request, name);
-		if (value !== undefined && !isKey(value)) {
-			return fail(problemOf('badRequest', `expected 1 to ${longestKey} visible ASCII characters`, {place: `header ${name}`}));
+		if (value !== undefined && !isValidKey(value)) {
+			return fail(problemOf('badRequest', `expected 1 to ${maxKeyLength} visible ASCII characters`, {place: `header ${name}`}));
 		}
 	}
 
-	const mark = headerOf(request, 'not-repeatable') ?? 'false';
-	if (mark !== 'true' && mark !== 'false') {
+	const notRepeatable = headerOf(request, 'not-repeatable') ?? 'false';
+	if (notRepeatable !== 'true' && notRepeatable !== 'false') {
 		return fail(problemOf('badRequest', 'expected "true" or "false"', {place: 'header Not-Repeatable'}));
 	}
 
@@ -69,20 +69,20 @@
 		requestId: headerOf(request, 'x-request-id'),
 		deadlineMs,
 		idempotencyKey: headerOf(request, 'idempotency-key'),
-		isRepeatable: mark === 'false',
+		isRepeatable: notRepeatable === 'false',
 		isStreaming: (headerOf(request, 'accept') ?? '').includes('text/event-stream'),
 		isExplained: headerOf(request, 'explain') === 'true',
 	});
 }
 
-function isKey(value: string): boolean {
-	return value.length <= longestKey && /^[!-~]+$/v.test(value);
+function isValidKey(value: string): boolean {
+	return value.length <= maxKeyLength && /^[!-~]+$/v.test(value);
 }
 
 /**
-Checks that a body is JSON.
-@param body - its bytes.
-@returns nothing, or what is wrong and where.
+Checks that a request body is valid JSON.
+@param body - bytes of the body.
+@returns undefined if it is valid, else a problem that says what is wrong and where.
 */
 export function checkJsonBody(body: Uint8Array): Problem | undefined {
 	const document = readJsonc(body, 'body', true);
@@ -95,12 +95,12 @@
 }
 
 /**
-Lists the headers that are passed on to a plain service.
+Lists the headers that are forwarded to an HTTP service.
 @param request - the request.
 */
-export function passedHeaders(request: IncomingMessage): Header[] {
+export function forwardedHeaders(request: IncomingMessage): Header[] {
 	return Object.entries(request.headers).flatMap(([name, value]) => {
 		const values = Array.isArray(value) ? value : [value ?? ''];
-		return ownHeaders.has(name) ? [] : values.map(item => ({name, value: item}));
+		return unforwardedHeaders.has(name) ? [] : values.map(item => ({name, value: item}));
 	});
 }
--- a/src/entry/node/peer-links.ts
+++ b/src/entry/node/peer-links.ts
@@ -1,4 +1,4 @@
-/** Connections between entries: settings and their revisions, nothing else. */
+/** Connections between entries, which carry only settings and their revisions. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {jitter, type Random} from '../../base/common/random.js';
@@ -10,12 +10,12 @@
 import type {WireConnection} from '../../wire/node/wire-connection.js';
 import type {WireServer} from '../../wire/node/wire-server.js';
 
-const listMs = 2000;
-const pingMs = 1000;
-/** More peers than this are not connected: a change still reaches everyone through those that are. */
-const mostPeers = 8;
+const listIntervalMs = 2000;
+const pingIntervalMs = 1000;
+/** Maximum number of entries that this one connects to; a change still reaches all others through these. */
+const maxPeers = 8;
 
-/** What the peer links need. */
+/** Dependencies of the peer links. */
 export type PeerLinksOptions = {
 	readonly hosts: HostList;
 	readonly settings: SettingsService;
@@ -26,7 +26,7 @@
 	readonly random: Random;
 };
 
-/** Keeps connections to other entries. */
+/** Maintains the connections to other entries. */
 export class PeerLinks implements Disposable {
 	static create(options: PeerLinksOptions): PeerLinks {
 		return new PeerLinks(options);
@@ -34,20 +34,20 @@
 
 	private readonly clients = new Map<string, WireClient>();
 	private readonly connections = new Set<WireConnection>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 
 	private constructor(private readonly options: PeerLinksOptions) {
 		const {clock, random, server} = options;
-		this.owned.add(server.onDidConnect(connection => {
-			this.connected(connection);
+		this.disposables.add(server.onDidConnect(connection => {
+			this.handleConnect(connection);
 		}));
-		this.owned.add(setRepeating(clock, () => jitter(random, listMs), async () => this.readList()));
-		this.owned.add(setRepeating(clock, () => jitter(random, pingMs), () => {
+		this.disposables.add(setRepeating(clock, () => jitter(random, listIntervalMs), async () => this.readList()));
+		this.disposables.add(setRepeating(clock, () => jitter(random, pingIntervalMs), () => {
 			this.ping();
 		}));
 	}
 
-	/** Reads the host list now, and connects to entries it names. */
+	/** Reads the host list now, and opens and closes connections to the listed entries accordingly. */
 	async readList(): Promise<void> {
 		const hosts = await this.options.hosts.list();
 		if (!hosts.ok) {
@@ -56,37 +56,37 @@
 
 		const {hostId: ownId} = this.options.wire.identity;
 		const entries = hosts.value.filter(host => host.role === roles.entry && host.hostId !== ownId);
-		// Each host takes the ones after it in the circle of ids, so that all are reached through few links each.
+		// Each host connects to those that follow it in the ring of sorted ids, so that all are reachable with few links per host.
 		const sorted = entries.toSorted((a, b) => a.hostId.localeCompare(b.hostId));
-		const after = sorted.filter(host => host.hostId > ownId);
-		const chosen = [...after, ...sorted.filter(host => host.hostId < ownId)].slice(0, mostPeers);
+		const following = sorted.filter(host => host.hostId > ownId);
+		const chosen = [...following, ...sorted.filter(host => host.hostId < ownId)].slice(0, maxPeers);
 		const wanted = new Map(chosen.map(({address, port}) => [`${address}:${port}`, {address, port}]));
-		for (const [place, client] of this.clients) {
-			if (!wanted.has(place)) {
+		for (const [endpointKey, client] of this.clients) {
+			if (!wanted.has(endpointKey)) {
 				client.dispose();
-				this.clients.delete(place);
+				this.clients.delete(endpointKey);
 			}
 		}
 
-		for (const [place, endpoint] of wanted) {
-			if (!this.clients.has(place)) {
+		for (const [endpointKey, endpoint] of wanted) {
+			if (!this.clients.has(endpointKey)) {
 				const client = WireClient.create(endpoint, this.options.wire);
-				this.clients.set(place, client);
+				this.clients.set(endpointKey, client);
 				client.onDidConnect(connection => {
-					this.connected(connection);
+					this.handleConnect(connection);
 				});
 			}
 		}
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 		for (const client of this.clients.values()) {
 			client.dispose();
 		}
 	}
 
-	private connected(connection: WireConnection): void {
+	private handleConnect(connection: WireConnection): void {
 		this.connections.add(connection);
 		connection.onDidClose(() => {
 			this.connections.delete(connection);
--- a/src/entry/node/answer-writer.ts
+++ b/src/entry/node/response-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the answer of one request to its caller: whole, streamed, or an error. */
+/** Writes the response to one request to its caller: complete, streamed, or an error. */
 import type {ServerResponse} from 'node:http';
 import type {KeptAnswer} from '../../request/common/claim.js';
 import {outcomes, type RequestResult} from '../../request/common/request-plan.js';
@@ -7,39 +7,39 @@
 
 const statusOk = 200;
 
-/** How an answer is written. */
-export type AnswerOptions = {
+/** Options of a response. */
+export type ResponseWriterOptions = {
 	readonly requestId: string;
 	readonly isStreaming: boolean;
 	readonly isExplained: boolean;
-	/** Whether the answer of a plain service is passed on as it is. */
-	readonly isPlain: boolean;
+	/** Whether this is the response of an HTTP service, which is passed through unchanged. */
+	readonly isPassThrough: boolean;
 };
 
-/** Writes one answer. */
-export class AnswerWriter {
-	static create(response: ServerResponse, options: AnswerOptions): AnswerWriter {
-		return new AnswerWriter(response, options);
+/** Writes one response. */
+export class ResponseWriter {
+	static create(response: ServerResponse, options: ResponseWriterOptions): ResponseWriter {
+		return new ResponseWriter(response, options);
 	}
 
 	private readonly decoder = new TextDecoder();
 	private isStreamOpen = false;
 	private sequence = 0;
 
-	private constructor(private readonly response: ServerResponse, private readonly options: AnswerOptions) {}
+	private constructor(private readonly response: ServerResponse, private readonly options: ResponseWriterOptions) {}
 
 	/**
-	Writes units of a streamed answer.
-	@param units - how many.
-	@param data - their bytes.
-	@returns ends when more can be taken, or nothing if at once.
+	Writes units of a streamed response.
+	@param units - number of units.
+	@param data - bytes of the units.
+	@returns a promise that resolves when the response accepts more data; undefined if it does so at once.
 	*/
 	deliver(units: number, data: Uint8Array): Promise<void> | undefined {
 		this.openStream();
 		const text = this.decoder.decode(data, {stream: true});
-		const isFree = this.writeEvent('chunk', {sequence: this.sequence, units, text});
+		const hasSpace = this.writeEvent('chunk', {sequence: this.sequence, units, text});
 		this.sequence += units;
-		if (isFree || this.response.destroyed) {
+		if (hasSpace || this.response.destroyed) {
 			return undefined;
 		}
 
@@ -50,9 +50,9 @@
 	}
 
 	/**
-	Writes the end.
-	@param result - how the request ended.
-	@returns what may be kept for a repeat.
+	Writes the remainder and the end of the response.
+	@param result - result of the request.
+	@returns the response to store for repeats of the request; undefined if the request did not complete.
 	*/
 	finish(result: RequestResult): KeptAnswer | undefined {
 		if (result.outcome !== outcomes.completed) {
@@ -60,8 +60,8 @@
 			return undefined;
 		}
 
-		if (this.options.isPlain) {
-			return this.finishPlain(result);
+		if (this.options.isPassThrough) {
+			return this.finishPassThrough(result);
 		}
 
 		const summary = this.summaryOf(result);
@@ -75,15 +75,15 @@
 			this.response.end();
 		} else {
 			this.setHeaders(result);
-			sendJson(this.response, statusOk, {...summary, answer: answerOf(result.body)});
+			sendJson(this.response, statusOk, {...summary, answer: jsonOrTextOf(result.body)});
 		}
 
 		return {
-			status: statusOk, contentType: 'application/json; charset=utf-8', text: JSON.stringify({...summary, answer: answerOf(result.body)}),
+			status: statusOk, contentType: 'application/json; charset=utf-8', text: JSON.stringify({...summary, answer: jsonOrTextOf(result.body)}),
 		};
 	}
 
-	private finishPlain(result: RequestResult): KeptAnswer | undefined {
+	private finishPassThrough(result: RequestResult): KeptAnswer | undefined {
 		const status = result.http?.status ?? statusOk;
 		this.setHeaders(result);
 		const headers = new Headers((result.http?.headers ?? []).filter(({name}) => name !== 'content-length').map(({name, value}) => [name, value]));
@@ -97,7 +97,7 @@
 	private finishFailed(result: RequestResult): void {
 		const problem = problemOfResult(this.options.requestId, result);
 		if (this.isStreamOpen) {
-			// Part of the answer is out: the error takes the place of the end mark.
+			// Part of the response was already sent, so an error event replaces the end event.
 			this.writeEvent('error', problem);
 			this.response.end();
 		} else {
@@ -129,7 +129,7 @@
 		this.response.setHeader('x-request-id', this.options.requestId);
 		this.response.setHeader('x-outcome', result.outcome);
 		this.response.setHeader('x-late', String(result.isLate));
-		if (this.options.isPlain) {
+		if (this.options.isPassThrough) {
 			this.response.setHeader('x-upstream', result.stages[0].attempts.at(-1)?.upstreamId ?? '');
 			if (this.options.isExplained) {
 				this.response.setHeader('x-explain', JSON.stringify(result.stages));
@@ -155,8 +155,8 @@
 	return Math.round(valueMs * 10) / 10;
 }
 
-/** JSON where the last stage gave JSON, else its text. */
-function answerOf(body: Uint8Array): unknown {
+/** Parses the output of the last stage as JSON, or returns its text if it is not JSON. */
+function jsonOrTextOf(body: Uint8Array): unknown {
 	const text = new TextDecoder().decode(body);
 	try {
 		return JSON.parse(text);
