--- a/src/request/common/attempt-list.ts
+++ b/src/request/common/attempt-list.ts
@@ -3,7 +3,7 @@
 import type {AttemptRules} from './attempt-rules.js';
 import {attemptStates} from './request-plan.js';
 
-/** Holds attempts in the order in which they were sent. */
+/** Holds the attempts at a stage in the order in which they were sent. */
 export class AttemptList {
 	static create(): AttemptList {
 		return new AttemptList();
@@ -34,12 +34,12 @@
 		return this.all.some(attempt => attempt.state !== attemptStates.sent && attempt.state !== attemptStates.notRun);
 	}
 
-	/** Whether the end of any attempt is not known. */
+	/** Whether the result of any ended attempt is unknown. */
 	get hasUnknown(): boolean {
 		return this.all.some(attempt => attempt.state === attemptStates.unknown);
 	}
 
-	/** Upstreams that were tried. */
+	/** Upstreams to which an attempt was sent. */
 	get upstreamIds(): Set<string> {
 		return new Set(this.all.map(attempt => attempt.options.upstreamId));
 	}
@@ -49,15 +49,15 @@
 	}
 
 	/**
-	Tells whether no other attempt is live.
-	@param attempt - the one that may be.
+	Returns whether no attempt other than the given one is live.
+	@param attempt - the attempt to leave out of account.
 	*/
 	isAlone(attempt: Attempt): boolean {
 		return this.all.every(other => other === attempt || !other.isLive);
 	}
 
 	/**
-	Gives the attempts at one upstream that have not ended.
+	Returns the attempts at one upstream that have not ended.
 	@param upstreamId - the upstream.
 	*/
 	liveAt(upstreamId: string): Attempt[] {
@@ -65,17 +65,17 @@
 	}
 
 	/**
-	Counts the attempts that count against the most a stage may have.
-	@param rules - whether refusals are among them.
+	Returns the number of attempts that count against the maximum for a stage.
+	@param rules - determines whether refusals count.
 	*/
 	countUnder({countsRefusals}: AttemptRules): number {
 		return countsRefusals ? this.count : this.all.filter(attempt => attempt.mayHaveRun).length;
 	}
 
 	/**
-	Tells whether there may be no further attempt.
-	@param rules - how refusals count.
-	@param mostAttempts - how many a stage may have.
+	Returns whether the stage may have no further attempt.
+	@param rules - determines how refusals count.
+	@param mostAttempts - the maximum number of attempts at a stage.
 	*/
 	areSpent(rules: AttemptRules, mostAttempts: number): boolean {
 		const refusals = this.all.filter(attempt => !attempt.mayHaveRun).length;
@@ -89,7 +89,8 @@
 
 	/**
 	Finds an attempt that has not ended.
-	@param dispatchId - its id.
+	@param dispatchId - the id of its dispatch.
+	@returns the attempt, or `undefined` if there is none or it has ended.
 	*/
 	findLive(dispatchId: string): Attempt | undefined {
 		const attempt = this.byId.get(dispatchId);
--- a/src/request/common/attempt-rules.ts
+++ b/src/request/common/attempt-rules.ts
@@ -1,29 +1,29 @@
-/** What differs between attempts that an agent gates and attempts that go straight to an upstream. */
+/** The rules that differ between attempts sent through an agent and attempts sent directly to an upstream. */
 
-/** How attempts are counted, retried and given up. */
+/** Determines how attempts are counted, retried, timed out and cancelled. */
 export type AttemptRules = {
-	/** Whether a send that was refused counts as one of the attempts a stage may have. */
+	/** Whether a refused attempt counts against the maximum number of attempts at a stage. */
 	readonly countsRefusals: boolean;
-	/** Refusals after which the request is refused; without agents each one also needs the budget of repeats. */
+	/** Number of refusals after which the request is refused; without agents the retry after each one also needs retry budget. */
 	readonly mostRefusals: number;
-	/** Whether a refused send is repeated only within the budget of repeats. */
+	/** Whether the retry of a refused attempt is charged to the retry budget. */
 	readonly paysForRefusals: boolean;
-	/** Whether an answer that tells an error is tried again where the request may be repeated. */
+	/** Whether a repeatable request is retried after a complete answer that reports an error. */
 	readonly retriesErrorAnswers: boolean;
-	/** Whether silence counts from the send, not only from the first sign of a start. */
+	/** Whether the timeout runs from the time of sending, rather than from the first message that shows a start. */
 	readonly timesFromSend: boolean;
-	/** Whether work that may not be repeated is cancelled as well when its caller leaves. */
+	/** Whether work that may not be repeated is also cancelled when its caller disconnects. */
 	readonly cancelsWithCaller: boolean;
 };
 
-/** Behind agents: a refusal is free, and work that may not be repeated is followed to its end. */
+/** Rules for upstreams behind agents: retrying a refusal is free, and work that may not be repeated is followed to its end. */
 export const agentRules: AttemptRules = {
 	countsRefusals: true, mostRefusals: Infinity, paysForRefusals: false, retriesErrorAnswers: false, timesFromSend: false, cancelsWithCaller: false,
 };
 
 /**
-Straight to upstreams: each send loads a server that may be full, and nobody asks later what became of the work.
-Three refusals in a row mean that a pool is full, not one server.
+Rules for attempts sent directly to upstreams: each attempt loads a server that may be full, and nobody queries the outcome
+of the work later. Three refusals in a row show that the pool is full, not only one server.
 */
 export const directRules: AttemptRules = {
 	countsRefusals: false, mostRefusals: 3, paysForRefusals: true, retriesErrorAnswers: true, timesFromSend: true, cancelsWithCaller: true,
--- a/src/request/common/attempt.ts
+++ b/src/request/common/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at one stage: what came from its upstream, checked piece by piece. */
+/** One attempt at a stage: its state, and the answer received from its upstream, checked chunk by chunk. */
 import {extendDigest} from '../../base/common/hash.js';
 import type {ChunkMessage, EndMessage} from '../../wire/common/messages.js';
 import {StageAnswer} from './stage-answer.js';
@@ -6,21 +6,21 @@
 	attemptStates, type AttemptState, type AttemptTrace, type HttpHead,
 } from './request-plan.js';
 
-/** Chunks an agent may send before the entry grants more. */
+/** Number of chunks that an agent may send before the entry grants more credit. */
 export const creditWindow = 64;
 
-/** How an attempt came about, and where it went. */
+/** What is known of an attempt when it is sent. */
 export type AttemptOptions = {
 	readonly dispatchId: string;
 	readonly upstreamId: string;
 	readonly kind: AttemptTrace['kind'];
 	readonly sentAtMs: number;
-	/** Units that were already there. */
+	/** Number of units of the answer that earlier attempts had delivered. */
 	readonly offset: number;
 	readonly candidates: AttemptTrace['candidates'];
 };
 
-/** Follows an attempt to its end; takes each unit once, in order. */
+/** Tracks an attempt until it ends, and accepts each unit of its answer once and in order. */
 export class Attempt {
 	static create(options: AttemptOptions): Attempt {
 		return new Attempt(options);
@@ -30,11 +30,11 @@
 	reason = '';
 	queueMs = 0;
 	runMs = 0;
-	/** When the last sign of life came. */
+	/** When the upstream was last known to be working: the last `started` message or chunk, at first the time of sending. */
 	heardMs: number;
 	isCancelled = false;
 	http: HttpHead | undefined;
-	/** What came of this attempt alone. */
+	/** The part of the answer that this attempt delivered. */
 	readonly answer = StageAnswer.create();
 	private digest = 0;
 	private sinceCredit = 0;
@@ -47,20 +47,20 @@
 		return this.state === attemptStates.sent || this.state === attemptStates.started;
 	}
 
-	/** Whether the upstream may have done some of the work. */
+	/** Whether the upstream may have done any of the work. */
 	get mayHaveRun(): boolean {
 		return this.state !== attemptStates.notRun;
 	}
 
-	/** Units from the start of the whole answer. */
+	/** Number of units from the start of the complete answer. */
 	get units(): number {
 		return this.options.offset + this.answer.units;
 	}
 
 	/**
-	Takes a chunk if it is the next one.
-	@param chunk - as it came.
-	@returns whether it was taken; others are late, doubled or out of order.
+	Accepts a chunk if it is the next one in order.
+	@param chunk - the received chunk.
+	@returns whether the chunk was accepted; others are late, duplicated or out of order.
 	*/
 	take(chunk: ChunkMessage): boolean {
 		if (!this.isLive || chunk.sequence !== this.units) {
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	Tells how many chunks to grant.
+	Returns the number of chunks to grant the agent, and counts them as granted.
 	@returns 0 until half of the window is used.
 	*/
 	takeCredit(): number {
@@ -89,9 +89,9 @@
 	}
 
 	/**
-	Checks that everything the upstream sent has come.
-	@param end - the upstream's end mark.
-	@returns whether count and digest agree.
+	Checks that everything the upstream sent has been received.
+	@param end - the message that ends the answer.
+	@returns whether its unit count and digest match what was received.
 	*/
 	isWhole(end: EndMessage): boolean {
 		return end.units === this.units && end.digest === this.digest;
@@ -99,14 +99,15 @@
 
 	/**
 	Ends the attempt.
-	@param state - how.
-	@param reason - why.
+	@param state - the final state.
+	@param reason - the reason shown to operators.
 	*/
 	finish(state: AttemptState, reason: string): void {
 		this.state = state;
 		this.reason = reason;
 	}
 
+	/** Returns the record of the attempt that is shown to operators. */
 	trace(): AttemptTrace {
 		const {upstreamId, kind, sentAtMs, candidates} = this.options;
 		return {
--- a/src/request/common/claim-store.test.ts
+++ b/src/request/common/claim-store.test.ts
@@ -22,7 +22,7 @@
 	};
 }
 
-/** Lets time and promises go on together. */
+/** Advances the clock in steps and lets pending promises run after each step. */
 async function pass(clock: ManualClock, byMs: number): Promise<void> {
 	for (let passedMs = 0; passedMs < byMs; passedMs += spacingMs) {
 		clock.advance(spacingMs);
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Claims a key that is free. */
+/** Claims a key that is expected to be free. */
 async function claimFree(clock: ManualClock, store: ClaimStore, claim: Claim, key = 'k'): Promise<GrantedClaim> {
 	const claimed = store.claim(claimKey('w', key), claim);
 	await pass(clock, 100);
@@ -49,7 +49,7 @@
 	return rows.ok && rows.value.at(0)?.value.includes('"state":"completed"') === true;
 }
 
-t.test('claims that come together share a transaction, and a taken one holds up no other', async t => {
+t.test('concurrent claims share a transaction, and one whose key is taken does not delay the others', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
 	const store = storeOf('a');
 	await store.claim(claimKey('w', 'k0'), claimOf('a', 'r0'));
@@ -61,7 +61,7 @@
 	t.ok(table.writeCount <= 5, `${table.writeCount} transactions for 51 claims`);
 });
 
-t.test('of two entries that claim a key at once, one gets it and the other learns of it', async t => {
+t.test('of two entries that claim a key at once, one gets it and the other is told which request holds it', async t => {
 	const {clock, storeOf, claimOf} = setUp();
 	const results = Promise.all(['a', 'b'].map(async writer => storeOf(writer).claim(claimKey('w', 'k'), claimOf(writer, `r-${writer}`))));
 	await pass(clock, 100);
@@ -78,7 +78,7 @@
 	t.equal((await results).filter(result => result.ok).length, 1);
 });
 
-t.test('a claim that landed although its answer was lost is given back when the request was refused', async t => {
+t.test('a claim that was written although its response was lost is released when the request was refused', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
 	table.dieAfterWrite = true;
 	const lost = storeOf('a').claim(claimKey('w', 'k'), claimOf('a', 'r1'));
@@ -91,7 +91,7 @@
 	t.equal((await again).ok, true, 'nothing ran under the key, so it is free');
 });
 
-t.test('an outcome that is known is not made unknown by a write that was held up', async t => {
+t.test('a delayed write of `unknown` does not overwrite a known outcome', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
 	const store = storeOf('a');
 	const granted = await claimFree(clock, store, claimOf('a', 'r1'));
@@ -100,7 +100,7 @@
 	t.ok(await isCompleted(table));
 });
 
-t.test('old claims are forgotten, young ones are not', async t => {
+t.test('expired claims are deleted, recent ones are kept', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
 	const store = storeOf('a');
 	await claimFree(clock, store, claimOf('a', 'r1'), 'old');
@@ -116,7 +116,7 @@
 	sweeper.dispose();
 });
 
-t.test('an outcome that waits for the store while its host sleeps is written once it wakes', async t => {
+t.test('an outcome that waits for the store while its host is suspended is written after the host resumes', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
 	const store = storeOf('a');
 	const granted = await claimFree(clock, store, claimOf('a', 'r1'));
@@ -131,7 +131,7 @@
 	t.ok(await isCompleted(table));
 });
 
-t.test('a claim that landed although its answer was lost is given back by a host that slept meanwhile', async t => {
+t.test('a claim that was written although its response was lost is released by a host that was suspended meanwhile', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
 	table.dieAfterWrite = true;
 	const lost = storeOf('a').claim(claimKey('w', 'k'), claimOf('a', 'r1'));
@@ -145,7 +145,7 @@
 	t.equal((await again).ok, true, 'nothing ran under the key, so it is free');
 });
 
-t.test('a sweep that its host slept through deletes no claim that was changed meanwhile', async t => {
+t.test('a sweep during which its host was suspended deletes no claim that was changed meanwhile', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
 	const store = storeOf('a');
 	const granted = await claimFree(clock, store, claimOf('a', 'r1'));
--- a/src/request/common/claim-store.ts
+++ b/src/request/common/claim-store.ts
@@ -1,7 +1,7 @@
 /**
-Claims of requests that run at most once: a row for each key in the table service.
-Claims and outcomes of one entry are committed together, one transaction at a time,
-so that writes stay within the platform's budget.
+Stores the claims of requests that run at most once, as one row for each idempotency key in the table service.
+Claims and outcomes of one entry are committed in batches, one transaction at a time, so that writes stay within the
+platform's budget.
 */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
@@ -15,48 +15,48 @@
 import {outcomes} from './request-plan.js';
 
 const mostInBatch = 200;
-/** Answers up to this size are kept with their claim, so that a repeat gets the same answer. */
+/** Maximum length of an answer that is stored with its claim, so that a repeated request gets the same answer. */
 const keptAnswerBytes = 16_384;
-/** How long an outcome is tried to be written. */
+/** How long writing an outcome is retried. */
 const settleTimeMs = 30_000;
 const settleRetryMs = 200;
 const releaseCheckMs = 1000;
 
 /** Why a claim was not granted. */
 export type ClaimRefusal
-	/** The key was used before; this is what became of that request. */
+	/** The key was used before; `claim` holds the state of that request. */
 	= | {readonly code: 'taken'; readonly claim: Claim}
 		| {readonly code: 'unavailable'; readonly message: string};
 
-/** A claim that was granted, to be settled later. */
+/** A granted claim, whose outcome is recorded later with `settle`. */
 export type GrantedClaim = {readonly key: string; readonly claim: Claim};
 
 type Pending = {
 	readonly key: string;
 	readonly value: string;
-	/** Version the row must have. */
+	/** Version that the row must have for the write to apply; 0 for a row that must not exist. */
 	version: number;
 	readonly resolve: (result: 'written' | 'conflict' | 'unavailable') => void;
 };
 
-/** What the claims of a process need. */
+/** Options of a claim store. */
 export type ClaimStoreOptions = {
 	readonly table: TableService;
 	readonly clock: Clock;
 	readonly writer: string;
-	/** Least time between two transactions. */
+	/** Minimum pause between the end of a transaction and the start of the next, in ms. */
 	readonly spacingMs: number;
 };
 
-/** Makes and settles claims. */
+/** Claims idempotency keys and records the outcomes of the claimed requests. */
 export class ClaimStore implements Disposable {
 	static create(options: ClaimStoreOptions): ClaimStore {
 		return new ClaimStore(options);
 	}
 
-	/** Transactions sent. */
+	/** Number of transactions sent. */
 	writeCount = 0;
-	/** Outcomes that are not written yet. */
+	/** Number of outcomes that are neither written nor given up. */
 	private settling = 0;
 	private pending: Pending[] = [];
 	private isWriting = false;
@@ -64,12 +64,12 @@
 
 	private constructor(private readonly options: ClaimStoreOptions) {}
 
-	/** Whether every outcome is written, or given up. */
+	/** Whether every outcome has been written or given up. */
 	get isSettled(): boolean {
 		return this.settling === 0;
 	}
 
-	/** Ends all waits: what was not written stays as it is in the store. */
+	/** Cancels all pending delays. Rows whose writes have not been sent stay unchanged in the store. */
 	dispose(): void {
 		for (const timer of this.timers) {
 			timer.dispose();
@@ -80,9 +80,9 @@
 
 	/**
 	Claims a key for a request.
-	@param key - the claim's row.
-	@param claim - the request.
-	@returns the claim, or why it was not granted.
+	@param key - the key of the claim's row.
+	@param claim - the claim to write.
+	@returns the granted claim, or the reason why it was not granted.
 	*/
 	async claim(key: string, claim: Claim): Promise<Outcome<GrantedClaim, ClaimRefusal>> {
 		const written = await this.write(key, JSON.stringify(claim), 0);
@@ -103,21 +103,22 @@
 		}
 
 		if (isSameClaim(found, claim)) {
-			// Our own write took effect; only its answer was lost.
+			// The write took effect, but the table service's response was lost.
 			return ok({key, claim});
 		}
 
-		// A request that is known not to have run leaves its key free for the next try.
+		// A request that is known not to have run leaves its key available to the next attempt.
 		const isFree = found.state === outcomes.refused && found.fingerprint === claim.fingerprint;
 		return isFree ? this.reclaim(key, claim, row.value) : fail({code: 'taken', claim: found});
 	}
 
 	/**
-	Records what became of a claimed request. Tries again until it is written or the
-	time allowed is over; then readers take the claim's state as unknown.
+	Records the outcome of a claimed request. Retries until the outcome is written or the time allowed has passed; after
+	that, readers treat the state of the claim as unknown.
 	@param granted - the claim.
-	@param state - how the request ended.
-	@param answer - the answer, where it is small enough to be kept.
+	@param state - the outcome of the request.
+	@param answer - the answer; stored only if it is small enough.
+	@returns whether the outcome, or a known one in place of `unknown`, is stored.
 	*/
 	async settle(granted: GrantedClaim, state: Claim['state'], answer?: KeptAnswer): Promise<boolean> {
 		this.settling++;
@@ -135,7 +136,7 @@
 			const found = row.ok && row.value ? parseClaim(row.value) : undefined;
 			if (row.ok && row.value && found && isSameClaim(found, granted.claim)) {
 				if (state === outcomes.unknown && found.state !== 'claimed') {
-					// What is known already is not made unknown by a write that was held up.
+					// A delayed write of `unknown` must not overwrite an outcome that is already known.
 					return true;
 				}
 
@@ -144,7 +145,7 @@
 					return true;
 				}
 			} else if (row.ok) {
-				// Not ours any more; whoever holds it has read ours as settled.
+				// Another request holds the key; its writer has read this claim as settled.
 				return false;
 			}
 
@@ -154,7 +155,7 @@
 		return false;
 	}
 
-	/** A write whose answer was lost may land late: its claim is given back, for nothing ran under it. */
+	/** Releases a claim that was refused but may still be written late, as its write's response was lost: nothing ran under it. */
 	private async release(key: string, claim: Claim): Promise<void> {
 		const untilMs = this.options.clock.nowMs() + settleTimeMs;
 		while (this.options.clock.nowMs() < untilMs) {
@@ -201,7 +202,7 @@
 		});
 	}
 
-	/** One transaction in the air; what comes meanwhile goes with the next. */
+	/** Keeps one transaction in flight; writes that are queued meanwhile go with the next one. */
 	private async writePending(): Promise<void> {
 		if (this.isWriting) {
 			return;
@@ -217,7 +218,7 @@
 		this.isWriting = false;
 	}
 
-	/** Two writes of one row can't stand in one transaction. */
+	/** Takes the next batch of writes, at most one for each row: a transaction can't write a row twice. */
 	private takeBatch(): Pending[] {
 		const keys = new Set<string>();
 		const batch: Pending[] = [];
@@ -252,7 +253,7 @@
 				return;
 			}
 
-			// One taken key must not hold up the others.
+			// Conflicting rows are dropped from the transaction, so that one claimed key does not delay the others.
 			const conflicts = new Set(done.error.keys);
 			resolveAll(left.filter(item => conflicts.has(item.key)), 'conflict');
 			left = left.filter(item => !conflicts.has(item.key));
--- a/src/request/common/claim-sweeper.ts
+++ b/src/request/common/claim-sweeper.ts
@@ -1,25 +1,25 @@
-/** Forgets old claims, a page at a time, from whichever entry holds the placement lease. */
+/** Deletes expired claims, a page at a time, on the entry that holds the placement lease. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import {jitter, type Random} from '../../base/common/random.js';
 import type {Row, TableService} from '../../store/common/table-service.js';
 import {claimPrefix, parseClaim} from './claim.js';
 
-/** How long after its request's end a claim is kept, so that late copies find it. */
+/** How long a claim is retained after the end of its request, so that late copies of the request find it. */
 export const keptClaimMs = 24 * 60 * 60 * 1000;
 const sweepMs = 5000;
 const pageRows = 200;
 
-/** What the sweeper needs. */
+/** Options of a claim sweeper. */
 export type ClaimSweeperOptions = {
 	readonly table: TableService;
 	readonly clock: Clock;
 	readonly random: Random;
-	/** Whether this process is the one to sweep. */
+	/** Returns whether this process holds the lease and is therefore the one to sweep. */
 	readonly isHolder: () => boolean;
 };
 
-/** Deletes claims that no copy of their request is expected for any more. */
+/** Deletes claims for which no further copy of the request is expected. */
 export class ClaimSweeper implements Disposable {
 	static create(options: ClaimSweeperOptions): ClaimSweeper {
 		return new ClaimSweeper(options);
@@ -36,7 +36,7 @@
 		});
 	}
 
-	/** Looks at one page of claims, and deletes the old ones in one transaction. */
+	/** Scans one page of claims and deletes the expired ones in one transaction. */
 	async sweep(): Promise<void> {
 		const {table} = this.options;
 		const rows = await table.scan({prefix: claimPrefix, limit: pageRows, ...(this.after !== undefined && {after: this.after})});
@@ -44,11 +44,11 @@
 			return;
 		}
 
-		// After the last page it starts over.
+		// After the last page the scan starts over from the first.
 		this.after = rows.value.length === pageRows ? rows.value.at(-1)!.key : undefined;
 		const old = rows.value.filter(row => this.isOld(row));
 		if (old.length > 0) {
-			// A claim made anew meanwhile has another version; then none is deleted this time.
+			// A claim that was rewritten meanwhile has a new version: the transaction then fails and deletes none of the page.
 			await table.transact({
 				conditions: old.map(({key, version}) => ({key, version})),
 				writes: old.map(({key}) => ({key})),
--- a/src/request/common/claim.ts
+++ b/src/request/common/claim.ts
@@ -1,53 +1,54 @@
-/** The row that says a key is taken, by whom, and what became of the request. */
+/** The stored claim on an idempotency key: the writer that holds it, the request, and the request's outcome. */
 import {z} from 'zod';
 import type {Row} from '../../store/common/table-service.js';
 import {outcomes} from './request-plan.js';
 
-/** Where the rows of all claims start. */
+/** Key prefix of all claim rows. */
 export const claimPrefix = 'claims/';
 
 const claimSchema = z.strictObject({
-	/** Names the one try that made the claim: the incarnation, and a part drawn for each try. */
+	/** Identifies the claim attempt that wrote the row: the process incarnation, and an id generated for each attempt. */
 	writer: z.string(),
 	requestId: z.string(),
-	/** Hash of method, target and body: a key may not be used for another request. */
+	/** Hash of method, target and body, by which reuse of the key for a different request is rejected. */
 	fingerprint: z.number(),
 	state: z.enum({
 		claimed: 'claimed', ...outcomes,
 	}),
 	claimedAtMs: z.number(),
-	/** When the request can no longer be running at its entry. */
+	/** Wall-clock time from which the request can no longer be running at its entry. */
 	endsByMs: z.number(),
 	answer: z.strictObject({
 		status: z.number(), contentType: z.string(), text: z.string(),
 	}).optional(),
 });
-/** What is known of a request that runs at most once. */
+/** The stored state of a request that runs at most once. */
 export type Claim = z.infer<typeof claimSchema>;
+/** An answer stored with its claim, so that a repeated request gets the same answer. */
 export type KeptAnswer = NonNullable<Claim['answer']>;
 
 /**
-Gives the row of a claim.
-@param workspace - the caller's.
-@param idempotencyKey - the caller's.
+Returns the key of a claim's row.
+@param workspace - the workspace of the caller.
+@param idempotencyKey - the key that the caller gave.
 */
 export function claimKey(workspace: string, idempotencyKey: string): string {
 	return `${claimPrefix}${workspace}/${idempotencyKey}`;
 }
 
 /**
-Tells whether two claims were made for the same request by the same process.
-@param left - a claim.
-@param right - another.
+Returns whether two claims were made by the same claim attempt for the same request.
+@param left - the first claim.
+@param right - the second claim.
 */
 export function isSameClaim(left: Claim, right: Claim): boolean {
 	return left.writer === right.writer && left.requestId === right.requestId && left.claimedAtMs === right.claimedAtMs;
 }
 
 /**
-Reads a claim.
-@param row - its row.
-@returns the claim, or nothing where it can't be read.
+Parses a claim.
+@param row - the claim's row.
+@returns the claim, or `undefined` if the row is malformed.
 */
 export function parseClaim(row: Row): Claim | undefined {
 	try {
@@ -58,10 +59,10 @@
 }
 
 /**
-Names one try to claim a key, so that copies of a request which agree in everything else,
-the millisecond included, are told apart.
-@param incarnation - the claiming process.
-@param tryId - drawn for this try.
+Returns the writer id of one attempt to claim a key. It distinguishes copies of a request that are identical in everything
+else, including the millisecond in which they arrived.
+@param incarnation - the incarnation of the claiming process.
+@param tryId - an id generated for this attempt.
 */
 export function writerOf(incarnation: string, tryId: string): string {
 	return `${incarnation}/${tryId}`;
--- a/src/request/common/ended-jobs.ts
+++ b/src/request/common/ended-jobs.ts
@@ -1,12 +1,12 @@
-/** Dispatches that have ended: none of them is run again, and some may be asked about. */
+/** The ended dispatches of a gate: none of them is run again, and the results of some can still be queried. */
 import type {GateJob} from './gate-job.js';
 
-/** Ids that are remembered, so that a doubled dispatch is not run. */
+/** Number of dispatch ids that are remembered, so that a duplicated dispatch is not run. */
 const rememberedIds = 20_000;
-/** How long results of work that may not be repeated are kept for an entry that lost its connection. */
+/** How long the results of work that may not be repeated are retained for an entry that lost its connection. */
 const keptResultMs = 60_000;
 
-/** Remembers ended dispatches, the oldest forgotten first. */
+/** Remembers ended dispatches; the oldest are evicted first. */
 export class EndedJobs {
 	static create(): EndedJobs {
 		return new EndedJobs();
@@ -18,15 +18,16 @@
 		return this.jobs.has(dispatchId);
 	}
 
-	/** @returns the job, where its result is kept. */
+	/** @returns the job, or `undefined` if its result is not retained. */
 	get(dispatchId: string): GateJob | undefined {
 		return this.jobs.get(dispatchId);
 	}
 
 	/**
-	Remembers an id, with its result if it may be asked about.
-	@param dispatchId - the id.
-	@param job - its job, or nothing.
+	Remembers an ended dispatch. Its result is retained only if the work may not be repeated, since only then can an entry
+	query it.
+	@param dispatchId - the id of the dispatch.
+	@param job - the job with the result, or `undefined` if there is none.
 	*/
 	remember(dispatchId: string, job: GateJob | undefined): void {
 		this.jobs.set(dispatchId, job?.dispatch.isRepeatable === false ? job : undefined);
@@ -36,7 +37,7 @@
 		}
 	}
 
-	/** Drops old results; their ids stay remembered. */
+	/** Drops expired results; their ids stay remembered. */
 	dropOldResults(nowMs: number): void {
 		for (const [dispatchId, job] of this.jobs) {
 			if (job?.endedMs !== undefined && nowMs - job.endedMs > keptResultMs) {
--- a/src/request/common/gate-job.ts
+++ b/src/request/common/gate-job.ts
@@ -2,34 +2,34 @@
 import type {QueueItem} from '../../routing/common/fair-queue.js';
 import type {DispatchMessage, Message} from '../../wire/common/messages.js';
 
-/** Above every stage's place in a pipeline. */
+/** Rank added for work that is not yet late; greater than any stage index. */
 const inTimeRank = 1000;
 
-/** What is known of a dispatch. */
+/** The state of a dispatch at a gate. */
 export type GateJob = QueueItem & {
 	readonly dispatch: DispatchMessage;
-	/** Where its entry is connected, if it is. */
+	/** The connection of its entry; `undefined` while the entry is not connected. */
 	connectionId: number | undefined;
 	readonly arrivedMs: number;
 	readonly startByMs: number;
 	startedMs: number | undefined;
-	/** Since when no entry owns it. */
+	/** When the connection of its entry was lost; `undefined` while an entry owns the job. */
 	orphanedMs: number | undefined;
 	isAborted: boolean;
-	/** Chunks that may still be sent. */
+	/** Number of chunks that may still be sent. */
 	credit: number;
 	units: number;
 	digest: number;
-	/** Everything sent, for work that may not be repeated. */
+	/** All messages about the dispatch, stored only for work that may not be repeated so that they can be sent again. */
 	readonly sent: Message[];
 	endedMs: number | undefined;
 };
 
 /**
-Makes the job of a dispatch.
-@param connectionId - the connection it came on.
-@param dispatch - the message.
-@param nowMs - the time.
+Creates the job of a dispatch.
+@param connectionId - the connection on which the dispatch was received.
+@param dispatch - the dispatch message.
+@param nowMs - the current time.
 */
 export function makeJob(connectionId: number, dispatch: DispatchMessage, nowMs: number): GateJob {
 	const isInTime = dispatch.dueInMs > 0;
@@ -48,16 +48,16 @@
 		endedMs: undefined,
 		workspace: dispatch.workspace,
 		weight: dispatch.weight,
-		// Work in time before late work, later stages before first ones: they have been paid for.
+		// Work that is in time precedes late work. Later stages precede earlier ones, since their prior stages are already paid for.
 		rank: (isInTime ? inTimeRank : 0) + dispatch.stageIndex,
 		dueMs: nowMs + dispatch.dueInMs,
 	};
 }
 
 /**
-Tells where a dispatch's answer starts.
-@param dispatch - the message.
-@returns units that the caller already has.
+Returns the offset at which the answer to a dispatch starts.
+@param dispatch - the dispatch message.
+@returns the number of units that the caller already has.
 */
 export function resumeOffsetOf(dispatch: DispatchMessage): number {
 	return dispatch.call.kind === 'generate' ? dispatch.call.resumeOffset : 0;
--- a/src/request/common/gate-machine.test.ts
+++ b/src/request/common/gate-machine.test.ts
@@ -9,18 +9,18 @@
 });
 const refusalOf = (actions: readonly GateAction[]) => actions.flatMap(action => action.type === 'send' && action.message.type === 'refused' ? [action.message.reason] : []);
 
-t.test('work that may not be repeated runs on without its entry, even where it waited for credit', async t => {
+t.test('work that may not be repeated continues after its entry disconnects, even if it was waiting for credit', async t => {
 	const gate = GateMachine.create({slots: 1, maxQueue: 1});
 	gate.dispatch(1, dispatchWith({isRepeatable: false, creditChunks: 1}), false, 0);
 	gate.callStarted('d', undefined, 1);
 	t.match(gate.callPiece('d', 1, new Uint8Array(1), 2), [{type: 'send'}, {type: 'flow', isOpen: false}]);
-	t.match(gate.connectionLost(1, 3), [{type: 'flow', dispatchId: 'd', isOpen: true}], 'nobody is left to grant it');
+	t.match(gate.connectionLost(1, 3), [{type: 'flow', dispatchId: 'd', isOpen: true}], 'no entry is left to grant credit');
 	gate.callPiece('d', 1, new Uint8Array(1), 4);
 	gate.callEnded('d', {state: 'completed'}, 5);
 	t.strictSame(gate.query(2, 'd', 6).map(action => action.type === 'send' ? action.message.type : action.type), ['started', 'chunk', 'chunk', 'end']);
 });
 
-t.test('an orphan that may be repeated is ended after a grace', async t => {
+t.test('repeatable work whose entry disconnected is aborted after a grace period', async t => {
 	const gate = GateMachine.create({slots: 1, maxQueue: 1});
 	gate.dispatch(1, dispatchWith(), false, 0);
 	gate.connectionLost(1, 10);
@@ -28,13 +28,13 @@
 	t.match(gate.tick(2000), [{type: 'abort', dispatchId: 'd'}]);
 });
 
-t.test('a dispatch that was asked about before it came is never run', async t => {
+t.test('a dispatch that was queried before it arrived is never run', async t => {
 	const gate = GateMachine.create({slots: 1, maxQueue: 1});
 	t.strictSame(refusalOf(gate.query(1, 'd', 0)), ['neverSeen']);
 	t.strictSame(gate.dispatch(1, dispatchWith(), false, 1), []);
 });
 
-t.test('work is refused that is stale, out of time, too much, or comes while leaving', async t => {
+t.test('work is refused that is stale, out of time, beyond the queue limit, or received while leaving', async t => {
 	const gate = GateMachine.create({slots: 1, maxQueue: 1});
 	t.strictSame(refusalOf(gate.dispatch(1, dispatchWith({dispatchId: 'a'}), true, 0)), ['stale']);
 	t.strictSame(refusalOf(gate.dispatch(1, dispatchWith({dispatchId: 'b', startWithinMs: 0}), false, 0)), ['outOfTime']);
@@ -45,7 +45,7 @@
 	t.strictSame(refusalOf(gate.dispatch(1, dispatchWith({dispatchId: 'g'}), false, 2)), ['leaving']);
 });
 
-t.test('work in time goes before late work, later stages before first ones, workspaces by their shares', async t => {
+t.test('work in time is started before late work, later stages before earlier ones, and workspaces by their shares', async t => {
 	const gate = GateMachine.create({slots: 1, maxQueue: 100});
 	const order: string[] = [];
 	const run = (actions: readonly GateAction[]) => {
--- a/src/request/common/gate-machine.ts
+++ b/src/request/common/gate-machine.ts
@@ -1,4 +1,4 @@
-/** The gate of one upstream at its agent: admits, queues, starts, cancels and ends dispatches. */
+/** The gate of one upstream at its agent: a state machine that admits, queues, starts, cancels and ends dispatches. */
 import {extendDigest} from '../../base/common/hash.js';
 import {FairQueue, type WorkQueue} from '../../routing/common/fair-queue.js';
 import {
@@ -8,15 +8,15 @@
 import {EndedJobs} from './ended-jobs.js';
 import {makeJob, resumeOffsetOf, type GateJob} from './gate-job.js';
 
-/** How long work whose entry is gone runs on, in case the entry comes back. */
+/** How long repeatable work runs on after its entry's connection was lost, in case the entry reconnects. */
 const orphanGraceMs = 1500;
 
-/** Decides for every dispatch at one upstream; time comes with each call. */
+/** Makes all decisions about dispatches at one upstream. The current time is passed with each call. */
 export class GateMachine {
 	/**
-	Makes a gate.
-	@param limits - slots and queue length.
-	@param queue - the order of waiting work.
+	Creates a gate.
+	@param limits - the number of slots and the maximum queue length.
+	@param queue - the queue, which determines the order of waiting work.
 	*/
 	static create(limits: GateLimits, queue: WorkQueue<GateJob> = FairQueue.create<GateJob>()): GateMachine {
 		return new GateMachine(limits, queue);
@@ -36,7 +36,7 @@
 		return this.isLeavingNow;
 	}
 
-	/** Nothing runs and nothing waits. */
+	/** Whether no dispatch is running or waiting. */
 	get isIdle(): boolean {
 		return this.jobs.size === 0;
 	}
@@ -62,7 +62,7 @@
 		this.upstreamModels = models;
 	}
 
-	/** From now on no new work is taken; what waits is given back, what runs ends. */
+	/** Stops accepting new work. Waiting dispatches are refused; running ones are left to finish. */
 	leave(nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
 			this.isLeavingNow = true;
@@ -74,17 +74,17 @@
 	}
 
 	/**
-	A dispatch came.
-	@param connectionId - the connection it came on.
+	Handles a received dispatch.
+	@param connectionId - the connection on which it was received.
 	@param dispatch - the message.
-	@param isStale - whether it may have waited unread while this process slept.
-	@param nowMs - the time.
+	@param isStale - whether it may have been waiting unread while this process was suspended.
+	@param nowMs - the current time.
 	*/
 	dispatch(connectionId: number, dispatch: DispatchMessage, isStale: boolean, nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
 			const {dispatchId} = dispatch;
 			if (this.jobs.has(dispatchId) || this.ended.has(dispatchId)) {
-				// Doubled on its way; the first one counts.
+				// Duplicated in transit: only the first copy counts.
 				return;
 			}
 
@@ -104,9 +104,9 @@
 	}
 
 	/**
-	An entry gives up a dispatch. What may not be repeated is taken back only before its start.
-	@param dispatchId - which.
-	@param nowMs - the time.
+	Cancels a dispatch that its entry gives up. Work that may not be repeated is cancelled only before it has started.
+	@param dispatchId - the dispatch.
+	@param nowMs - the current time.
 	*/
 	cancel(dispatchId: string, nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
@@ -136,10 +136,10 @@
 	}
 
 	/**
-	An entry that was cut off asks what became of a dispatch.
-	@param connectionId - its new connection.
-	@param dispatchId - which.
-	@param nowMs - the time.
+	Answers a query about a dispatch from an entry that lost its connection and has reconnected.
+	@param connectionId - the new connection of the entry.
+	@param dispatchId - the dispatch.
+	@param nowMs - the current time.
 	*/
 	query(connectionId: number, dispatchId: string, nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
@@ -151,7 +151,7 @@
 					this.send(connectionId, message);
 				}
 			} else {
-				// Remembered from now on, so that it is not run should it still arrive.
+				// The id is remembered, so that the dispatch is not run if it still arrives.
 				this.ended.remember(dispatchId, undefined);
 				this.send(connectionId, {type: 'refused', dispatchId, reason: refusalReasons.neverSeen});
 			}
@@ -159,9 +159,9 @@
 	}
 
 	/**
-	A connection was lost: what waits is dropped, what runs is an orphan.
-	@param connectionId - which.
-	@param nowMs - the time.
+	Handles the loss of a connection: waiting dispatches of its entry are refused, running ones become orphans.
+	@param connectionId - the lost connection.
+	@param nowMs - the current time.
 	*/
 	connectionLost(connectionId: number, nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
@@ -185,10 +185,10 @@
 	}
 
 	/**
-	The upstream has taken the call.
-	@param dispatchId - which.
-	@param http - status and headers of a plain service's answer.
-	@param nowMs - the time.
+	Handles the upstream's acceptance of a call.
+	@param dispatchId - the dispatch.
+	@param http - status and headers of the answer, if the call is to a plain service.
+	@param nowMs - the current time.
 	*/
 	callStarted(dispatchId: string, http: StartedMessage['http'], nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
@@ -202,11 +202,11 @@
 	}
 
 	/**
-	The upstream gave a piece of its answer.
-	@param dispatchId - which.
-	@param units - tokens, or 1 for a piece of bytes.
-	@param data - the piece.
-	@param nowMs - the time.
+	Handles a chunk of the upstream's answer.
+	@param dispatchId - the dispatch.
+	@param units - the number of tokens in the chunk, or 1 for a chunk of bytes.
+	@param data - the chunk.
+	@param nowMs - the current time.
 	*/
 	callPiece(dispatchId: string, units: number, data: Uint8Array, nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
@@ -228,10 +228,10 @@
 	}
 
 	/**
-	The call to the upstream has ended.
-	@param dispatchId - which.
-	@param end - how.
-	@param nowMs - the time.
+	Handles the end of a call to the upstream.
+	@param dispatchId - the dispatch.
+	@param end - how the call ended.
+	@param nowMs - the current time.
 	*/
 	callEnded(dispatchId: string, end: CallEnd, nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
@@ -267,7 +267,7 @@
 		});
 	}
 
-	/** Time has passed: drops what can no longer start, ends orphans, forgets old results. */
+	/** Refuses waiting dispatches that can no longer start, aborts repeatable orphans and drops expired results. */
 	tick(nowMs: number): GateAction[] {
 		return this.act(nowMs, () => {
 			for (const job of this.queue.items()) {
@@ -339,7 +339,7 @@
 		this.ended.remember(dispatchId, job);
 	}
 
-	/** Nobody is left to grant credit; the result is kept here for an entry that comes back. */
+	/** Lifts the credit limit of a job whose entry can no longer grant credit; its result is retained for the entry's return. */
 	private letRunOn(job: GateJob): void {
 		const wasHeld = job.credit <= 0;
 		job.credit = Infinity;
--- a/src/request/common/request-events.ts
+++ b/src/request/common/request-events.ts
@@ -1,4 +1,4 @@
-/** What happens to a request, and what is to be done about it. */
+/** The events that the state machine of a request handles, and the actions that it returns. */
 import type {
 	ChunkMessage, DispatchMessage, EndMessage, RefusedMessage, StartedMessage,
 } from '../../wire/common/messages.js';
@@ -6,34 +6,34 @@
 	HttpHead, PreparationFailure, PreparedInputs, RequestOutcome, RequestResult,
 } from './request-plan.js';
 
-/** Something that happened to a request. */
+/** An event that concerns a request. */
 export type RequestEvent
 	= | {readonly type: 'start'}
 		| {readonly type: 'claimed'}
-		/** The work before the request is done. */
+		/** The preparation of the request is complete. */
 		| {readonly type: 'prepared'; readonly inputs: PreparedInputs}
 		| {readonly type: 'preparationFailed'; readonly failure: PreparationFailure}
 		| {readonly type: 'claimRefused'; readonly code: 'storeUnavailable' | 'duplicateRequest'; readonly message: string}
-	/** The dispatch was never written to a connection. */
+	/** The dispatch could not be written to a connection. */
 		| {readonly type: 'notSent'; readonly dispatchId: string}
 		| RefusedMessage
 		| StartedMessage
 		| ChunkMessage
 		| EndMessage
 		| {readonly type: 'connectionLost'; readonly upstreamId: string}
-	/** The same incarnation of an agent is connected again. */
+	/** The same incarnation of an agent has reconnected. */
 		| {readonly type: 'reconnected'; readonly upstreamId: string}
-	/** The incarnation that had the dispatch is gone for good. */
+	/** The incarnation of the agent that held the dispatch is permanently gone. */
 		| {readonly type: 'incarnationGone'; readonly upstreamId: string}
 		| {readonly type: 'candidatesChanged'}
 		| {readonly type: 'callerGone'}
-	/** A request was barred from upstreams; it may be this one. */
+	/** Some request was quarantined, possibly this one. */
 		| {readonly type: 'standingChanged'}
-	/** The process ends in a moment. */
+	/** The process is about to stop. */
 		| {readonly type: 'hostStops'}
 		| {readonly type: 'tick'};
 
-/** Something to be done for a request. */
+/** An action to perform for a request. */
 export type RequestAction
 	= | {readonly type: 'claim'}
 		| {readonly type: 'prepare'; readonly isAgain: boolean}
@@ -41,11 +41,11 @@
 		| {readonly type: 'cancel'; readonly upstreamId: string; readonly dispatchId: string}
 		| {readonly type: 'query'; readonly upstreamId: string; readonly dispatchId: string}
 		| {readonly type: 'credit'; readonly upstreamId: string; readonly dispatchId: string; readonly chunks: number}
-	/** Units of the answer for a streaming caller. */
+	/** Delivers units of the answer to a streaming caller. */
 		| {readonly type: 'deliver'; readonly units: number; readonly data: Uint8Array; readonly http?: HttpHead}
-	/** The caller's final answer; comes once. */
+	/** Gives the caller its final answer; emitted once. */
 		| {readonly type: 'finish'; readonly result: RequestResult}
-	/** What became of a request after its caller was told `unknown`; comes at most once. */
+	/** Records the outcome of a request whose caller was given `unknown`; emitted at most once. */
 		| {readonly type: 'settle'; readonly outcome: RequestOutcome}
-	/** Nothing more will happen; the machine may be forgotten. */
+	/** The state machine has finished and can be discarded. */
 		| {readonly type: 'close'};
--- a/src/request/common/request-log-messages.ts
+++ b/src/request/common/request-log-messages.ts
@@ -1,4 +1,4 @@
-/** Log messages that `pumicehatch explain` looks for: the parts that write them and the command have them from here. */
+/** Log messages that `pumicehatch explain` matches, shared by the components that log them and the command. */
 export const requestLogMessages = {
 	ended: 'A request has ended.',
 	refusedAtDoor: 'A request was refused at the door: its steps would wait too long.',
--- a/src/request/common/request-machine.test.ts
+++ b/src/request/common/request-machine.test.ts
@@ -23,7 +23,7 @@
 
 const typesOf = (actions: readonly RequestAction[]) => actions.map(action => action.type);
 
-t.test('a hedge that the budget declines is not asked for again at once', async t => {
+t.test('a hedge that the budget declines is not requested again at once', async t => {
 	const machine = RequestMachine.create(planWith(), routerWith({hedgeDelayMs: () => 10, mayHedge: () => false}));
 	machine.handle({type: 'start'}, 0);
 	t.equal(machine.wakeAtMs, 10);
@@ -31,7 +31,7 @@
 	t.ok(machine.wakeAtMs > 10, 'the machine does not spin');
 });
 
-t.test('of a hedge and the attempt it hedges, the first to end counts, and the other is cancelled', async t => {
+t.test('of a hedge and the attempt it hedges, the first to complete counts and the other is cancelled', async t => {
 	const machine = RequestMachine.create(planWith(), routerWith({hedgeDelayMs: () => 10}));
 	machine.handle({type: 'start'}, 0);
 	t.strictSame(typesOf(machine.handle({type: 'tick'}, 10)), ['dispatch']);
@@ -41,7 +41,7 @@
 	t.match(ended, [{type: 'cancel', dispatchId: 'd0'}, {type: 'finish', result: {outcome: 'completed'}}, {type: 'close'}]);
 });
 
-t.test('what was refused everywhere is refused as not run', async t => {
+t.test('a request that every upstream refused is refused as not run', async t => {
 	const machine = RequestMachine.create(planWith(), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	machine.handle({type: 'refused', dispatchId: 'd0', reason: 'queueFull'}, 1);
@@ -49,7 +49,7 @@
 	t.match(machine.handle({type: 'refused', dispatchId: 'd2', reason: 'queueFull'}, 3), [{type: 'finish', result: {outcome: 'refused', isNotRun: true, code: 'overloaded'}}, {type: 'close'}]);
 });
 
-t.test('work that may not be repeated is asked after, not sent again, when its connection comes back', async t => {
+t.test('work that may not be repeated is queried, not sent again, when its connection is restored', async t => {
 	const machine = RequestMachine.create(planWith({isRepeatable: false}), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	machine.handle({type: 'started', dispatchId: 'd0', queueMs: 0}, 1);
@@ -58,7 +58,7 @@
 	t.match(machine.handle({type: 'incarnationGone', upstreamId: 'u1'}, 4), [{type: 'finish', result: {outcome: 'unknown', isNotRun: false}}, {type: 'close'}]);
 });
 
-t.test('late work that has started is answered whole and marked late', async t => {
+t.test('late work that has started is answered completely and marked late', async t => {
 	const machine = RequestMachine.create(planWith(), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	machine.handle({type: 'started', dispatchId: 'd0', queueMs: 0}, 10);
@@ -68,7 +68,7 @@
 	}, 1200), [{type: 'finish', result: {outcome: 'completed', isLate: true}}, {type: 'close'}]);
 });
 
-t.test('a send after results were made again is a repeat: paid for, and not counted as another first send', async t => {
+t.test('an attempt after a repeated preparation is a retry: charged to the budget, and not counted as another first attempt', async t => {
 	for (const isWithinBudget of [true, false]) {
 		const kinds: string[] = [];
 		let asked = 0;
@@ -94,12 +94,11 @@
 });
 
 /*
-Seen: a caller was told that its request had not run, though a server had run it and ended in the middle of it.
-How it came about: the request was sent again, the second server said that the results it was to read were lost, and they
-could not be made again in time.
-Cause: with the stage that was begun again its attempts were forgotten, those that may have run as well.
+Guards against reporting a request as not run although a server crashed in the middle of running it. That happens when the request
+is sent again, the second server reports that the results it was to read are lost, they can't be prepared again in time, and
+beginning the stage again discards its earlier attempts, including those that may have run.
 */
-t.test('what may have run counts after results were made again: no refusal as not run, and no further attempts', async t => {
+t.test('attempts that may have run still count after a repeated preparation: no refusal as not run, and no extra attempts', async t => {
 	const lost = (machine: RequestMachine, dispatchId: string) => machine.handle({
 		type: 'end', dispatchId, state: 'unknown', units: 0, digest: 0, runMs: 5, reason: 'cut',
 	}, 10);
@@ -119,28 +118,29 @@
 	const failure = {code: 'preparationFailed', message: 'late'} as const;
 	t.match(failing.handle({type: 'preparationFailed', failure}, 30), [{type: 'finish', result: {outcome: 'failed', isNotRun: false}}, {type: 'close'}]);
 	const stopping = begin();
-	t.same(stopping.handle({type: 'hostStops'}, 30), [], 'nor when its host stops');
+	t.same(stopping.handle({type: 'hostStops'}, 30), [], 'the request is not refused when its host stops either');
 	const goingOn = begin();
 	t.same(typesOf(goingOn.handle({type: 'prepared', inputs: noInputs}, 40)), ['dispatch']);
 	t.match(lost(goingOn, 'd2'), [{type: 'finish', result: {outcome: 'failed', code: 'attemptsExhausted'}}, {type: 'close'}]);
 });
 
-t.test('a request that waits when its host stops is refused as not run', async t => {
+t.test('a request that is still waiting when its host stops is refused as not run', async t => {
 	const machine = RequestMachine.create(planWith({needsPreparation: true}), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	t.match(machine.handle({type: 'hostStops'}, 10), [{type: 'finish', result: {outcome: 'refused', code: 'stopping', retryAfterMs: 50}}, {type: 'close'}]);
 });
 
-t.test('a request that an upstream may have begun goes on when its host stops', async t => {
+t.test('a request that an upstream may have begun continues when its host stops', async t => {
 	const machine = RequestMachine.create(planWith(), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	t.strictSame(machine.handle({type: 'hostStops'}, 10), []);
 });
 
 /*
-Seen by reading: a stream that broke off while each upstream of its pool had got what its bounds allow failed at once, though the next send was due in some milliseconds.
+Guards against failing an interrupted stream at once when every upstream of its pool has reached its send limits, although the
+next send would be allowed within a few milliseconds.
 */
-t.test('a stream that breaks off while its upstreams may get nothing waits a moment to be taken up; one that has not begun is refused', async t => {
+t.test('a stream that breaks off while all upstreams are at their limits waits to be resumed; one that has not begun is refused', async t => {
 	const unavailability = {message: 'all get what their limits allow', retryAfterMs: 300};
 	const makeMachine = () => {
 		const state = {isOpen: true};
--- a/src/request/common/request-machine.ts
+++ b/src/request/common/request-machine.ts
@@ -1,4 +1,4 @@
-/** The life of one request at its entry: events and time in, actions out; nothing else decides. */
+/** The state machine of one request at its entry. It makes all decisions: events and the time go in, actions come out. */
 import {barredText} from '../../quarantine/common/quarantine.js';
 import type {RequestAction, RequestEvent} from './request-events.js';
 import {
@@ -10,22 +10,22 @@
 import {StageRun} from './stage-run.js';
 import {StageRunList} from './stage-run-list.js';
 
-/** How long after the deadline agents may take to prove that they started nothing. */
+/** How long after the deadline agents have to confirm that they did not start the request. */
 export const proofGraceMs = 150;
-/** How long the fate of work that may not be repeated is followed after its caller was told `unknown`. */
+/** How long the outcome of work that may not be repeated is followed after its caller was given `unknown`. */
 export const settleMs = 60_000;
 
-/** How often results that were lost are made again for one request. */
+/** Maximum number of preparations of one request, including those that replace lost results. */
 const mostPreparations = 3;
 
 type Phase = 'new' | 'claiming' | 'preparing' | 'running' | 'proving' | 'settling' | 'closed';
 
-/** Drives one request. */
+/** Drives one request from its start to its end. */
 export class RequestMachine {
 	/**
-	Makes the machine; nothing happens before the `start` event.
-	@param plan - what to do.
-	@param router - decisions about upstreams.
+	Creates the state machine; it does nothing before the `start` event.
+	@param plan - the plan of the request.
+	@param router - decides about upstreams.
 	*/
 	static create(plan: RequestPlan, router: RequestRouter): RequestMachine {
 		return new RequestMachine(plan, router);
@@ -36,7 +36,7 @@
 	private actions: RequestAction[] = [];
 	private proveByMs = Infinity;
 	private settleByMs = Infinity;
-	/** What the first stage reads besides its input: results of the work before it. */
+	/** Results of the preparation, which the first stage reads besides its input. */
 	private inputs: PreparedInputs = noInputs;
 	private preparations = 0;
 
@@ -46,12 +46,12 @@
 		return this.phase === 'closed';
 	}
 
-	/** Ids of all its dispatches. */
+	/** Ids of all dispatches of the request. */
 	get dispatchIds(): string[] {
 		return this.runs.dispatchIds;
 	}
 
-	/** Time at which the machine wants a tick; Infinity if none. */
+	/** Time at which the machine needs a `tick` event; `Infinity` if it needs none. */
 	get wakeAtMs(): number {
 		switch (this.phase) {
 			case 'claiming':
@@ -79,10 +79,10 @@
 	}
 
 	/**
-	Takes an event.
-	@param event - what happened.
-	@param nowMs - the time.
-	@returns what to do now, in order.
+	Handles an event.
+	@param event - the event.
+	@param nowMs - the current time.
+	@returns the actions to perform, in order.
 	*/
 	handle(event: RequestEvent, nowMs: number): RequestAction[] {
 		this.actions = [];
@@ -189,7 +189,7 @@
 	private beginStage(index: number, input: Uint8Array, nowMs: number): void {
 		const {plan, router} = this;
 		const remainingMs = router.optimisticRunMs(plan.stages.slice(index));
-		// What has started may end late; what has not is never started past its deadline.
+		// A request that has started may end late, but no request is started after its deadline.
 		const latestMs = index === 0 ? plan.deadlineMs : plan.giveUpMs;
 		const run = StageRun.create({
 			plan,
@@ -242,7 +242,7 @@
 		}
 	}
 
-	/** Past the deadline nothing is known to have started: ask the agents to confirm it. */
+	/** Handles a deadline that passed before anything is known to have started: cancels, so that the agents confirm it. */
 	private prove(nowMs: number): void {
 		this.phase = 'proving';
 		this.proveByMs = nowMs + proofGraceMs;
@@ -282,7 +282,7 @@
 		}
 	}
 
-	/** Results that the first stage was to read are lost, and it has not run: they are made again. */
+	/** Prepares the request again, since results that its first stage was to read are lost and the stage has not run. */
 	private prepareAgain(run: StageRun, nowMs: number): void {
 		if (this.preparations >= mostPreparations) {
 			this.finishWith(failureCodes.preparationFailed, 'results of the work before the request were lost again and again', nowMs);
@@ -314,7 +314,7 @@
 			outcome: this.failedOutcome(), message, nowMs, code, retryAfterMs,
 		}));
 		if (this.runs.hasLive) {
-			// Not repeatable and still running somewhere: cancelling takes back only what has not started.
+			// Work that may not be repeated is still live: cancelling withdraws only what has not started.
 			this.phase = 'settling';
 			this.settleByMs = nowMs + settleMs;
 			this.runs.current!.stopRecovery();
@@ -336,10 +336,10 @@
 		if (this.plan.isRepeatable || !this.runs.mayHaveRun || this.plan.rules.cancelsWithCaller) {
 			this.finishWith(failureCodes.callerGone, 'the caller went away', nowMs);
 		}
-		// Work that may not be repeated goes on, so that a repeat of the request learns its end.
+		// Work that may not be repeated continues, so that a repeat of the request gets its outcome.
 	}
 
-	/** What waits for its steps or for an upstream is not served any more once it is barred: its caller is told at once. */
+	/** Fails a request that still waits for its preparation or for an upstream once it is barred, so that its caller knows at once. */
 	private refuseIfBarred(nowMs: number): void {
 		const standing = this.router.standingOf(this.plan);
 		if (standing.type === 'barred' && !this.runs.mayHaveRun && this.phase !== 'claiming') {
@@ -347,7 +347,7 @@
 		}
 	}
 
-	/** What no upstream can have begun is refused as not run, so that its caller asks another host at once. */
+	/** Refuses a request that no upstream can have begun as not run, so that its caller can turn to another host at once. */
 	private hostStops(nowMs: number): void {
 		if (!this.runs.mayHaveRun && this.phase !== 'claiming') {
 			this.finishWith(failureCodes.stopping, 'this host stops before it could run', nowMs, otherHostMs);
--- a/src/request/common/request-plan.ts
+++ b/src/request/common/request-plan.ts
@@ -1,48 +1,48 @@
-/** What one request is to do, and how it ended. */
+/** The plan of a request, and the types that describe its progress and result. */
 import type {EffectivePolicy, StageKind} from '../../settings/common/schema.js';
 import type {PromptPart} from '../../routing/common/engine-loads.js';
 import type {Header, HttpCall} from '../../wire/common/messages.js';
 import type {AttemptRules} from './attempt-rules.js';
 
-/** One stage of a request, with everything inherited. */
+/** One stage of a request, with all inherited settings resolved. */
 export type StagePlan = {
 	readonly name: string;
 	readonly index: number;
 	readonly kind: StageKind | 'http';
 	readonly pool: string;
-	/** Calls one upstream of the pool runs at once where it does not say. */
+	/** Number of calls that an upstream of the pool runs at once if it does not report a number itself. */
 	readonly slots: number;
-	/** Names the stage in estimates, which all workspaces share. */
+	/** Identifies the stage in time estimates, which all workspaces share. */
 	readonly key: string;
-	/** Names the stage of this workspace in budgets. */
+	/** Identifies the stage of this workspace in retry and hedge budgets. */
 	readonly budgetKey: string;
 	readonly policy: EffectivePolicy;
-	/** Time within which an answer is worth most, where the stage has a target of its own. */
+	/** Time within which an answer has its full value, if the stage has a target of its own. */
 	readonly targetMs?: number;
-	/** Of the route, where it has one; 0 is the most urgent. */
+	/** Priority rank of the route, if it has one; 0 is the most urgent. */
 	readonly rank?: number;
-	/** Parts of the prompt a model engine reads, where it says them. */
+	/** Parts of the prompt that a model engine reads, if the request declares them. */
 	readonly prompt?: readonly PromptPart[];
-	/** Bytes of results that its upstream fetches before it runs, by the data hall where they lie. */
+	/** Size in bytes of the results that the upstream fetches before it runs, by the data hall where they are stored. */
 	readonly inputBytesByHall?: ReadonlyMap<string, number>;
 };
 
-/** Status and headers of an answer. */
+/** Status and headers of an HTTP answer. */
 export type HttpHead = {readonly status: number; readonly headers: readonly Header[]};
 
 /** Results that a request reads before it runs. */
 export type PreparedInputs = {
 	readonly handles: readonly string[];
-	/** Bytes that lie in each data hall, about. */
+	/** Approximate number of bytes stored in each data hall. */
 	readonly bytesByHall: ReadonlyMap<string, number>;
 };
 
 export const noInputs: PreparedInputs = {handles: [], bytesByHall: new Map()};
 
-/** Why the work before a request could not be done. */
+/** Why the preparation of a request failed. */
 export type PreparationFailure = {readonly code: FailureCode; readonly message: string; readonly retryAfterMs?: number};
 
-/** Everything the request machine needs to know at the start. */
+/** Everything that the state machine of a request needs at the start. */
 export type RequestPlan = {
 	readonly requestId: string;
 	readonly workspace: string;
@@ -51,13 +51,13 @@
 	readonly stages: readonly StagePlan[];
 	readonly policy: EffectivePolicy;
 	readonly isRepeatable: boolean;
-	/** Settings the plan was made of. */
+	/** Revision of the settings from which the plan was made. */
 	readonly settingsRevision: number;
 	readonly needsClaim: boolean;
-	/** Whether work on other upstreams must be done before the first stage. */
+	/** Whether work on other upstreams, the preparation, must be done before the first stage. */
 	readonly needsPreparation: boolean;
 	readonly rules: AttemptRules;
-	/** Whether units of the last stage go to the caller as they come. */
+	/** Whether units of the last stage are delivered to the caller as they are received. */
 	readonly isStreaming: boolean;
 	readonly startMs: number;
 	readonly deadlineMs: number;
@@ -69,7 +69,7 @@
 	readonly seed: number;
 };
 
-/** How a request ended, as told to its caller. */
+/** How a request ended, as reported to its caller. */
 export const outcomes = {
 	completed: 'completed', refused: 'refused', failed: 'failed', unknown: 'unknown',
 } as const;
@@ -88,24 +88,24 @@
 	upstreamRejected: 'upstreamRejected',
 	resultUnknown: 'resultUnknown',
 	callerGone: 'callerGone',
-	/** The work before the request could not be done in time. */
+	/** The preparation of the request failed or could not be done in time. */
 	preparationFailed: 'preparationFailed',
 	stopping: 'stopping',
-	/** Several servers ended while they ran it: it is sent to no other. */
+	/** Several servers crashed while they ran the request, so it is sent to no other. */
 	quarantined: 'quarantined',
 } as const;
 export type FailureCode = typeof failureCodes[keyof typeof failureCodes];
 
-/** When a caller may ask another host, which has nothing to wait for. */
+/** Retry delay for a caller that can turn to another host: short, since that host has nothing to wait for. */
 export const otherHostMs = 50;
 
-/** How one attempt ended. */
+/** The states of an attempt: two while it is live, then how it ended. */
 export const attemptStates = {
 	sent: 'sent', started: 'started', notRun: 'notRun', completed: 'completed', failed: 'failed', unknown: 'unknown',
 } as const;
 export type AttemptState = typeof attemptStates[keyof typeof attemptStates];
 
-/** One attempt, as explained to operators. */
+/** The record of one attempt that is shown to operators. */
 export type AttemptTrace = {
 	readonly upstreamId: string;
 	readonly state: AttemptState;
@@ -118,32 +118,32 @@
 	readonly candidates: ReadonlyArray<{readonly upstreamId: string; readonly scoreMs: number}>;
 };
 
-/** One stage, as explained to operators. */
+/** The record of one stage that is shown to operators. */
 export type StageTrace = {
 	readonly stage: string;
 	readonly heldMs: number;
 	readonly tookMs: number;
 	readonly attempts: readonly AttemptTrace[];
-	/** Upstream time that went into the answer. */
+	/** Upstream time that contributed to the answer. */
 	readonly usefulMs: number;
-	/** Upstream time that did not: failed, lost, cancelled. */
+	/** Upstream time of attempts that failed, were lost or were cancelled. */
 	readonly wastedMs: number;
 };
 
-/** The end of a request. */
+/** The result of a request. */
 export type RequestResult = {
 	readonly outcome: RequestOutcome;
-	/** True only where every attempt is known not to have run. */
+	/** True only if every attempt is known not to have run. */
 	readonly isNotRun: boolean;
 	readonly code?: FailureCode;
 	readonly message: string;
 	readonly retryAfterMs?: number;
 	readonly isLate: boolean;
 	readonly tookMs: number;
-	/** Units and chained digest of the whole answer. */
+	/** Unit count and, in `digest`, the chained digest of the complete answer. */
 	readonly units: number;
 	readonly digest: number;
-	/** The answer; already delivered where the request was streaming. */
+	/** The answer; already delivered if the request was streaming. */
 	readonly body: Uint8Array;
 	readonly http?: HttpHead;
 	readonly stages: readonly StageTrace[];
--- a/src/request/common/request-result.ts
+++ b/src/request/common/request-result.ts
@@ -1,4 +1,4 @@
-/** The result of a request, put together once it has ended. */
+/** Assembles the result of a request once it has ended. */
 import {extendDigest} from '../../base/common/hash.js';
 import {
 	failureCodes, outcomes, type FailureCode, type RequestOutcome, type RequestPlan, type RequestResult,
@@ -13,17 +13,17 @@
 	readonly message: string;
 	readonly nowMs: number;
 	readonly code?: FailureCode;
-	/** When to come back, where the part that refused knows. */
+	/** Time after which to retry, if the component that refused the request knows it. */
 	readonly retryAfterMs?: number;
-	/** The run of the last stage, where the request completed. */
+	/** The run of the last stage, if the request completed. */
 	readonly last?: StageRun;
 };
 
 /**
-Puts a result together.
-@param plan - the request.
-@param runs - its stages, as far as they came.
-@param ending - how it ended.
+Creates the result of a request.
+@param plan - the plan of the request.
+@param runs - the runs of the stages that were begun.
+@param ending - how the request ended.
 @returns the result.
 */
 export function makeResult(plan: RequestPlan, runs: readonly StageRun[], ending: Ending): RequestResult {
--- a/src/request/common/request-router.ts
+++ b/src/request/common/request-router.ts
@@ -1,47 +1,47 @@
-/** What the request machine asks of routing; one implementation in the entry, small ones in tests. */
+/** The routing interface that a request uses. Entries implement it for agents and for direct upstreams; tests use small stubs. */
 import type {Choice} from '../../routing/common/chooser.js';
 import type {Standing} from '../../quarantine/common/quarantine.js';
 import type {Attempt} from './attempt.js';
 import type {RequestPlan, StagePlan} from './request-plan.js';
 
-/** Why no upstream of a pool gets work for a while, which waiting a moment does not change. */
+/** Why no upstream of a pool accepts work for so long that holding the request would not help. */
 export type Unavailability = {readonly message: string; readonly retryAfterMs: number};
 
-/** Decisions about upstreams, and what is learnt from attempts. */
+/** Decides about upstreams, and learns from the attempts made. */
 export type RequestRouter = {
-	/** @returns whether a request may be sent, by what became of the same content before. */
+	/** @returns the quarantine status of a request, derived from the outcomes of earlier requests with the same content. */
 	standingOf(plan: RequestPlan): Standing;
 	/**
 	Chooses an upstream.
 	@param stage - the stage to run.
-	@param excluded - upstreams not to choose.
-	@param prefixHash - the shared part of the input.
-	@param nowMs - the time.
-	@returns the choice, or nothing where no upstream may be chosen.
+	@param excluded - upstreams that must not be chosen.
+	@param prefixHash - hash of the part of the input that other requests may share.
+	@param nowMs - the current time.
+	@returns the choice, or `undefined` if no upstream may be chosen.
 	*/
 	choose(stage: StagePlan, excluded: ReadonlySet<string>, prefixHash: number, nowMs: number): Choice | undefined;
-	/** @returns why a stage for which no upstream may be chosen is refused at once; nothing where it may wait for one. */
+	/** @returns why a stage without an available upstream is to be refused at once, or `undefined` if it may wait for one. */
 	unavailability(stage: StagePlan, nowMs: number): Unavailability | undefined;
-	/** @returns when a caller refused by the upstreams of a stage had best come back; nothing where that is not known. */
+	/** @returns after how long a caller that a stage's upstreams refused should retry, or `undefined` if that is not known. */
 	retryAfterMs(stage: StagePlan, nowMs: number): number | undefined;
-	/** @returns whether a retry of this stage is within the budget; it is then paid for. */
+	/** @returns whether the budget allows a retry of this stage; if so, the retry is charged to the budget. */
 	mayRetry(stage: StagePlan, nowMs: number): boolean;
-	/** @returns after how long an attempt is hedged, or nothing where it is not. */
+	/** @returns the time after which an attempt is hedged, or `undefined` if it is not hedged. */
 	hedgeDelayMs(stage: StagePlan): number | undefined;
-	/** @returns whether a hedge of this stage is within the budget; it is then paid for. */
+	/** @returns whether the budget allows a hedge of this stage; if so, the hedge is charged to the budget. */
 	mayHedge(stage: StagePlan, nowMs: number): boolean;
-	/** @returns the time that even a lucky run of these stages takes on the upstreams, without any wait. */
+	/** @returns an optimistic estimate of the time that the stages run on upstreams, without queueing. */
 	optimisticRunMs(stages: readonly StagePlan[]): number;
-	/** @returns the same with the shortest waits there are now. */
+	/** @returns an optimistic estimate of the time until the stages are finished, with the shortest current queueing times. */
 	optimisticFinishMs(stages: readonly StagePlan[], nowMs: number): number;
-	/** An attempt was sent. */
+	/** Called when an attempt is sent. */
 	didDispatch(stage: StagePlan, attempt: Attempt, prefixHash: number, nowMs: number): void;
-	/** The first unit of an attempt's answer has come; called at most once for each attempt. */
+	/** Called when the first unit of an attempt's answer is received; at most once for each attempt. */
 	didBegin(stage: StagePlan, attempt: Attempt, nowMs: number): void;
-	/** An attempt has ended; called once for each that was sent. */
+	/** Called when an attempt has ended; exactly once for each attempt sent. */
 	didEnd(stage: StagePlan, attempt: Attempt, nowMs: number): void;
-	/** A stage was completed. */
+	/** Called when a stage is completed. */
 	didComplete(stage: StagePlan, tookMs: number): void;
-	/** @returns an id that no other dispatch has. */
+	/** @returns a unique dispatch id. */
 	newDispatchId(): string;
 };
--- a/src/request/common/stage-answer.ts
+++ b/src/request/common/stage-answer.ts
@@ -1,9 +1,9 @@
-/** The answer of one stage as it grows: pieces in order, and their units. */
+/** The answer of one stage as it is received: its chunks in order, and their number of units. */
 import {joinBytes} from '../../base/common/bytes.js';
 
 const maxAnswerBytes = 32 * 1024 * 1024;
 
-/** Collects an answer; what is in it is never taken back. */
+/** Accumulates the chunks of an answer; chunks are never removed. */
 export class StageAnswer {
 	static create(): StageAnswer {
 		return new StageAnswer();
@@ -16,15 +16,15 @@
 		return this.count;
 	}
 
-	/** The whole answer so far, in memory of its own. */
+	/** A copy of all bytes received so far. */
 	get body(): Uint8Array {
 		return joinBytes(this.pieces);
 	}
 
 	/**
-	Adds the next piece.
-	@param units - units in it.
-	@param data - the piece.
+	Appends the next chunk.
+	@param units - the number of units in the chunk.
+	@param data - the chunk.
 	*/
 	add(units: number, data: Uint8Array): void {
 		this.pieces.push(data);
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Tells whether an answer of this size is more than is taken. */
+/** Returns whether an answer of this size exceeds the maximum. */
 export function isTooLarge(sizeBytes: number): boolean {
 	return sizeBytes > maxAnswerBytes;
 }
--- a/src/request/common/stage-dispatch.ts
+++ b/src/request/common/stage-dispatch.ts
@@ -1,23 +1,23 @@
-/** The message that sends an attempt to an agent. */
+/** Creates the message that sends an attempt to its upstream or agent. */
 import type {DispatchMessage, UpstreamCall} from '../../wire/common/messages.js';
 import {creditWindow, type Attempt} from './attempt.js';
 import type {PreparedInputs, RequestPlan, StagePlan} from './request-plan.js';
 
-/** What a dispatch is made of. */
+/** The data from which a dispatch message is created. */
 export type DispatchParts = {
 	readonly plan: RequestPlan;
 	readonly stage: StagePlan;
 	readonly input: Uint8Array;
-	/** Results of the work before the request. */
+	/** Results of the request's preparation. */
 	readonly inputs?: PreparedInputs;
 	readonly startByMs: number;
 };
 
 /**
-Makes the message of an attempt.
-@param parts - request, stage and input.
+Creates the dispatch message of an attempt.
+@param parts - the request, the stage and its input.
 @param attempt - the attempt.
-@param nowMs - the time; the message carries times left, not times.
+@param nowMs - the current time; the message carries remaining durations instead of points in time.
 @returns the message.
 */
 export function makeDispatch(parts: DispatchParts, attempt: Attempt, nowMs: number): DispatchMessage {
--- a/src/request/common/stage-events.ts
+++ b/src/request/common/stage-events.ts
@@ -1,12 +1,12 @@
-/** Hands an event that concerns a stage to the run of that stage. */
+/** Forwards events that concern a stage to the run of that stage. */
 import type {RequestEvent} from './request-events.js';
 import type {StageRun} from './stage-run.js';
 
 /**
-Hands on an event.
-@param run - the current stage's run.
-@param event - what happened; events about the request itself do nothing here.
-@param nowMs - the time.
+Forwards an event to a stage run.
+@param run - the run of the current stage.
+@param event - the event; events about the request itself are ignored.
+@param nowMs - the current time.
 */
 export function applyToStage(run: StageRun, event: RequestEvent, nowMs: number): void {
 	switch (event.type) {
--- a/src/request/common/stage-hold.ts
+++ b/src/request/common/stage-hold.ts
@@ -1,12 +1,12 @@
-/** How long a stage is held while no upstream can take it. */
+/** Tracks how long a stage is held while no upstream is available for it. */
 
-/** How soon upstreams are looked at again: far below the time of a call. */
+/** Interval at which a held stage looks for an upstream again; short compared with the duration of a call. */
 const holdRetryMs = 20;
 
-/** Follows the times at which one stage is held; whether it is held now is its status. */
+/** Records the periods during which one stage is held. Whether it is held now is part of the stage's status. */
 export class StageHold {
 	/**
-	Makes the hold of a stage that no upstream has taken yet.
+	Creates the hold of a stage that has not been sent to an upstream yet.
 	@param startMs - when the stage began.
 	*/
 	static create(startMs: number): StageHold {
@@ -18,43 +18,43 @@
 
 	private constructor(private sinceMs: number) {}
 
-	/** Time held so far, without the hold that is not over. */
+	/** Total time of all completed holds; a hold in progress is not included. */
 	get heldMs(): number {
 		return this.totalMs;
 	}
 
-	/** When upstreams are looked at again. */
+	/** When the stage looks for an upstream again. */
 	get retryAtMs(): number {
 		return this.nextTryMs;
 	}
 
 	/**
-	Gives the end of the hold.
-	@param longestMs - how long the stage may be held at once.
+	Returns when the current hold must end.
+	@param longestMs - the maximum duration of a single hold.
 	*/
 	endMs(longestMs: number): number {
 		return this.sinceMs + longestMs;
 	}
 
 	/**
-	The stage is held from now on.
-	@param nowMs - the time.
+	Starts a hold.
+	@param nowMs - the current time.
 	*/
 	begin(nowMs: number): void {
 		this.sinceMs = nowMs;
 	}
 
 	/**
-	No upstream can take the stage now.
-	@param nowMs - the time.
+	Schedules the next look for an upstream.
+	@param nowMs - the current time.
 	*/
 	retryLater(nowMs: number): void {
 		this.nextTryMs = nowMs + holdRetryMs;
 	}
 
 	/**
-	The hold is over, with or without an upstream.
-	@param nowMs - the time.
+	Ends the hold, whether or not an upstream was found.
+	@param nowMs - the current time.
 	*/
 	end(nowMs: number): void {
 		this.totalMs += nowMs - this.sinceMs;
--- a/src/request/common/stage-recovery.test.ts
+++ b/src/request/common/stage-recovery.test.ts
@@ -10,7 +10,7 @@
 	return recovery.type === 'failed' ? recovery.code : recovery.type;
 };
 
-t.test('another attempt follows while time, attempts and budget allow', async t => {
+t.test('another attempt is made while time, the number of attempts and the budget allow it', async t => {
 	t.equal(codeOf({}), 'again');
 	t.equal(codeOf({areSpent: true}), 'attemptsExhausted');
 	t.equal(codeOf({isTooLate: true}), 'deadlineExceeded');
@@ -18,13 +18,13 @@
 	t.equal(codeOf({isOver: true}), 'upstreamFailed');
 });
 
-t.test('what may have run and may not be repeated is never tried again', async t => {
+t.test('work that may have run and may not be repeated is never retried', async t => {
 	t.equal(codeOf({isRepeatable: false}), 'upstreamFailed');
 	t.equal(codeOf({isRepeatable: false, hasUnknown: true}), 'resultUnknown');
 	t.equal(codeOf({isRepeatable: false, isNotRun: true}), 'again');
 });
 
-t.test('a refusal costs no budget where refusals are free, and says that there was no room', async t => {
+t.test('a refusal takes no retry budget where refusals are free, and is reported as overload', async t => {
 	const declined = {isNotRun: true, mayRetry: () => false};
 	t.equal(codeOf(declined), 'again');
 	t.equal(codeOf({...declined, areRefusalsFree: false}), 'overloaded');
--- a/src/request/common/stage-recovery.ts
+++ b/src/request/common/stage-recovery.ts
@@ -1,36 +1,37 @@
-/** What follows once an attempt of a stage has ended without the result, and no other is under way. */
+/** Decides what follows when an attempt at a stage has ended without a result and no other attempt is live. */
 import {failureCodes, type FailureCode} from './request-plan.js';
 
-/** What decides. */
+/** The facts on which the decision depends. */
 export type RecoveryFacts = {
-	/** What is told where nothing more is tried. */
+	/** The failure to report if there is no further attempt. */
 	readonly code: FailureCode;
 	readonly message: string;
 	/** Whether the last attempt is known not to have run. */
 	readonly isNotRun: boolean;
-	/** Whether an attempt that was not run costs nothing. */
+	/** Whether retrying an attempt that did not run is not charged to the retry budget. */
 	readonly areRefusalsFree: boolean;
 	readonly isRepeatable: boolean;
-	/** Whether the request's answer is settled, so that a lost attempt is not made up for. */
+	/** Whether the answer to the request is already final, so that a lost attempt is not replaced. */
 	readonly isOver: boolean;
-	/** Whether the end of any attempt is not known. */
+	/** Whether the result of any ended attempt is unknown. */
 	readonly hasUnknown: boolean;
-	/** Whether there were as many attempts as there may be. */
+	/** Whether the maximum number of attempts or refusals has been reached. */
 	readonly areSpent: boolean;
 	/** Whether it is too late to start on an upstream. */
 	readonly isTooLate: boolean;
-	/** Asks for a share of the retry budget; asked last, since asking spends it. */
+	/** Takes one retry from the retry budget if there is one left; called last, since a successful call spends it. */
 	readonly mayRetry: () => boolean;
 };
 
-/** Another attempt, or why there is none. */
+/** Another attempt, or the reason why there is none. */
 export type Recovery
 	= | {readonly type: 'again'}
 		| {readonly type: 'failed'; readonly code: FailureCode; readonly message: string};
 
 /**
-Decides whether there is another attempt.
-@param facts - what decides.
+Decides whether another attempt is made.
+@param facts - the facts on which the decision depends.
+@returns another attempt, or the failure to report.
 */
 export function decideRecovery(facts: RecoveryFacts): Recovery {
 	const {code, message, isNotRun} = facts;
--- a/src/request/common/stage-run-list.ts
+++ b/src/request/common/stage-run-list.ts
@@ -1,22 +1,22 @@
-/** The runs of a request's stages, as far as they came. */
+/** The runs of those stages of a request that were begun. */
 import type {Attempt} from './attempt.js';
 import type {StageRun} from './stage-run.js';
 
-/** Holds runs in the order of the stages. */
+/** Holds stage runs in the order of the stages. */
 export class StageRunList {
 	static create(): StageRunList {
 		return new StageRunList();
 	}
 
 	readonly all: StageRun[] = [];
-	/** Attempts of a run that was taken out, as far as they may have run; all have ended. */
+	/** Attempts of a removed run that may have run; all of them have ended. */
 	earlier: readonly Attempt[] = [];
 
 	get count(): number {
 		return this.all.length;
 	}
 
-	/** The run of the stage the request has come to; none before its first. */
+	/** The run of the latest stage begun; `undefined` before the first one. */
 	get current(): StageRun | undefined {
 		return this.all.at(-1);
 	}
@@ -31,17 +31,17 @@
 		return this.earlier.length > 0 || this.all.some(run => run.attempts.mayHaveRun);
 	}
 
-	/** Whether any attempt has not ended. */
+	/** Whether any attempt is still live. */
 	get hasLive(): boolean {
 		return this.all.some(run => run.attempts.hasLive);
 	}
 
-	/** Whether the end of any attempt is not known, or not known yet. */
+	/** Whether the result of any attempt is unknown or still pending. */
 	get isUnsettled(): boolean {
 		return this.earlier.length > 0 || this.all.some(run => run.attempts.hasLive || run.attempts.hasUnknown);
 	}
 
-	/** Whether only the first stage was begun, and no attempt is known to have started. */
+	/** Whether only the first stage was begun and none of its attempts is known to have started. */
 	get isUnstarted(): boolean {
 		return this.count === 1 && !this.all[0].attempts.hasStarted;
 	}
@@ -51,9 +51,9 @@
 	}
 
 	/**
-	Takes a run out whose stage is begun again. What may have run of it is remembered: a caller must not be told that its
-	request has not, nor an upstream be tried more often than it may be.
-	@param run - one of the list.
+	Removes a run whose stage is begun again. Its attempts that may have run are kept, so that the caller is not told that its
+	request has not run, and the stage does not exceed its maximum number of attempts.
+	@param run - a run in the list.
 	*/
 	beginAgain(run: StageRun): void {
 		this.earlier = run.attempts.all.filter(attempt => attempt.mayHaveRun);
@@ -61,8 +61,8 @@
 	}
 
 	/**
-	Cancels whatever still runs, and counts it as unknown.
-	@param nowMs - the time.
+	Cancels all live attempts and records their results as unknown.
+	@param nowMs - the current time.
 	*/
 	abandon(nowMs: number): void {
 		for (const run of this.all) {
--- a/src/request/common/stage-run.ts
+++ b/src/request/common/stage-run.ts
@@ -1,4 +1,4 @@
-/** The run of one stage: attempts, hedges, resumption, and its single result. */
+/** The run of one stage: its attempts, with retries, hedges and resumption, and its single result. */
 import {
 	refusalReasons, type ChunkMessage, type EndMessage, type RefusedMessage, type StartedMessage,
 } from '../../wire/common/messages.js';
@@ -18,16 +18,16 @@
 
 const firstServerError = 500;
 
-/** Where a stage stands. */
+/** The status of a stage run. */
 export type StageStatus
 	= | {readonly type: 'holding'}
 		| {readonly type: 'running'}
-	/** Nothing ran: results the stage was to read are lost. */
+	/** Nothing ran, because results that the stage was to read are lost. */
 		| {readonly type: 'inputsGone'}
 		| {readonly type: 'done'}
 		| {readonly type: 'failed'; readonly code: FailureCode; readonly message: string; readonly retryAfterMs?: number};
 
-/** What a stage run needs. */
+/** Options of a stage run. */
 export type StageRunOptions = {
 	readonly plan: RequestPlan;
 	readonly stage: StagePlan;
@@ -37,15 +37,15 @@
 	/** Latest time at which the stage may start on an upstream. */
 	readonly startByMs: number;
 	readonly isLast: boolean;
-	/** Attempts of a former run of the stage that may have run: they count as those of this one do. */
+	/** Attempts of an earlier run of the stage that may have run; they count like the attempts of this run. */
 	readonly earlier?: readonly Attempt[];
-	/** Whether the stage was sent before, as when results it was to read were lost: its first send is a repeat then. */
+	/** Whether the stage was sent before, for example when results it was to read were lost; its first attempt is then a retry. */
 	readonly isRepeat: boolean;
 	readonly emit: (action: RequestAction) => void;
 	readonly startMs: number;
 };
 
-/** Runs one stage to one result, whatever its attempts do. */
+/** Runs one stage to a single result, independent of the number of attempts. */
 export class StageRun {
 	static create(options: StageRunOptions): StageRun {
 		return new StageRun(options);
@@ -53,7 +53,7 @@
 
 	status: StageStatus = {type: 'holding'};
 	readonly attempts = AttemptList.create();
-	/** The attempt whose units count, once one has delivered. */
+	/** The attempt whose units count; set once an attempt has delivered any. */
 	private leader: Attempt | undefined;
 	private answer = StageAnswer.create();
 	private receivedBytes = 0;
@@ -61,7 +61,7 @@
 	private endMs = 0;
 	private isRecoveryOver = false;
 	private isHedgeOver = false;
-	/** A whole answer that tells an error. */
+	/** An attempt whose complete answer reports an error. */
 	private errorAnswer: Attempt | undefined;
 
 	private constructor(private readonly options: StageRunOptions) {
@@ -212,7 +212,7 @@
 		} else if (attempt.isWhole(message)) {
 			this.answered(attempt, nowMs);
 		} else {
-			// The end mark names more than has come: the stream was cut on its way.
+			// The end message does not match what was received: the stream was cut in transit.
 			this.end(attempt, attemptStates.unknown, 'incomplete', nowMs);
 			this.recover(failureCodes.upstreamFailed, 'the answer came incomplete', nowMs);
 		}
@@ -220,7 +220,7 @@
 
 	connectionLost(upstreamId: string, nowMs: number): void {
 		if (!this.options.plan.isRepeatable) {
-			// The agent goes on; it is asked once it is back.
+			// The agent continues the work; it is queried after it has reconnected.
 			return;
 		}
 
@@ -238,8 +238,8 @@
 	}
 
 	/**
-	Cancels what still runs, and counts it as unknown; used once the request's answer is settled.
-	@param nowMs - the time.
+	Cancels all live attempts and records their results as unknown; used once the answer to the request is final.
+	@param nowMs - the current time.
 	*/
 	abandon(nowMs: number): void {
 		for (const attempt of this.attempts.live) {
@@ -248,7 +248,7 @@
 		}
 	}
 
-	/** Asks agents to give up what they have not started. */
+	/** Cancels all live attempts without ending them; agents refuse what may not be repeated only if it has not started. */
 	cancelLive(): void {
 		for (const attempt of this.attempts.live) {
 			this.cancel(attempt);
@@ -261,7 +261,7 @@
 		});
 	}
 
-	/** From now on a lost attempt is not made up for: the request's answer is settled. */
+	/** Stops replacing lost attempts, because the answer to the request is final. */
 	stopRecovery(): void {
 		this.isRecoveryOver = true;
 	}
@@ -270,7 +270,7 @@
 		return this.options.isRepeat ? 'retry' : 'first';
 	}
 
-	/** Whether units count as they come, and another attempt may go on behind the last of them. */
+	/** Whether units count as they are received, so that another attempt can resume after the last of them. */
 	private get isIncremental(): boolean {
 		return this.stage.kind === 'generate' || (this.stage.kind === 'http' && this.options.plan.isStreaming);
 	}
@@ -283,7 +283,7 @@
 		return this.status.type === 'done' && (attempt === this.leader || (this.isIncremental && attempt.answer.units > 0));
 	}
 
-	/** Another attempt's units count already. */
+	/** Whether the units of another attempt already count. */
 	private isOvertaken(attempt: Attempt): boolean {
 		return this.isIncremental && this.leader !== undefined && this.leader !== attempt;
 	}
@@ -301,7 +301,7 @@
 		return delayMs === undefined ? Infinity : attempt.options.sentAtMs + delayMs;
 	}
 
-	/** Once for a stage, whether or not the budget allows it. */
+	/** Sends a hedge if the budget allows it. This is decided only once for a stage, whatever the result. */
 	private hedge(nowMs: number): void {
 		this.isHedgeOver = true;
 		if (this.options.router.mayHedge(this.stage, nowMs)) {
@@ -327,7 +327,7 @@
 		}
 	}
 
-	/** A whole answer came; one that tells an error is kept while another attempt may do better. */
+	/** Handles a complete answer. One that reports an error is kept aside while another attempt may succeed. */
 	private answered(attempt: Attempt, nowMs: number): void {
 		const isError = (attempt.http?.status ?? 0) >= firstServerError;
 		if (!isError || !this.options.plan.rules.retriesErrorAnswers || !this.options.plan.isRepeatable || this.leader) {
@@ -364,7 +364,7 @@
 		}
 	}
 
-	/** After an attempt ended without the result: another one, if it may be. */
+	/** Makes another attempt after one ended without a result, if that is allowed; otherwise the stage fails. */
 	private recover(code: FailureCode, message: string, nowMs: number): void {
 		if (this.status.type !== 'running' || this.attempts.hasLive) {
 			return;
@@ -414,7 +414,7 @@
 
 		const tried = this.attempts.upstreamIds;
 		const choice = router.choose(this.stage, tried, plan.prefixHash, nowMs)
-			// Trying the same one again beats not trying, unless a hedge was wanted.
+			// If every upstream was tried, one is tried again rather than none, except for a hedge.
 			?? (kind === 'hedge' || tried.size === 0 ? undefined : router.choose(this.stage, new Set(), plan.prefixHash, nowMs));
 		if (!choice) {
 			this.hold(kind, nowMs);
@@ -435,7 +435,10 @@
 		this.options.emit({type: 'dispatch', upstreamId: attempt.options.upstreamId, message: makeDispatch(this.options, attempt, nowMs)});
 	}
 
-	/** The same content has ended servers: it goes to no other, and waits while it is not known whether it has. */
+	/**
+	Handles a request whose content may have crashed servers: it is held while that is in doubt. Once the content is barred, it is
+	sent to no other server and the stage fails, unless an attempt is live.
+	*/
 	private holdBack(standing: Exclude<Standing, {type: 'clear'}>, kind: AttemptTrace['kind'], nowMs: number): void {
 		if (standing.type === 'inDoubt') {
 			this.hold(kind, nowMs);
@@ -450,7 +453,7 @@
 			return;
 		}
 
-		// Its caller has part of the answer: a moment's wait is better than an end in the middle.
+		// The caller already has part of the answer: a short wait is better than breaking off the answer.
 		const isBegun = this.answer.units > 0;
 		const unavailability = isBegun ? undefined : this.options.router.unavailability(this.stage, nowMs);
 		if (unavailability) {
@@ -499,7 +502,7 @@
 
 	private fail(code: FailureCode, message: string, retryAfterMs?: number): void {
 		if (this.errorAnswer && this.answer.units === 0) {
-			// The upstream's own error says more than ours.
+			// The upstream's own error answer is more informative than a generic failure.
 			this.leader = this.errorAnswer;
 			this.answer = this.errorAnswer.answer;
 			this.status = {type: 'done'};
--- a/src/request/common/stage-trace.ts
+++ b/src/request/common/stage-trace.ts
@@ -1,18 +1,18 @@
-/** The trace of a stage: its attempts, and what of their time went into the answer. */
+/** Creates the trace of a stage: its attempts, and how much of their upstream time contributed to the answer. */
 import type {Attempt} from './attempt.js';
 import type {StageTrace} from './request-plan.js';
 
-/** What a trace is made of. */
+/** The data from which a trace is created. */
 export type TraceParts = Pick<StageTrace, 'stage' | 'heldMs' | 'tookMs'> & {
 	readonly attempts: readonly Attempt[];
-	/** Whether an attempt's units are part of the answer. */
+	/** Returns whether an attempt's units are part of the answer. */
 	readonly isUseful: (attempt: Attempt) => boolean;
 };
 
 /**
-Makes the trace of a stage.
-@param parts - times and attempts.
-@returns the trace, with upstream time useful and wasted.
+Creates the trace of a stage.
+@param parts - the times and attempts of the stage.
+@returns the trace, with upstream time divided into useful and wasted time.
 */
 export function makeStageTrace({stage, heldMs, tookMs, attempts, isUseful}: TraceParts): StageTrace {
 	let usefulMs = 0;
--- a/src/request/common/upstream-links.ts
+++ b/src/request/common/upstream-links.ts
@@ -1,21 +1,21 @@
-/** How the life of a request reaches upstreams: through agents, or straight. */
+/** The transport between a request and its upstreams, either through agents or directly. */
 import type {Event} from '../../base/common/emitter.js';
 import type {Message} from '../../wire/common/messages.js';
 
 /** A message about work on an upstream. */
 export type UpstreamMessage = {readonly upstreamId: string; readonly message: Message};
 
-/** Sends work to upstreams and tells what becomes of it. */
+/** Sends messages to upstreams, and reports received messages and changes of connections. */
 export type UpstreamLinks = {
 	readonly onDidReceive: Event<UpstreamMessage>;
-	/** The way to an upstream is cut. */
+	/** Fires with the upstream's id when the connection to an upstream is lost. */
 	readonly onDidLose: Event<string>;
-	/** The same incarnation is reached again. */
+	/** Fires with the upstream's id when the same incarnation is connected again. */
 	readonly onDidReconnect: Event<string>;
-	/** Another incarnation stands where one was. */
+	/** Fires with the upstream's id when a new incarnation has taken the place of the former one. */
 	readonly onDidReplace: Event<string>;
-	/** An upstream may be chosen that could not be before. */
+	/** Fires with the upstream's id when an upstream becomes available that could not be chosen before. */
 	readonly onDidJoin: Event<string>;
-	/** @returns false if nothing was sent. */
+	/** @returns whether the message was sent. */
 	send(upstreamId: string, message: Message): boolean;
 };
--- a/src/request/node/request-runner.test.ts
+++ b/src/request/node/request-runner.test.ts
@@ -1,6 +1,6 @@
 /**
-What a request does when its host wakes from a sleep or a freeze. Timers run before sockets are read, so that what
-came meanwhile has not been seen when all that was due is due at once.
+Tests how a request behaves when its host resumes after a suspension or a freeze. Timers run before sockets are read, so messages
+that arrived meanwhile are still unread when all overdue timers fire at once.
 */
 import t from 'tap';
 import {idleRouter} from '../../../test/idle-router.js';
@@ -35,7 +35,7 @@
 	};
 }
 
-/** A request at work, with all that was sent for it. */
+/** Starts a request and records all messages sent for it. */
 function startRequest(changes: Partial<RequestPlan> = {}) {
 	const clock = ManualClock.create();
 	const received = Emitter.create<UpstreamMessage>();
@@ -81,7 +81,7 @@
 	type: 'chunk', dispatchId: 'd0', sequence, units: 1, data: new Uint8Array([sequence]),
 });
 
-t.test('an upstream is not taken for silent by a host that has not read what came while it slept', async t => {
+t.test('an upstream is not timed out by a host that has not yet read what arrived while it was suspended', async t => {
 	const {clock, receive, typesSent} = startRequest();
 	receive(chunk(0));
 	clock.advance(500);
@@ -89,12 +89,12 @@
 	t.same(typesSent(), ['dispatch']);
 	receive(chunk(1));
 	clock.advance(silenceMs - 1);
-	t.same(typesSent(), ['dispatch'], 'it goes on where it was');
+	t.same(typesSent(), ['dispatch'], 'the attempt continues');
 	clock.advance(200);
-	t.same(typesSent(), ['dispatch', 'cancel', 'dispatch'], 'silence counts from what was read last');
+	t.same(typesSent(), ['dispatch', 'cancel', 'dispatch'], 'the timeout counts from the last message read');
 });
 
-t.test('a request past its deadline is not sent after a sleep', async t => {
+t.test('a request past its deadline is not sent after a suspension', async t => {
 	const {clock, prepare, results, typesSent} = startRequest({needsPreparation: true});
 	clock.advance(100);
 	clock.sleep(9000);
--- a/src/request/node/request-runner.ts
+++ b/src/request/node/request-runner.ts
@@ -1,4 +1,4 @@
-/** Runs request machines: feeds them what happens, and carries out what they say. */
+/** Runs the state machines of requests: passes events to them and performs the actions that they return. */
 import type {Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {ok, type Outcome} from '../../base/common/outcome.js';
@@ -11,31 +11,34 @@
 import type {RequestRouter} from '../common/request-router.js';
 import type {UpstreamLinks, UpstreamMessage} from '../common/upstream-links.js';
 
-/** A timer that is this late means that this host stood still, frozen or asleep, and has not read what came meanwhile. */
+/** Delay of a timer from which this host is assumed to have been frozen or suspended, and not to have read what arrived meanwhile. */
 const ownPauseMs = 400;
-/** Time to read it: timers run before sockets are read, and on waking everything that was due is due at once. */
+/** Time given to read the sockets first: timers run before sockets are read, and on resumption all overdue timers fire at once. */
 const readFirstMs = 50;
 
-/** What a request's caller side does for it. */
+/** The callbacks by which a request uses its caller's side. */
 export type RequestHooks = {
-	/** Registers the request, where it may run only once. */
+	/** Registers a request that may run only once. */
 	claim(): Promise<Outcome<GrantedClaim, ClaimRefusal>>;
-	/** A repeat of a key: the caller gets what is known of the first. */
+	/** Answers a request that repeats an idempotency key with what is known of the first request. */
 	taken(refusal: Extract<ClaimRefusal, {code: 'taken'}>): void;
 	/**
-	Does the work that must be done before the request itself can run.
-	@param isAgain - whether results made before are lost.
+	Prepares the request: does the work that must be done before the request itself can run.
+	@param isAgain - whether the preparation is repeated because its earlier results are lost.
+	@returns the prepared inputs, or why the preparation failed.
 	*/
 	prepare?(isAgain: boolean): Promise<Outcome<PreparedInputs, PreparationFailure>>;
 	/**
-	Units for a streaming caller.
-	@param http - status and headers of the upstream whose answer this is.
-	@returns ends when the caller can take more, or nothing if it can at once.
+	Delivers units of the answer to a streaming caller.
+	@param units - the number of units.
+	@param data - the bytes of the units.
+	@param http - status and headers of the upstream's answer.
+	@returns a promise that resolves when the caller can take more, or `undefined` if it can at once.
 	*/
 	deliver(units: number, data: Uint8Array, http?: HttpHead): Promise<void> | undefined;
-	/** The final answer. */
+	/** Gives the caller the final answer. */
 	finish(result: RequestResult): void;
-	/** What became of it after `unknown` was told. */
+	/** Records the outcome of a request whose caller was given `unknown`. */
 	settle(outcome: RequestOutcome): void;
 };
 
@@ -44,11 +47,11 @@
 	readonly hooks: RequestHooks;
 	timer: Disposable | undefined;
 	timerAtMs: number;
-	/** A streaming caller that can't take more; credit waits for it. */
+	/** Resolves when a streaming caller that is behind can take more; credit is not granted before. */
 	blocked: Promise<void> | undefined;
 };
 
-/** Holds the requests of one entry. */
+/** Runs all requests of one entry. */
 export class RequestRunner implements Disposable {
 	static create(links: UpstreamLinks, router: RequestRouter, clock: Clock): RequestRunner {
 		return new RequestRunner(links, router, clock);
@@ -57,7 +60,7 @@
 	private readonly running = new Set<Running>();
 	private readonly byDispatch = new Map<string, Running>();
 	private readonly owned = DisposableStore.create();
-	/** Chunks, ends and refusals of no current attempt. */
+	/** Number of received messages that belong to no current request. */
 	private dropped = 0;
 	private isDisposed = false;
 
@@ -89,9 +92,9 @@
 
 	/**
 	Runs a request.
-	@param plan - what to do.
-	@param hooks - the caller's side.
-	@returns call it when the caller goes away.
+	@param plan - the plan of the request.
+	@param hooks - the callbacks to the caller's side.
+	@returns a function to call when the caller disconnects.
 	*/
 	start(plan: RequestPlan, hooks: RequestHooks): () => void {
 		const running: Running = {
@@ -104,18 +107,18 @@
 		};
 	}
 
-	/** The process ends in a moment: what no upstream can have begun is refused, and the rest goes on as long as it can. */
+	/** Refuses all requests that no upstream can have begun, since the process is about to stop. The others go on as long as they can. */
 	refuseUnstarted(): void {
 		this.broadcast({type: 'hostStops'});
 	}
 
-	/** Some request was barred from upstreams: those of its content that wait are refused. */
+	/** Refuses waiting requests whose content has been barred; called whenever some request is quarantined. */
 	standingChanged(): void {
 		this.broadcast({type: 'standingChanged'});
 	}
 
 	dispose(): void {
-		// Connections that close from now on must set no timer: nothing would end it.
+		// Connections that close after this must not set a timer, since nothing would dispose it.
 		this.isDisposed = true;
 		this.owned.dispose();
 		for (const running of this.running) {
@@ -134,7 +137,7 @@
 		} else {
 			this.dropped++;
 			if (message.type === 'started' || message.type === 'chunk') {
-				// Nobody waits for it any more.
+				// No request waits for this work any more.
 				this.links.send(upstreamId, {type: 'cancel', dispatchId: message.dispatchId});
 			}
 		}
@@ -176,7 +179,7 @@
 				const {dispatchId} = action.message;
 				this.byDispatch.set(dispatchId, running);
 				if (!this.links.send(action.upstreamId, action.message)) {
-					// On a later turn: the machine is not entered while its actions are carried out.
+					// Deferred to a later turn, since the state machine must not be re-entered while its actions are performed.
 					this.clock.setTimer(0, () => {
 						this.feed(running, {type: 'notSent', dispatchId});
 					});
@@ -237,7 +240,7 @@
 			: {type: 'preparationFailed', failure: prepared.error});
 	}
 
-	/** A slow caller holds up its own stream only: the agent gets no credit until the caller has read. */
+	/** Grants credit to the agent once the caller has read what it was sent, so that a slow caller delays only its own stream. */
 	private async grant(running: Running, action: Extract<RequestAction, {type: 'credit'}>): Promise<void> {
 		await running.blocked;
 		this.links.send(action.upstreamId, {type: 'credit', dispatchId: action.dispatchId, chunks: action.chunks});
@@ -262,8 +265,8 @@
 	}
 
 	/**
-	Tells a request that its time has come; after a pause of this host only once its sockets were read, so that an upstream
-	is not taken for silent, nor a call sent a second time, while the answer lies unread.
+	Sends a `tick` event to a request whose timer has fired. After a pause of this host the event waits until the sockets have been
+	read, so that an upstream is not treated as silent, and no call is sent a second time, while its answer is still unread.
 	*/
 	private wake(running: Running, dueMs: number): void {
 		const tick = () => {
