--- a/src/request/common/claim-store.ts
+++ b/src/request/common/claim-store.ts
@@ -155,7 +155,7 @@
 		return false;
 	}
 
-	/** Releases a claim that was refused but may still be written late, as its write's response was lost: nothing ran under it. */
+	/** Releases a claim that was not granted but whose write may still take effect, as its response was lost; nothing ran under it. */
 	private async release(key: string, claim: Claim): Promise<void> {
 		const untilMs = this.options.clock.nowMs() + settleTimeMs;
 		while (this.options.clock.nowMs() < untilMs) {
--- a/src/request/common/claim.ts
+++ b/src/request/common/claim.ts
@@ -24,7 +24,7 @@
 });
 /** The stored state of a request that runs at most once. */
 export type Claim = z.infer<typeof claimSchema>;
-/** An answer stored with its claim, so that a repeated request gets the same answer. */
+/** A response stored with its claim, so that a repeated request gets the same response. */
 export type KeptAnswer = NonNullable<Claim['answer']>;
 
 /**
--- a/src/request/common/stage-run.ts
+++ b/src/request/common/stage-run.ts
@@ -248,7 +248,7 @@
 		}
 	}
 
-	/** Cancels all live attempts without ending them; agents refuse what may not be repeated only if it has not started. */
+	/** Asks the agents to cancel all live attempts; work that may not be repeated is withdrawn only if it has not started. */
 	cancelLive(): void {
 		for (const attempt of this.attempts.live) {
 			this.cancel(attempt);
--- a/src/request/node/request-runner.ts
+++ b/src/request/node/request-runner.ts
@@ -60,7 +60,7 @@
 	private readonly running = new Set<Running>();
 	private readonly byDispatch = new Map<string, Running>();
 	private readonly owned = DisposableStore.create();
-	/** Number of received messages that belong to no current request. */
+	/** Number of received messages about dispatches of no current request. */
 	private dropped = 0;
 	private isDisposed = false;
 
