--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -6,8 +6,8 @@
 import {FleetRouter} from '../src/entry/common/fleet-router.js';
 import {Planner} from '../src/entry/common/planner.js';
 import {MemberTable} from '../src/membership/common/member-table.js';
-import {GateMachine} from '../src/request/common/gate-machine.js';
-import {RequestMachine} from '../src/request/common/request-machine.js';
+import {GateStateMachine} from '../src/request/common/gate-state-machine.js';
+import {RequestStateMachine} from '../src/request/common/request-state-machine.js';
 import type {RequestPlan} from '../src/request/common/request-plan.js';
 import type {Candidate} from '../src/routing/common/chooser.js';
 import {EngineLoads, makePrompt, type PromptPart} from '../src/routing/common/engine-loads.js';
@@ -79,7 +79,7 @@
 
 /** Runs a whole request of one generating stage through its machine, with a token in each chunk. */
 function runRequest(plan: RequestPlan, router: FleetRouter): void {
-	const machine = RequestMachine.create(plan, router);
+	const machine = RequestStateMachine.create(plan, router);
 	const [action] = machine.handle({type: 'start'}, digest.startMs);
 	if (action.type !== 'dispatch') {
 		throw new Error(`expected a dispatch, got ${action.type}`);
@@ -100,7 +100,7 @@
 	machine.handle({type: 'callerGone'}, digest.startMs);
 }
 
-function runGate(gate: GateMachine, dispatch: DispatchMessage, serial: number): void {
+function runGate(gate: GateStateMachine, dispatch: DispatchMessage, serial: number): void {
 	const dispatchId = `d${serial}`;
 	gate.dispatch(1, {...dispatch, dispatchId}, false, serial);
 	gate.callStarted(dispatchId, undefined, serial);
@@ -133,14 +133,14 @@
 	const router = makeRouter(64, clock);
 	const single: RequestPlan = {...plan, stages: [{...stage, index: 0}]};
 	let dispatch: DispatchMessage | undefined;
-	for (const action of RequestMachine.create(single, router).handle({type: 'start'}, digest.startMs)) {
+	for (const action of RequestStateMachine.create(single, router).handle({type: 'start'}, digest.startMs)) {
 		dispatch = action.type === 'dispatch' ? action.message : dispatch;
 	}
 
 	const chunk: Message = {
 		type: 'chunk', dispatchId: 'abcdefghijklmnop', sequence: 17, units: 1, data: new Uint8Array(6),
 	};
-	const gate = GateMachine.create({slots: 8, maxQueue: 32});
+	const gate = GateStateMachine.create({slots: 8, maxQueue: 32});
 	let serial = 0;
 	bench.add('make a plan of four stages', () => {
 		planOf(planner, digest.startMs);
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -7,7 +7,7 @@
 import {gateToken} from '../src/daemon/node/compose-agent.js';
 import {membersToken, prefixesToken, routerToken} from '../src/daemon/node/compose-entry.js';
 import {FleetRouter} from '../src/entry/common/fleet-router.js';
-import {GateMachine} from '../src/request/common/gate-machine.js';
+import {GateStateMachine} from '../src/request/common/gate-state-machine.js';
 import {
 	LeastInFlightChooser, RandomChooser, RoundRobinChooser, type UpstreamChooser,
 } from '../src/routing/common/chooser.js';
@@ -21,7 +21,7 @@
 	return {
 		name,
 		adjust(parts) {
-			parts.register(gateToken, {useFactory: instanceCachingFactory(() => GateMachine.create(defaultLimits, ArrivalQueue.create()))});
+			parts.register(gateToken, {useFactory: instanceCachingFactory(() => GateStateMachine.create(defaultLimits, ArrivalQueue.create()))});
 			parts.register(routerToken, {
 				useFactory: instanceCachingFactory(() => FleetRouter.create({
 					hall: parts.resolve(identityToken).hall,
--- a/src/agent/node/agent-service.ts
+++ b/src/agent/node/agent-service.ts
@@ -6,7 +6,7 @@
 import type {Logger} from '../../base/common/logger.js';
 import type {Metrics} from '../../base/common/metrics.js';
 import type {GateAction, GateLimits} from '../../request/common/gate-actions.js';
-import type {GateMachine} from '../../request/common/gate-machine.js';
+import type {GateStateMachine} from '../../request/common/gate-state-machine.js';
 import type {TableService} from '../../store/common/table-service.js';
 import type {SettingsService} from '../../settings/common/settings-service.js';
 import type {SettingsSync} from '../../settings/node/settings-sync.js';
@@ -35,7 +35,7 @@
 /** What an agent is made of. */
 export type AgentOptions = {
 	readonly identity: Identity;
-	readonly gate: GateMachine;
+	readonly gate: GateStateMachine;
 	readonly driver: UpstreamDriver;
 	readonly server: WireServer;
 	readonly settings: SettingsService;
--- a/src/agent/node/call-runner.ts
+++ b/src/agent/node/call-runner.ts
@@ -2,7 +2,7 @@
 import type {Clock} from '../../base/common/clock.js';
 import {messageOf} from '../../base/common/errors.js';
 import type {CallEnd, GateAction} from '../../request/common/gate-actions.js';
-import type {GateMachine} from '../../request/common/gate-machine.js';
+import type {GateStateMachine} from '../../request/common/gate-state-machine.js';
 import type {DispatchMessage} from '../../wire/common/messages.js';
 import type {CallSink, UpstreamDriver} from '../common/upstream-driver.js';
 
@@ -22,14 +22,14 @@
 	@param clock - the time.
 	@param perform - carries out what the gate says.
 	*/
-	static create(gate: GateMachine, driver: UpstreamDriver, clock: Clock, perform: (actions: readonly GateAction[]) => void): CallRunner {
+	static create(gate: GateStateMachine, driver: UpstreamDriver, clock: Clock, perform: (actions: readonly GateAction[]) => void): CallRunner {
 		return new CallRunner(gate, driver, clock, perform);
 	}
 
 	private readonly calls = new Map<string, Call>();
 
 	private constructor(
-		private readonly gate: GateMachine,
+		private readonly gate: GateStateMachine,
 		private readonly driver: UpstreamDriver,
 		private readonly clock: Clock,
 		private readonly perform: (actions: readonly GateAction[]) => void,
@@ -77,7 +77,7 @@
 				this.perform(this.gate.callStarted(dispatchId, http, this.clock.nowMs()));
 			},
 			piece: (units, data) => {
-				this.perform(this.gate.callPiece(dispatchId, units, data, this.clock.nowMs()));
+				this.perform(this.gate.callChunkReceived(dispatchId, units, data, this.clock.nowMs()));
 			},
 			async ready() {
 				while (!call.isOpen && !call.controller.signal.aborted) {
--- a/src/cli/common/quarantine-report.test.ts
+++ b/src/cli/common/quarantine-report.test.ts
@@ -22,7 +22,7 @@
 		line('b', ended, {content: 'c1', server: 's2', ends: 2}),
 		line('b', ended, {content: 'c1', server: 's3', ends: 3}),
 		line('b', barred, {content: 'c1', servers: 's1 s2 s3'}),
-		line('a', requestLogMessages.turnedAway, {
+		line('a', requestLogMessages.refusedOnAdmission, {
 			request: 'r4', content: 'c1', status: 503, reason: 'in quarantine',
 		}),
 	].join('\n'));
--- a/src/cli/common/quarantine-report.ts
+++ b/src/cli/common/quarantine-report.ts
@@ -61,7 +61,7 @@
 			break;
 		}
 
-		case requestLogMessages.turnedAway: {
+		case requestLogMessages.refusedOnAdmission: {
 			report.refusedCount++;
 
 			break;
--- a/src/cli/common/verdicts.ts
+++ b/src/cli/common/verdicts.ts
@@ -17,7 +17,7 @@
 /** A verdict, and why. */
 export type Judgement = {readonly verdict: Verdict; readonly cause: string};
 
-const {ended, refusedAtDoor, turnedAway, poolWaits} = requestLogMessages;
+const {ended, refusedForPredictedWait: refusedAtDoor, refusedOnAdmission: turnedAway, poolBacklog: poolWaits} = requestLogMessages;
 /** Statuses from here on are failures of the upstream. */
 const firstServerError = 500;
 
--- a/src/daemon/node/compose-agent.ts
+++ b/src/daemon/node/compose-agent.ts
@@ -8,7 +8,7 @@
 import {loggerFactoryToken} from '../../base/common/logger.js';
 import {metricsToken} from '../../base/common/metrics.js';
 import {tableServiceToken} from '../../store/common/table-service.js';
-import {GateMachine} from '../../request/common/gate-machine.js';
+import {GateStateMachine} from '../../request/common/gate-state-machine.js';
 import {poolKinds, type PoolKind} from '../../settings/common/schema.js';
 import {settingsServiceToken} from '../../settings/common/settings-service.js';
 import type {AgentHostSettings} from '../common/host-settings.js';
@@ -16,7 +16,7 @@
 import {lifecycleToken, wireServerToken} from './daemon-tokens.js';
 import type {HostSecrets} from './load-host-settings.js';
 
-export const gateToken: InjectionToken<GateMachine> = Symbol('GateMachine');
+export const gateToken: InjectionToken<GateStateMachine> = Symbol('GateMachine');
 export const agentServiceToken: InjectionToken<AgentService> = Symbol('AgentService');
 
 /** The driver for each kind of upstream; a new kind is added here. */
@@ -35,7 +35,7 @@
 export function composeAgent(host: AgentHostSettings, secrets: HostSecrets) {
 	const {parts, register} = composeCommon({host, secrets});
 	const lifecycle = parts.resolve(lifecycleToken);
-	register(gateToken, () => GateMachine.create(defaultLimits));
+	register(gateToken, () => GateStateMachine.create(defaultLimits));
 	register(upstreamDriverToken, () => lifecycle.register(driverMakers[host.upstream.kind](host.upstream.origin)));
 	register(agentServiceToken, () => lifecycle.register(AgentService.create({
 		identity: parts.resolve(identityToken),
--- a/src/daemon/node/compose-entry.ts
+++ b/src/daemon/node/compose-entry.ts
@@ -86,7 +86,7 @@
 		table: parts.resolve(tableServiceToken),
 		clock: parts.resolve(clockToken),
 		writer: parts.resolve(identityToken).incarnation,
-		spacingMs: host.claimSpacingMs,
+		minWriteIntervalMs: host.claimSpacingMs,
 	})));
 	register(accountingToken, () => Accounting.create(parts.resolve(metricsToken)));
 	register(placementToken, () => {
@@ -104,7 +104,7 @@
 			table: parts.resolve(tableServiceToken),
 			clock: parts.resolve(clockToken),
 			random: parts.resolve(randomToken),
-			isHolder: () => placement.leaseEpoch !== undefined,
+			isLeaseHolder: () => placement.leaseEpoch !== undefined,
 		}));
 		lifecycle.register(links.onDidReceive(({message}) => {
 			if (message.type === 'orderReply') {
--- a/src/direct/common/direct-plan.ts
+++ b/src/direct/common/direct-plan.ts
@@ -95,7 +95,7 @@
 		isStreaming,
 		startMs: nowMs,
 		deadlineMs,
-		giveUpMs: deadlineMs,
+		hardDeadlineMs: deadlineMs,
 		input: new Uint8Array(0),
 		http: ask.http,
 		prefixHash: 0,
--- a/src/direct/common/upstream-protocol.ts
+++ b/src/direct/common/upstream-protocol.ts
@@ -2,7 +2,7 @@
 import type {InjectionToken} from 'tsyringe';
 import type {ServerNotice} from '../../deployment/common/server-notices.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
-import type {HttpHead} from '../../request/common/request-plan.js';
+import type {HttpResponseHead} from '../../request/common/request-plan.js';
 import type {HttpCall, RefusalReason} from '../../wire/common/messages.js';
 
 /** One call, as it leaves this host. */
@@ -36,12 +36,12 @@
 	@param head - status and headers, names in small letters.
 	@param callerRequestId - the request's name as its caller gave it.
 	*/
-	readHead(head: HttpHead, callerRequestId: string): HeadReading;
+	readHead(head: HttpResponseHead, callerRequestId: string): HeadReading;
 	/**
 	Reads what an answer says of its server.
 	@param head - status and headers, names in small letters.
 	*/
-	readNotice(head: HttpHead): ServerNotice;
+	readNotice(head: HttpResponseHead): ServerNotice;
 };
 
 type Header = HttpCall['headers'][number];
--- a/src/direct/node/direct-call.ts
+++ b/src/direct/node/direct-call.ts
@@ -4,7 +4,7 @@
 import {extendDigest} from '../../base/common/hash.js';
 import {headersOf, isFinal} from '../../deployment/node/answer-head.js';
 import type {Lane} from '../../deployment/node/lane.js';
-import type {HttpHead} from '../../request/common/request-plan.js';
+import type {HttpResponseHead} from '../../request/common/request-plan.js';
 import {
 	refusalReasons, type DispatchMessage, type Message, type RefusalReason,
 } from '../../wire/common/messages.js';
@@ -28,7 +28,7 @@
 	/** The call is written. */
 	readonly written: () => void;
 	/** The head of an answer has come, whatever it proves. */
-	readonly answered: (head: HttpHead, sentMs: number) => void;
+	readonly answered: (head: HttpResponseHead, sentMs: number) => void;
 	readonly emit: (message: Message) => void;
 	/** An event was passed on; where the answer is taken up again, it goes on after this one. */
 	readonly reached: (eventId: string) => void;
@@ -45,7 +45,7 @@
 
 	private controller: Dispatcher.DispatchController | undefined;
 	private readonly sentMs: number;
-	private head: HttpHead | undefined;
+	private head: HttpResponseHead | undefined;
 	private splitter: EventSplitter | undefined;
 	/** Why the upstream did not run it, once its head has said so. */
 	private refusal: RefusalReason | undefined;
--- a/src/direct/node/direct-links.ts
+++ b/src/direct/node/direct-links.ts
@@ -9,7 +9,7 @@
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import {LanePool, type Lane} from '../../deployment/node/lane.js';
-import type {UpstreamLinks, UpstreamMessage} from '../../request/common/upstream-links.js';
+import type {UpstreamTransport, UpstreamMessage} from '../../request/common/upstream-transport.js';
 import type {Quarantine} from '../../quarantine/common/quarantine.js';
 import {contentIdOf} from '../../quarantine/common/request-content.js';
 import {
@@ -56,7 +56,7 @@
 };
 
 /** Holds the calls and connections of one host. */
-export class DirectLinks implements UpstreamLinks, Disposable {
+export class DirectLinks implements UpstreamTransport, Disposable {
 	static create(options: DirectLinksOptions): DirectLinks {
 		return new DirectLinks(options);
 	}
@@ -85,12 +85,12 @@
 		return this.didReceive.event;
 	}
 
-	get onDidJoin() {
+	get onDidBecomeAvailable() {
 		return this.didJoin.event;
 	}
 
 	/** A call ends with its connection, and each start of a server has an id of its own: these never happen here. */
-	get onDidLose() {
+	get onDidDisconnect() {
 		return this.never.event;
 	}
 
@@ -98,7 +98,7 @@
 		return this.never.event;
 	}
 
-	get onDidReplace() {
+	get onDidReplaceIncarnation() {
 		return this.never.event;
 	}
 
--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -15,7 +15,7 @@
 import type {Preparer, PreparationAsk} from '../../preparation/node/preparer.js';
 import {contentIdOf} from '../../quarantine/common/request-content.js';
 import {requestLogMessages} from '../../request/common/request-log-messages.js';
-import {otherHostMs, type RequestPlan, type StagePlan} from '../../request/common/request-plan.js';
+import {otherHostRetryAfterMs, type RequestPlan, type StagePlan} from '../../request/common/request-plan.js';
 import type {RequestRunner} from '../../request/node/request-runner.js';
 import type {Endpoint} from '../../wire/common/endpoint.js';
 import {listenOn} from '../../wire/node/listen.js';
@@ -172,7 +172,7 @@
 
 		if (this.hasStoppedTaking) {
 			this.refuse(response, {
-				requestId: '', status: ownStatuses.unavailable, reason: 'this host is about to stop', retryAfterMs: otherHostMs,
+				requestId: '', status: ownStatuses.unavailable, reason: 'this host is about to stop', retryAfterMs: otherHostRetryAfterMs,
 			});
 			return;
 		}
@@ -203,7 +203,7 @@
 
 	private refuse(response: ServerResponse, {requestId, status, reason, retryAfterMs, content}: Refusal): void {
 		const {board, log, metrics} = this.options;
-		log.info(requestLogMessages.turnedAway, {
+		log.info(requestLogMessages.refusedOnAdmission, {
 			request: requestId, status, reason, version: board.version, content,
 		});
 		metrics.increment('requests.turnedAway', 1, {status: String(status)});
@@ -286,7 +286,7 @@
 		}
 
 		const {predictedMs, retryAfterMs} = admission;
-		log.info(requestLogMessages.refusedAtDoor, {
+		log.info(requestLogMessages.refusedForPredictedWait, {
 			request: ask.requestId,
 			route: route.name,
 			rank,
--- a/src/direct/node/pass-through-writer.ts
+++ b/src/direct/node/pass-through-writer.ts
@@ -3,7 +3,7 @@
 import type {ServerResponse} from 'node:http';
 import {endToEndHeaders, isUnframed} from '../../deployment/common/hop-headers.js';
 import {
-	failureCodes, outcomes, type HttpHead, type RequestResult,
+	failureCodes, outcomes, type HttpResponseHead, type RequestResult,
 } from '../../request/common/request-plan.js';
 
 const badGateway = 502;
@@ -64,7 +64,7 @@
 	@param http - head of the upstream's answer; the first one counts.
 	@returns ends when more can be taken, or nothing if at once.
 	*/
-	deliver(data: Uint8Array, http: HttpHead | undefined): Promise<void> | undefined {
+	deliver(data: Uint8Array, http: HttpResponseHead | undefined): Promise<void> | undefined {
 		const {response} = this;
 		if (response.destroyed) {
 			return undefined;
@@ -126,7 +126,7 @@
 		}
 	}
 
-	private open({status, headers}: HttpHead, bodyBytes: number | undefined): void {
+	private open({status, headers}: HttpResponseHead, bodyBytes: number | undefined): void {
 		this.isOpen = true;
 		this.writtenStatus = status;
 		const kept = endToEndHeaders(headers).filter(({name}) => this.isHead || name !== 'content-length');
--- a/src/direct/node/served-request.ts
+++ b/src/direct/node/served-request.ts
@@ -59,7 +59,7 @@
 		});
 		const callerGone = runner.start(plan, {
 			claim: async () => fail({code: 'unavailable', message: 'requests that go straight to upstreams are not claimed'}),
-			taken: () => undefined,
+			keyTaken: () => undefined,
 			prepare: async isAgain => {
 				const prepared = await preparer!.run(isAgain);
 				this.preparedMs = clock.nowMs() - plan.startMs;
--- a/src/entry/common/planner.ts
+++ b/src/entry/common/planner.ts
@@ -115,7 +115,7 @@
 		isStreaming: ask.isStreaming,
 		startMs: nowMs,
 		deadlineMs,
-		giveUpMs: deadlineMs + policy.maxLateMs,
+		hardDeadlineMs: deadlineMs + policy.maxLateMs,
 		input: ask.input,
 		...(ask.http && {http: ask.http}),
 		prefixHash: prefixHashOf(ask),
--- a/src/entry/node/answer-writer.ts
+++ b/src/entry/node/answer-writer.ts
@@ -1,6 +1,6 @@
 /** Writes the answer of one request to its caller: whole, streamed, or an error. */
 import type {ServerResponse} from 'node:http';
-import type {KeptAnswer} from '../../request/common/claim.js';
+import type {StoredResponse} from '../../request/common/claim.js';
 import {outcomes, type RequestResult} from '../../request/common/request-plan.js';
 import {problemOfResult} from '../common/problems.js';
 import {sendJson, sendProblem} from './http-common.js';
@@ -54,7 +54,7 @@
 	@param result - how the request ended.
 	@returns what may be kept for a repeat.
 	*/
-	finish(result: RequestResult): KeptAnswer | undefined {
+	finish(result: RequestResult): StoredResponse | undefined {
 		if (result.outcome !== outcomes.completed) {
 			this.finishFailed(result);
 			return undefined;
@@ -83,7 +83,7 @@
 		};
 	}
 
-	private finishPlain(result: RequestResult): KeptAnswer | undefined {
+	private finishPlain(result: RequestResult): StoredResponse | undefined {
 		const status = result.http?.status ?? statusOk;
 		this.setHeaders(result);
 		const headers = new Headers((result.http?.headers ?? []).filter(({name}) => name !== 'content-length').map(({name, value}) => [name, value]));
--- a/src/entry/node/callers-api.ts
+++ b/src/entry/node/callers-api.ts
@@ -4,7 +4,7 @@
 import {hashText} from '../../base/common/hash.js';
 import type {Logger} from '../../base/common/logger.js';
 import {newId} from '../../base/node/ids.js';
-import {claimKey, writerOf, type Claim} from '../../request/common/claim.js';
+import {claimKey, claimWriterId, type Claim} from '../../request/common/claim.js';
 import {type ClaimStore, type GrantedClaim} from '../../request/common/claim-store.js';
 import {outcomes, type RequestPlan, type RequestResult} from '../../request/common/request-plan.js';
 import {WorkspaceLimiter} from '../../routing/common/workspace-limiter.js';
@@ -181,7 +181,7 @@
 
 				return claimed;
 			},
-			taken: ({claim}) => {
+			keyTaken: ({claim}) => {
 				isTaken = true;
 				this.answerRepeat(response, plan, claim, parsed);
 			},
@@ -215,12 +215,12 @@
 		const {http} = plan;
 		const target = http ? `${http.method} ${plan.pipeline}${http.path}` : plan.pipeline;
 		return {
-			writer: writerOf(this.options.incarnation, newId()),
+			writer: claimWriterId(this.options.incarnation, newId()),
 			requestId: plan.requestId,
 			fingerprint: hashText(`${target}\n${new TextDecoder('latin1').decode(parsed.body)}`),
 			state: 'claimed',
 			claimedAtMs: wallMs,
-			endsByMs: wallMs + (plan.giveUpMs - plan.startMs) + clockMarginMs,
+			endsByMs: wallMs + (plan.hardDeadlineMs - plan.startMs) + clockMarginMs,
 		};
 	}
 
--- a/src/entry/node/fleet-links.ts
+++ b/src/entry/node/fleet-links.ts
@@ -2,7 +2,7 @@
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {Emitter} from '../../base/common/emitter.js';
-import type {UpstreamLinks, UpstreamMessage} from '../../request/common/upstream-links.js';
+import type {UpstreamTransport, UpstreamMessage} from '../../request/common/upstream-transport.js';
 import type {Logger} from '../../base/common/logger.js';
 import {jitter, type Random} from '../../base/common/random.js';
 import type {MemberTable} from '../../membership/common/member-table.js';
@@ -46,7 +46,7 @@
 };
 
 /** Keeps connections to agents. */
-export class FleetLinks implements UpstreamLinks, Disposable {
+export class FleetLinks implements UpstreamTransport, Disposable {
 	static create(options: FleetLinksOptions): FleetLinks {
 		return new FleetLinks(options);
 	}
@@ -78,7 +78,7 @@
 	}
 
 	/** Fires with an upstream whose connection was lost. */
-	get onDidLose() {
+	get onDidDisconnect() {
 		return this.didLose.event;
 	}
 
@@ -88,12 +88,12 @@
 	}
 
 	/** Fires with an upstream whose agent is another incarnation than before. */
-	get onDidReplace() {
+	get onDidReplaceIncarnation() {
 		return this.didReplace.event;
 	}
 
 	/** Fires with an upstream that may be chosen from now on. */
-	get onDidJoin() {
+	get onDidBecomeAvailable() {
 		return this.didJoin.event;
 	}
 
--- a/src/preparation/node/pool-log.ts
+++ b/src/preparation/node/pool-log.ts
@@ -43,7 +43,7 @@
 		const {pool, log} = this.options;
 		if (machine.waitingCount > 0 && nowMs - this.toldMs >= tellMs) {
 			this.toldMs = nowMs;
-			log.info(requestLogMessages.poolWaits, {pool, servers: servers.length, ...machine.describe(nowMs)});
+			log.info(requestLogMessages.poolBacklog, {pool, servers: servers.length, ...machine.describe(nowMs)});
 		}
 
 		this.slowness(machine.usualSlowness(servers, nowMs), servers.length);
--- a/src/request/common/attempt-list.ts
+++ b/src/request/common/attempt-list.ts
@@ -52,7 +52,7 @@
 	Returns whether no attempt other than the given one is live.
 	@param attempt - the attempt to leave out of account.
 	*/
-	isAlone(attempt: Attempt): boolean {
+	hasNoOtherLive(attempt: Attempt): boolean {
 		return this.all.every(other => other === attempt || !other.isLive);
 	}
 
@@ -68,18 +68,18 @@
 	Returns the number of attempts that count against the maximum for a stage.
 	@param rules - determines whether refusals count.
 	*/
-	countUnder({countsRefusals}: AttemptRules): number {
+	countAgainstLimit({countsRefusals}: AttemptRules): number {
 		return countsRefusals ? this.count : this.all.filter(attempt => attempt.mayHaveRun).length;
 	}
 
 	/**
 	Returns whether the stage may have no further attempt.
 	@param rules - determines how refusals count.
-	@param mostAttempts - the maximum number of attempts at a stage.
+	@param maxAttempts - the maximum number of attempts at a stage.
 	*/
-	areSpent(rules: AttemptRules, mostAttempts: number): boolean {
+	isExhausted(rules: AttemptRules, maxAttempts: number): boolean {
 		const refusals = this.all.filter(attempt => !attempt.mayHaveRun).length;
-		return this.countUnder(rules) >= mostAttempts || refusals >= rules.mostRefusals;
+		return this.countAgainstLimit(rules) >= maxAttempts || refusals >= rules.maxRefusals;
 	}
 
 	add(attempt: Attempt): void {
--- a/src/request/common/attempt-rules.ts
+++ b/src/request/common/attempt-rules.ts
@@ -5,20 +5,20 @@
 	/** Whether a refused attempt counts against the maximum number of attempts at a stage. */
 	readonly countsRefusals: boolean;
 	/** Number of refusals after which the request is refused; without agents the retry after each one also needs retry budget. */
-	readonly mostRefusals: number;
+	readonly maxRefusals: number;
 	/** Whether the retry of a refused attempt is charged to the retry budget. */
-	readonly paysForRefusals: boolean;
+	readonly chargesRefusalsToRetryBudget: boolean;
 	/** Whether a repeatable request is retried after a complete answer that reports an error. */
 	readonly retriesErrorAnswers: boolean;
 	/** Whether the timeout runs from the time of sending, rather than from the first message that shows a start. */
-	readonly timesFromSend: boolean;
+	readonly startsTimeoutAtSend: boolean;
 	/** Whether work that may not be repeated is also cancelled when its caller disconnects. */
-	readonly cancelsWithCaller: boolean;
+	readonly cancelsOnCallerDisconnect: boolean;
 };
 
 /** Rules for upstreams behind agents: retrying a refusal is free, and work that may not be repeated is followed to its end. */
 export const agentRules: AttemptRules = {
-	countsRefusals: true, mostRefusals: Infinity, paysForRefusals: false, retriesErrorAnswers: false, timesFromSend: false, cancelsWithCaller: false,
+	countsRefusals: true, maxRefusals: Infinity, chargesRefusalsToRetryBudget: false, retriesErrorAnswers: false, startsTimeoutAtSend: false, cancelsOnCallerDisconnect: false,
 };
 
 /**
@@ -26,5 +26,5 @@
 of the work later. Three refusals in a row show that the pool is full, not only one server.
 */
 export const directRules: AttemptRules = {
-	countsRefusals: false, mostRefusals: 3, paysForRefusals: true, retriesErrorAnswers: true, timesFromSend: true, cancelsWithCaller: true,
+	countsRefusals: false, maxRefusals: 3, chargesRefusalsToRetryBudget: true, retriesErrorAnswers: true, startsTimeoutAtSend: true, cancelsOnCallerDisconnect: true,
 };
--- a/src/request/common/attempt.ts
+++ b/src/request/common/attempt.ts
@@ -3,11 +3,11 @@
 import type {ChunkMessage, EndMessage} from '../../wire/common/messages.js';
 import {StageAnswer} from './stage-answer.js';
 import {
-	attemptStates, type AttemptState, type AttemptTrace, type HttpHead,
+	attemptStates, type AttemptState, type AttemptTrace, type HttpResponseHead,
 } from './request-plan.js';
 
 /** Number of chunks that an agent may send before the entry grants more credit. */
-export const creditWindow = 64;
+export const creditWindowChunks = 64;
 
 /** What is known of an attempt when it is sent. */
 export type AttemptOptions = {
@@ -31,16 +31,16 @@
 	queueMs = 0;
 	runMs = 0;
 	/** When the upstream was last known to be working: the last `started` message or chunk, at first the time of sending. */
-	heardMs: number;
+	lastReceivedMs: number;
 	isCancelled = false;
-	http: HttpHead | undefined;
+	http: HttpResponseHead | undefined;
 	/** The part of the answer that this attempt delivered. */
 	readonly answer = StageAnswer.create();
 	private digest = 0;
-	private sinceCredit = 0;
+	private chunksSinceGrant = 0;
 
 	private constructor(readonly options: AttemptOptions) {
-		this.heardMs = options.sentAtMs;
+		this.lastReceivedMs = options.sentAtMs;
 	}
 
 	get isLive(): boolean {
@@ -70,7 +70,7 @@
 		this.state = attemptStates.started;
 		this.digest = extendDigest(this.digest, chunk.data);
 		this.answer.add(chunk.units, chunk.data);
-		this.sinceCredit++;
+		this.chunksSinceGrant++;
 		return true;
 	}
 
@@ -78,13 +78,13 @@
 	Returns the number of chunks to grant the agent, and counts them as granted.
 	@returns 0 until half of the window is used.
 	*/
-	takeCredit(): number {
-		if (this.sinceCredit < creditWindow / 2) {
+	takeCreditGrant(): number {
+		if (this.chunksSinceGrant < creditWindowChunks / 2) {
 			return 0;
 		}
 
-		const chunks = this.sinceCredit;
-		this.sinceCredit = 0;
+		const chunks = this.chunksSinceGrant;
+		this.chunksSinceGrant = 0;
 		return chunks;
 	}
 
--- a/src/request/common/claim-store.ts
+++ b/src/request/common/claim-store.ts
@@ -10,17 +10,17 @@
 	Row, RowCondition, RowWrite, TableService,
 } from '../../store/common/table-service.js';
 import {
-	isSameClaim, parseClaim, type Claim, type KeptAnswer,
+	isSameClaim, parseClaim, type Claim, type StoredResponse,
 } from './claim.js';
 import {outcomes} from './request-plan.js';
 
-const mostInBatch = 200;
+const maxBatchWrites = 200;
 /** Maximum length of an answer that is stored with its claim, so that a repeated request gets the same answer. */
-const keptAnswerBytes = 16_384;
+const maxStoredResponseChars = 16_384;
 /** How long writing an outcome is retried. */
-const settleTimeMs = 30_000;
-const settleRetryMs = 200;
-const releaseCheckMs = 1000;
+const settleTimeoutMs = 30_000;
+const settleRetryDelayMs = 200;
+const releaseCheckIntervalMs = 1000;
 
 /** Why a claim was not granted. */
 export type ClaimRefusal
@@ -31,7 +31,7 @@
 /** A granted claim, whose outcome is recorded later with `settle`. */
 export type GrantedClaim = {readonly key: string; readonly claim: Claim};
 
-type Pending = {
+type PendingWrite = {
 	readonly key: string;
 	readonly value: string;
 	/** Version that the row must have for the write to apply; 0 for a row that must not exist. */
@@ -45,7 +45,7 @@
 	readonly clock: Clock;
 	readonly writer: string;
 	/** Minimum pause between the end of a transaction and the start of the next, in ms. */
-	readonly spacingMs: number;
+	readonly minWriteIntervalMs: number;
 };
 
 /** Claims idempotency keys and records the outcomes of the claimed requests. */
@@ -57,8 +57,8 @@
 	/** Number of transactions sent. */
 	writeCount = 0;
 	/** Number of outcomes that are neither written nor given up. */
-	private settling = 0;
-	private pending: Pending[] = [];
+	private settlingCount = 0;
+	private pendingWrites: PendingWrite[] = [];
 	private isWriting = false;
 	private readonly timers = new Set<Disposable>();
 
@@ -66,7 +66,7 @@
 
 	/** Whether every outcome has been written or given up. */
 	get isSettled(): boolean {
-		return this.settling === 0;
+		return this.settlingCount === 0;
 	}
 
 	/** Cancels all pending delays. Rows whose writes have not been sent stay unchanged in the store. */
@@ -92,13 +92,13 @@
 
 		const row = await this.readRow(key);
 		if (!row.ok) {
-			void this.release(key, claim);
+			void this.releaseLateClaim(key, claim);
 			return row;
 		}
 
 		const found = row.value ? parseClaim(row.value) : undefined;
 		if (!row.value || !found) {
-			void this.release(key, claim);
+			void this.releaseLateClaim(key, claim);
 			return fail({code: 'unavailable', message: 'the claim could not be written'});
 		}
 
@@ -108,8 +108,8 @@
 		}
 
 		// A request that is known not to have run leaves its key available to the next attempt.
-		const isFree = found.state === outcomes.refused && found.fingerprint === claim.fingerprint;
-		return isFree ? this.reclaim(key, claim, row.value) : fail({code: 'taken', claim: found});
+		const isReclaimable = found.state === outcomes.refused && found.fingerprint === claim.fingerprint;
+		return isReclaimable ? this.reclaim(key, claim, row.value) : fail({code: 'taken', claim: found});
 	}
 
 	/**
@@ -120,18 +120,18 @@
 	@param answer - the answer; stored only if it is small enough.
 	@returns whether the outcome, or a known one in place of `unknown`, is stored.
 	*/
-	async settle(granted: GrantedClaim, state: Claim['state'], answer?: KeptAnswer): Promise<boolean> {
-		this.settling++;
+	async settle(granted: GrantedClaim, state: Claim['state'], answer?: StoredResponse): Promise<boolean> {
+		this.settlingCount++;
 		const isWritten = await this.trySettle(granted, state, answer);
-		this.settling--;
+		this.settlingCount--;
 		return isWritten;
 	}
 
-	private async trySettle(granted: GrantedClaim, state: Claim['state'], answer?: KeptAnswer): Promise<boolean> {
-		const isKept = answer && answer.text.length <= keptAnswerBytes;
-		const value = JSON.stringify({...granted.claim, state, ...(isKept && {answer})});
-		const untilMs = this.options.clock.nowMs() + settleTimeMs;
-		while (this.options.clock.nowMs() < untilMs) {
+	private async trySettle(granted: GrantedClaim, state: Claim['state'], answer?: StoredResponse): Promise<boolean> {
+		const isResponseStored = answer && answer.text.length <= maxStoredResponseChars;
+		const value = JSON.stringify({...granted.claim, state, ...(isResponseStored && {answer})});
+		const giveUpAtMs = this.options.clock.nowMs() + settleTimeoutMs;
+		while (this.options.clock.nowMs() < giveUpAtMs) {
 			const row = await this.readRow(granted.key);
 			const found = row.ok && row.value ? parseClaim(row.value) : undefined;
 			if (row.ok && row.value && found && isSameClaim(found, granted.claim)) {
@@ -149,17 +149,17 @@
 				return false;
 			}
 
-			await this.pauseMs(settleRetryMs);
+			await this.delay(settleRetryDelayMs);
 		}
 
 		return false;
 	}
 
 	/** Releases a claim that was not granted but whose write may still take effect, as its response was lost; nothing ran under it. */
-	private async release(key: string, claim: Claim): Promise<void> {
-		const untilMs = this.options.clock.nowMs() + settleTimeMs;
-		while (this.options.clock.nowMs() < untilMs) {
-			await this.pauseMs(releaseCheckMs);
+	private async releaseLateClaim(key: string, claim: Claim): Promise<void> {
+		const giveUpAtMs = this.options.clock.nowMs() + settleTimeoutMs;
+		while (this.options.clock.nowMs() < giveUpAtMs) {
+			await this.delay(releaseCheckIntervalMs);
 			const row = await this.readRow(key);
 			const found = row.ok && row.value ? parseClaim(row.value) : undefined;
 			if (found) {
@@ -175,8 +175,8 @@
 			return ok({key, claim});
 		}
 
-		const again = await this.readRow(key);
-		const found = again.ok && again.value ? parseClaim(again.value) : undefined;
+		const current = await this.readRow(key);
+		const found = current.ok && current.value ? parseClaim(current.value) : undefined;
 		if (!found) {
 			return fail({code: 'unavailable', message: 'the claim could not be written'});
 		}
@@ -195,7 +195,7 @@
 
 	private async write(key: string, value: string, version: number): Promise<'written' | 'conflict' | 'unavailable'> {
 		return new Promise(resolve => {
-			this.pending.push({
+			this.pendingWrites.push({
 				key, value, version, resolve,
 			});
 			void this.writePending();
@@ -209,58 +209,58 @@
 		}
 
 		this.isWriting = true;
-		while (this.pending.length > 0) {
+		while (this.pendingWrites.length > 0) {
 			const batch = this.takeBatch();
 			await this.commit(batch);
-			await this.pauseMs(this.options.spacingMs);
+			await this.delay(this.options.minWriteIntervalMs);
 		}
 
 		this.isWriting = false;
 	}
 
 	/** Takes the next batch of writes, at most one for each row: a transaction can't write a row twice. */
-	private takeBatch(): Pending[] {
+	private takeBatch(): PendingWrite[] {
 		const keys = new Set<string>();
-		const batch: Pending[] = [];
-		const left: Pending[] = [];
-		for (const item of this.pending) {
-			if (batch.length < mostInBatch && !keys.has(item.key)) {
+		const batch: PendingWrite[] = [];
+		const remaining: PendingWrite[] = [];
+		for (const item of this.pendingWrites) {
+			if (batch.length < maxBatchWrites && !keys.has(item.key)) {
 				keys.add(item.key);
 				batch.push(item);
 			} else {
-				left.push(item);
+				remaining.push(item);
 			}
 		}
 
-		this.pending = left;
+		this.pendingWrites = remaining;
 		return batch;
 	}
 
-	private async commit(batch: readonly Pending[]): Promise<void> {
-		let left = batch;
-		while (left.length > 0) {
+	private async commit(batch: readonly PendingWrite[]): Promise<void> {
+		let remaining = batch;
+		while (remaining.length > 0) {
 			this.writeCount++;
-			const conditions: RowCondition[] = left.map(({key, version}) => ({key, version}));
-			const writes: RowWrite[] = left.map(({key, value}) => ({key, value}));
-			const done = await this.options.table.transact({conditions, writes});
-			if (done.ok) {
-				resolveAll(left, 'written');
+			const conditions: RowCondition[] = remaining.map(({key, version}) => ({key, version}));
+			const writes: RowWrite[] = remaining.map(({key, value}) => ({key, value}));
+			const result = await this.options.table.transact({conditions, writes});
+			if (result.ok) {
+				resolveAll(remaining, 'written');
 				return;
 			}
 
-			if (done.error.code === 'unavailable') {
-				resolveAll(left, 'unavailable');
+			if (result.error.code === 'unavailable') {
+				resolveAll(remaining, 'unavailable');
 				return;
 			}
 
 			// Conflicting rows are dropped from the transaction, so that one claimed key does not delay the others.
-			const conflicts = new Set(done.error.keys);
-			resolveAll(left.filter(item => conflicts.has(item.key)), 'conflict');
-			left = left.filter(item => !conflicts.has(item.key));
+			const conflicts = new Set(result.error.keys);
+			resolveAll(remaining.filter(item => conflicts.has(item.key)), 'conflict');
+			remaining = remaining.filter(item => !conflicts.has(item.key));
 		}
 	}
 
-	private async pauseMs(delayMs: number): Promise<void> {
+	private async delay(delayMs: number): Promise<void> {
 		return new Promise(resolve => {
 			const timer = this.options.clock.setTimer(delayMs, () => {
 				this.timers.delete(timer);
@@ -271,7 +271,7 @@
 	}
 }
 
-function resolveAll(items: readonly Pending[], result: 'written' | 'conflict' | 'unavailable'): void {
+function resolveAll(items: readonly PendingWrite[], result: 'written' | 'conflict' | 'unavailable'): void {
 	for (const item of items) {
 		item.resolve(result);
 	}
--- a/src/request/common/claim-sweeper.ts
+++ b/src/request/common/claim-sweeper.ts
@@ -6,8 +6,8 @@
 import {claimPrefix, parseClaim} from './claim.js';
 
 /** How long a claim is retained after the end of its request, so that late copies of the request find it. */
-export const keptClaimMs = 24 * 60 * 60 * 1000;
-const sweepMs = 5000;
+export const claimRetentionMs = 24 * 60 * 60 * 1000;
+const sweepIntervalMs = 5000;
 const pageRows = 200;
 
 /** Options of a claim sweeper. */
@@ -16,7 +16,7 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	/** Returns whether this process holds the lease and is therefore the one to sweep. */
-	readonly isHolder: () => boolean;
+	readonly isLeaseHolder: () => boolean;
 };
 
 /** Deletes claims for which no further copy of the request is expected. */
@@ -25,12 +25,12 @@
 		return new ClaimSweeper(options);
 	}
 
-	private after: string | undefined;
+	private lastKey: string | undefined;
 	private readonly timer: Disposable;
 
 	private constructor(private readonly options: ClaimSweeperOptions) {
-		this.timer = setRepeating(options.clock, () => jitter(options.random, sweepMs), async () => {
-			if (options.isHolder()) {
+		this.timer = setRepeating(options.clock, () => jitter(options.random, sweepIntervalMs), async () => {
+			if (options.isLeaseHolder()) {
 				await this.sweep();
 			}
 		});
@@ -39,19 +39,19 @@
 	/** Scans one page of claims and deletes the expired ones in one transaction. */
 	async sweep(): Promise<void> {
 		const {table} = this.options;
-		const rows = await table.scan({prefix: claimPrefix, limit: pageRows, ...(this.after !== undefined && {after: this.after})});
+		const rows = await table.scan({prefix: claimPrefix, limit: pageRows, ...(this.lastKey !== undefined && {after: this.lastKey})});
 		if (!rows.ok) {
 			return;
 		}
 
 		// After the last page the scan starts over from the first.
-		this.after = rows.value.length === pageRows ? rows.value.at(-1)!.key : undefined;
-		const old = rows.value.filter(row => this.isOld(row));
-		if (old.length > 0) {
+		this.lastKey = rows.value.length === pageRows ? rows.value.at(-1)!.key : undefined;
+		const expired = rows.value.filter(row => this.isExpired(row));
+		if (expired.length > 0) {
 			// A claim that was rewritten meanwhile has a new version: the transaction then fails and deletes none of the page.
 			await table.transact({
-				conditions: old.map(({key, version}) => ({key, version})),
-				writes: old.map(({key}) => ({key})),
+				conditions: expired.map(({key, version}) => ({key, version})),
+				writes: expired.map(({key}) => ({key})),
 			});
 		}
 	}
@@ -60,8 +60,8 @@
 		this.timer.dispose();
 	}
 
-	private isOld(row: Row): boolean {
+	private isExpired(row: Row): boolean {
 		const claim = parseClaim(row);
-		return claim !== undefined && this.options.clock.wallMs() > claim.endsByMs + keptClaimMs;
+		return claim !== undefined && this.options.clock.wallMs() > claim.endsByMs + claimRetentionMs;
 	}
 }
--- a/src/request/common/claim.ts
+++ b/src/request/common/claim.ts
@@ -25,7 +25,7 @@
 /** The stored state of a request that runs at most once. */
 export type Claim = z.infer<typeof claimSchema>;
 /** A response stored with its claim, so that a repeated request gets the same response. */
-export type KeptAnswer = NonNullable<Claim['answer']>;
+export type StoredResponse = NonNullable<Claim['answer']>;
 
 /**
 Returns the key of a claim's row.
@@ -62,8 +62,8 @@
 Returns the writer id of one attempt to claim a key. It distinguishes copies of a request that are identical in everything
 else, including the millisecond in which they arrived.
 @param incarnation - the incarnation of the claiming process.
-@param tryId - an id generated for this attempt.
+@param claimAttemptId - an id generated for this attempt.
 */
-export function writerOf(incarnation: string, tryId: string): string {
-	return `${incarnation}/${tryId}`;
+export function claimWriterId(incarnation: string, claimAttemptId: string): string {
+	return `${incarnation}/${claimAttemptId}`;
 }
--- a/src/request/common/ended-jobs.ts
+++ b/src/request/common/ended-jobs.ts
@@ -2,9 +2,9 @@
 import type {GateJob} from './gate-job.js';
 
 /** Number of dispatch ids that are remembered, so that a duplicated dispatch is not run. */
-const rememberedIds = 20_000;
+const maxRememberedIds = 20_000;
 /** How long the results of work that may not be repeated are retained for an entry that lost its connection. */
-const keptResultMs = 60_000;
+const resultRetentionMs = 60_000;
 
 /** Remembers ended dispatches; the oldest are evicted first. */
 export class EndedJobs {
@@ -31,16 +31,16 @@
 	*/
 	remember(dispatchId: string, job: GateJob | undefined): void {
 		this.jobs.set(dispatchId, job?.dispatch.isRepeatable === false ? job : undefined);
-		if (this.jobs.size > rememberedIds) {
+		if (this.jobs.size > maxRememberedIds) {
 			const [oldest] = this.jobs.keys();
 			this.jobs.delete(oldest);
 		}
 	}
 
 	/** Drops expired results; their ids stay remembered. */
-	dropOldResults(nowMs: number): void {
+	dropExpiredResults(nowMs: number): void {
 		for (const [dispatchId, job] of this.jobs) {
-			if (job?.endedMs !== undefined && nowMs - job.endedMs > keptResultMs) {
+			if (job?.endedMs !== undefined && nowMs - job.endedMs > resultRetentionMs) {
 				this.jobs.set(dispatchId, undefined);
 			}
 		}
--- a/src/request/common/gate-job.ts
+++ b/src/request/common/gate-job.ts
@@ -3,7 +3,7 @@
 import type {DispatchMessage, Message} from '../../wire/common/messages.js';
 
 /** Rank added for work that is not yet late; greater than any stage index. */
-const inTimeRank = 1000;
+const onTimeRankBonus = 1000;
 
 /** The state of a dispatch at a gate. */
 export type GateJob = QueueItem & {
@@ -21,7 +21,7 @@
 	units: number;
 	digest: number;
 	/** All messages about the dispatch, stored only for work that may not be repeated so that they can be sent again. */
-	readonly sent: Message[];
+	readonly sentMessages: Message[];
 	endedMs: number | undefined;
 };
 
@@ -44,12 +44,12 @@
 		credit: dispatch.creditChunks,
 		units: resumeOffsetOf(dispatch),
 		digest: 0,
-		sent: [],
+		sentMessages: [],
 		endedMs: undefined,
 		workspace: dispatch.workspace,
 		weight: dispatch.weight,
 		// Work that is in time precedes late work. Later stages precede earlier ones, since their prior stages are already paid for.
-		rank: (isInTime ? inTimeRank : 0) + dispatch.stageIndex,
+		rank: (isInTime ? onTimeRankBonus : 0) + dispatch.stageIndex,
 		dueMs: nowMs + dispatch.dueInMs,
 	};
 }
--- a/src/request/common/gate-machine.ts
+++ b/src/request/common/gate-state-machine.ts
@@ -12,19 +12,19 @@
 const orphanGraceMs = 1500;
 
 /** Makes all decisions about dispatches at one upstream. The current time is passed with each call. */
-export class GateMachine {
+export class GateStateMachine {
 	/**
 	Creates a gate.
 	@param limits - the number of slots and the maximum queue length.
 	@param queue - the queue, which determines the order of waiting work.
 	*/
-	static create(limits: GateLimits, queue: WorkQueue<GateJob> = FairQueue.create<GateJob>()): GateMachine {
-		return new GateMachine(limits, queue);
+	static create(limits: GateLimits, queue: WorkQueue<GateJob> = FairQueue.create<GateJob>()): GateStateMachine {
+		return new GateStateMachine(limits, queue);
 	}
 
 	private readonly jobs = new Map<string, GateJob>();
-	private readonly ended = EndedJobs.create();
-	private running = 0;
+	private readonly endedJobs = EndedJobs.create();
+	private runningCount = 0;
 	private isLeavingNow = false;
 	private actions: GateAction[] = [];
 	private upstreamModels: UpstreamLoad['models'] = [];
@@ -43,7 +43,7 @@
 
 	get load(): UpstreamLoad {
 		return {
-			running: this.running, queued: this.queue.size, slots: this.limits.slots, serviceMs: this.serviceMs, models: this.upstreamModels,
+			running: this.runningCount, queued: this.queue.size, slots: this.limits.slots, serviceMs: this.serviceMs, models: this.upstreamModels,
 		};
 	}
 
@@ -53,7 +53,7 @@
 	}
 
 	setLimits(limits: GateLimits, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			this.limits = limits;
 		});
 	}
@@ -64,7 +64,7 @@
 
 	/** Stops accepting new work. Waiting dispatches are refused; running ones are left to finish. */
 	leave(nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			this.isLeavingNow = true;
 			for (const job of this.queue.items()) {
 				this.queue.remove(job);
@@ -81,16 +81,16 @@
 	@param nowMs - the current time.
 	*/
 	dispatch(connectionId: number, dispatch: DispatchMessage, isStale: boolean, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const {dispatchId} = dispatch;
-			if (this.jobs.has(dispatchId) || this.ended.has(dispatchId)) {
+			if (this.jobs.has(dispatchId) || this.endedJobs.has(dispatchId)) {
 				// Duplicated in transit: only the first copy counts.
 				return;
 			}
 
 			const reason = this.refusalOf(dispatch, isStale);
 			if (reason) {
-				this.ended.remember(dispatchId, undefined);
+				this.endedJobs.remember(dispatchId, undefined);
 				this.send(connectionId, {
 					type: 'refused', dispatchId, reason, load: this.load,
 				});
@@ -109,7 +109,7 @@
 	@param nowMs - the current time.
 	*/
 	cancel(dispatchId: string, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (job?.startedMs === undefined) {
 				if (job) {
@@ -123,12 +123,12 @@
 	}
 
 	credit(dispatchId: string, chunks: number, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (job) {
-				const wasOut = job.credit <= 0;
+				const wasExhausted = job.credit <= 0;
 				job.credit += chunks;
-				if (wasOut && job.credit > 0) {
+				if (wasExhausted && job.credit > 0) {
 					this.actions.push({type: 'flow', dispatchId, isOpen: true});
 				}
 			}
@@ -142,17 +142,17 @@
 	@param nowMs - the current time.
 	*/
 	query(connectionId: number, dispatchId: string, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
-			const job = this.jobs.get(dispatchId) ?? this.ended.get(dispatchId);
+		return this.collectActions(nowMs, () => {
+			const job = this.jobs.get(dispatchId) ?? this.endedJobs.get(dispatchId);
 			if (job) {
 				job.connectionId = connectionId;
 				job.orphanedMs = undefined;
-				for (const message of job.sent) {
+				for (const message of job.sentMessages) {
 					this.send(connectionId, message);
 				}
 			} else {
 				// The id is remembered, so that the dispatch is not run if it still arrives.
-				this.ended.remember(dispatchId, undefined);
+				this.endedJobs.remember(dispatchId, undefined);
 				this.send(connectionId, {type: 'refused', dispatchId, reason: refusalReasons.neverSeen});
 			}
 		});
@@ -164,7 +164,7 @@
 	@param nowMs - the current time.
 	*/
 	connectionLost(connectionId: number, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			for (const job of this.jobs.values()) {
 				if (job.connectionId !== connectionId) {
 					continue;
@@ -173,7 +173,7 @@
 				job.connectionId = undefined;
 				job.orphanedMs = nowMs;
 				if (!job.dispatch.isRepeatable && job.startedMs !== undefined) {
-					this.letRunOn(job);
+					this.liftCreditLimit(job);
 				}
 
 				if (job.startedMs === undefined) {
@@ -191,10 +191,10 @@
 	@param nowMs - the current time.
 	*/
 	callStarted(dispatchId: string, http: StartedMessage['http'], nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (job?.startedMs !== undefined) {
-				this.tell(job, {
+				this.notifyEntry(job, {
 					type: 'started', dispatchId, queueMs: job.startedMs - job.arrivedMs, ...(http && {http}),
 				});
 			}
@@ -208,14 +208,14 @@
 	@param data - the chunk.
 	@param nowMs - the current time.
 	*/
-	callPiece(dispatchId: string, units: number, data: Uint8Array, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+	callChunkReceived(dispatchId: string, units: number, data: Uint8Array, nowMs: number): GateAction[] {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (!job || job.isAborted) {
 				return;
 			}
 
-			this.tell(job, {
+			this.notifyEntry(job, {
 				type: 'chunk', dispatchId, sequence: job.units, units, data,
 			});
 			job.units += units;
@@ -234,13 +234,13 @@
 	@param nowMs - the current time.
 	*/
 	callEnded(dispatchId: string, end: CallEnd, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (job?.startedMs === undefined) {
 				return;
 			}
 
-			this.running--;
+			this.runningCount--;
 			if (end.state === 'notRun' && job.units === resumeOffsetOf(job.dispatch)) {
 				this.refuseJob(job, refusalReasons.unreachable, nowMs);
 				return;
@@ -253,7 +253,7 @@
 
 			this.jobs.delete(dispatchId);
 			job.endedMs = nowMs;
-			this.tell(job, {
+			this.notifyEntry(job, {
 				type: 'end',
 				dispatchId,
 				state: end.state === 'notRun' ? endStates.failed : end.state,
@@ -263,13 +263,13 @@
 				...(end.reason !== undefined && {reason: end.reason.slice(0, 500)}),
 				load: this.load,
 			});
-			this.ended.remember(dispatchId, job);
+			this.endedJobs.remember(dispatchId, job);
 		});
 	}
 
 	/** Refuses waiting dispatches that can no longer start, aborts repeatable orphans and drops expired results. */
 	tick(nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			for (const job of this.queue.items()) {
 				if (nowMs >= job.startByMs) {
 					this.queue.remove(job);
@@ -284,11 +284,11 @@
 				}
 			}
 
-			this.ended.dropOldResults(nowMs);
+			this.endedJobs.dropExpiredResults(nowMs);
 		});
 	}
 
-	private act(nowMs: number, run: () => void): GateAction[] {
+	private collectActions(nowMs: number, run: () => void): GateAction[] {
 		this.actions = [];
 		run();
 		this.startNext(nowMs);
@@ -296,7 +296,7 @@
 	}
 
 	private startNext(nowMs: number): void {
-		while (this.running < this.limits.slots) {
+		while (this.runningCount < this.limits.slots) {
 			const job = this.queue.pop();
 			if (!job) {
 				return;
@@ -308,7 +308,7 @@
 			}
 
 			job.startedMs = nowMs;
-			this.running++;
+			this.runningCount++;
 			this.actions.push({type: 'start', dispatch: job.dispatch});
 		}
 	}
@@ -326,24 +326,24 @@
 			return refusalReasons.outOfTime;
 		}
 
-		return this.queue.size >= this.limits.maxQueue && this.running >= this.limits.slots ? refusalReasons.queueFull : undefined;
+		return this.queue.size >= this.limits.maxQueue && this.runningCount >= this.limits.slots ? refusalReasons.queueFull : undefined;
 	}
 
 	private refuseJob(job: GateJob, reason: RefusalReason, nowMs: number): void {
 		const {dispatchId} = job.dispatch;
 		this.jobs.delete(dispatchId);
 		job.endedMs = nowMs;
-		this.tell(job, {
+		this.notifyEntry(job, {
 			type: 'refused', dispatchId, reason, load: this.load,
 		});
-		this.ended.remember(dispatchId, job);
+		this.endedJobs.remember(dispatchId, job);
 	}
 
 	/** Lifts the credit limit of a job whose entry can no longer grant credit; its result is retained for the entry's return. */
-	private letRunOn(job: GateJob): void {
-		const wasHeld = job.credit <= 0;
+	private liftCreditLimit(job: GateJob): void {
+		const wasPaused = job.credit <= 0;
 		job.credit = Infinity;
-		if (wasHeld) {
+		if (wasPaused) {
 			this.actions.push({type: 'flow', dispatchId: job.dispatch.dispatchId, isOpen: true});
 		}
 	}
@@ -355,9 +355,9 @@
 		}
 	}
 
-	private tell(job: GateJob, message: Message): void {
+	private notifyEntry(job: GateJob, message: Message): void {
 		if (!job.dispatch.isRepeatable) {
-			job.sent.push(message);
+			job.sentMessages.push(message);
 		}
 
 		if (job.connectionId !== undefined) {
--- a/src/request/common/request-events.ts
+++ b/src/request/common/request-events.ts
@@ -3,7 +3,7 @@
 	ChunkMessage, DispatchMessage, EndMessage, RefusedMessage, StartedMessage,
 } from '../../wire/common/messages.js';
 import type {
-	HttpHead, PreparationFailure, PreparedInputs, RequestOutcome, RequestResult,
+	HttpResponseHead, PreparationFailure, PreparedInputs, RequestOutcome, RequestResult,
 } from './request-plan.js';
 
 /** An event that concerns a request. */
@@ -42,7 +42,7 @@
 		| {readonly type: 'query'; readonly upstreamId: string; readonly dispatchId: string}
 		| {readonly type: 'credit'; readonly upstreamId: string; readonly dispatchId: string; readonly chunks: number}
 	/** Delivers units of the answer to a streaming caller. */
-		| {readonly type: 'deliver'; readonly units: number; readonly data: Uint8Array; readonly http?: HttpHead}
+		| {readonly type: 'deliver'; readonly units: number; readonly data: Uint8Array; readonly http?: HttpResponseHead}
 	/** Gives the caller its final answer; emitted once. */
 		| {readonly type: 'finish'; readonly result: RequestResult}
 	/** Records the outcome of a request whose caller was given `unknown`; emitted at most once. */
--- a/src/request/common/request-log-messages.ts
+++ b/src/request/common/request-log-messages.ts
@@ -1,7 +1,7 @@
 /** Log messages that `pumicehatch explain` matches, shared by the components that log them and the command. */
 export const requestLogMessages = {
 	ended: 'A request has ended.',
-	refusedAtDoor: 'A request was refused at the door: its steps would wait too long.',
-	turnedAway: 'A request was turned away at the door.',
-	poolWaits: 'Pieces wait for a pool.',
+	refusedForPredictedWait: 'A request was refused at the door: its steps would wait too long.',
+	refusedOnAdmission: 'A request was turned away at the door.',
+	poolBacklog: 'Pieces wait for a pool.',
 } as const;
--- a/src/request/common/request-plan.ts
+++ b/src/request/common/request-plan.ts
@@ -28,7 +28,7 @@
 };
 
 /** Status and headers of an HTTP answer. */
-export type HttpHead = {readonly status: number; readonly headers: readonly Header[]};
+export type HttpResponseHead = {readonly status: number; readonly headers: readonly Header[]};
 
 /** Results that a request reads before it runs. */
 export type PreparedInputs = {
@@ -62,7 +62,7 @@
 	readonly startMs: number;
 	readonly deadlineMs: number;
 	/** Latest time of a final answer. */
-	readonly giveUpMs: number;
+	readonly hardDeadlineMs: number;
 	readonly input: Uint8Array;
 	readonly http?: HttpCall;
 	readonly prefixHash: number;
@@ -97,7 +97,7 @@
 export type FailureCode = typeof failureCodes[keyof typeof failureCodes];
 
 /** Retry delay for a caller that can turn to another host: short, since that host has nothing to wait for. */
-export const otherHostMs = 50;
+export const otherHostRetryAfterMs = 50;
 
 /** The states of an attempt: two while it is live, then how it ended. */
 export const attemptStates = {
@@ -145,6 +145,6 @@
 	readonly digest: number;
 	/** The answer; already delivered if the request was streaming. */
 	readonly body: Uint8Array;
-	readonly http?: HttpHead;
+	readonly http?: HttpResponseHead;
 	readonly stages: readonly StageTrace[];
 };
--- a/src/request/common/request-result.ts
+++ b/src/request/common/request-result.ts
@@ -5,10 +5,10 @@
 } from './request-plan.js';
 import type {StageRun} from './stage-run.js';
 
-const usualRetryAfterMs = 500;
+const defaultRetryAfterMs = 500;
 
 /** How a request ended. */
-export type Ending = {
+export type RequestEnding = {
 	readonly outcome: RequestOutcome;
 	readonly message: string;
 	readonly nowMs: number;
@@ -26,8 +26,8 @@
 @param ending - how the request ended.
 @returns the result.
 */
-export function makeResult(plan: RequestPlan, runs: readonly StageRun[], ending: Ending): RequestResult {
-	const {outcome, message, nowMs, code, last, retryAfterMs = usualRetryAfterMs} = ending;
+export function makeResult(plan: RequestPlan, runs: readonly StageRun[], ending: RequestEnding): RequestResult {
+	const {outcome, message, nowMs, code, last, retryAfterMs = defaultRetryAfterMs} = ending;
 	const body = last?.body ?? new Uint8Array(0);
 	const isNotRun = outcome === outcomes.refused;
 	return {
--- a/src/request/common/request-machine.test.ts
+++ b/src/request/common/request-state-machine.test.ts
@@ -3,7 +3,7 @@
 import {policyDefaults, type EffectivePolicy} from '../../settings/common/schema.js';
 import {agentRules, directRules} from './attempt-rules.js';
 import type {RequestAction} from './request-events.js';
-import {RequestMachine} from './request-machine.js';
+import {RequestStateMachine} from './request-state-machine.js';
 import {noInputs, type RequestPlan} from './request-plan.js';
 import type {RequestRouter} from './request-router.js';
 
@@ -13,7 +13,7 @@
 	const policy: EffectivePolicy = {...policyDefaults};
 	return {
 		requestId: 'r', workspace: 'w', pipeline: 'p', policy, isRepeatable: true, settingsRevision: 1, needsClaim: false, needsPreparation: false, rules: agentRules, isStreaming: false,
-		startMs: 0, deadlineMs: 1000, giveUpMs: 1500, input: new Uint8Array(0), prefixHash: 0, seed: 0,
+		startMs: 0, deadlineMs: 1000, hardDeadlineMs: 1500, input: new Uint8Array(0), prefixHash: 0, seed: 0,
 		stages: [{
 			name: 's', index: 0, kind: 'run', pool: 'q', slots: 1, key: 's', budgetKey: 's', policy,
 		}],
@@ -24,7 +24,7 @@
 const typesOf = (actions: readonly RequestAction[]) => actions.map(action => action.type);
 
 t.test('a hedge that the budget declines is not requested again at once', async t => {
-	const machine = RequestMachine.create(planWith(), routerWith({hedgeDelayMs: () => 10, mayHedge: () => false}));
+	const machine = RequestStateMachine.create(planWith(), routerWith({hedgeDelayMs: () => 10, mayHedge: () => false}));
 	machine.handle({type: 'start'}, 0);
 	t.equal(machine.wakeAtMs, 10);
 	t.strictSame(typesOf(machine.handle({type: 'tick'}, 10)), []);
@@ -32,7 +32,7 @@
 });
 
 t.test('of a hedge and the attempt it hedges, the first to complete counts and the other is cancelled', async t => {
-	const machine = RequestMachine.create(planWith(), routerWith({hedgeDelayMs: () => 10}));
+	const machine = RequestStateMachine.create(planWith(), routerWith({hedgeDelayMs: () => 10}));
 	machine.handle({type: 'start'}, 0);
 	t.strictSame(typesOf(machine.handle({type: 'tick'}, 10)), ['dispatch']);
 	const ended = machine.handle({
@@ -42,7 +42,7 @@
 });
 
 t.test('a request that every upstream refused is refused as not run', async t => {
-	const machine = RequestMachine.create(planWith(), routerWith({}));
+	const machine = RequestStateMachine.create(planWith(), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	machine.handle({type: 'refused', dispatchId: 'd0', reason: 'queueFull'}, 1);
 	machine.handle({type: 'refused', dispatchId: 'd1', reason: 'queueFull'}, 2);
@@ -50,7 +50,7 @@
 });
 
 t.test('work that may not be repeated is queried, not sent again, when its connection is restored', async t => {
-	const machine = RequestMachine.create(planWith({isRepeatable: false}), routerWith({}));
+	const machine = RequestStateMachine.create(planWith({isRepeatable: false}), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	machine.handle({type: 'started', dispatchId: 'd0', queueMs: 0}, 1);
 	t.strictSame(typesOf(machine.handle({type: 'connectionLost', upstreamId: 'u1'}, 2)), []);
@@ -59,7 +59,7 @@
 });
 
 t.test('late work that has started is answered completely and marked late', async t => {
-	const machine = RequestMachine.create(planWith(), routerWith({}));
+	const machine = RequestStateMachine.create(planWith(), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	machine.handle({type: 'started', dispatchId: 'd0', queueMs: 0}, 10);
 	t.strictSame(typesOf(machine.handle({type: 'tick'}, 1000)), []);
@@ -72,7 +72,7 @@
 	for (const isWithinBudget of [true, false]) {
 		const kinds: string[] = [];
 		let asked = 0;
-		const machine = RequestMachine.create(planWith({needsPreparation: true, rules: directRules}), routerWith({
+		const machine = RequestStateMachine.create(planWith({needsPreparation: true, rules: directRules}), routerWith({
 			mayRetry() {
 				asked++;
 				return isWithinBudget;
@@ -99,12 +99,12 @@
 beginning the stage again discards its earlier attempts, including those that may have run.
 */
 t.test('attempts that may have run still count after a repeated preparation: no refusal as not run, and no extra attempts', async t => {
-	const lost = (machine: RequestMachine, dispatchId: string) => machine.handle({
+	const lost = (machine: RequestStateMachine, dispatchId: string) => machine.handle({
 		type: 'end', dispatchId, state: 'unknown', units: 0, digest: 0, runMs: 5, reason: 'cut',
 	}, 10);
 	const begin = () => {
 		const [stage] = planWith().stages;
-		const machine = RequestMachine.create(planWith({
+		const machine = RequestStateMachine.create(planWith({
 			needsPreparation: true, rules: directRules, stages: [{...stage, policy: {...stage.policy, maxAttempts: 2}}],
 		}), routerWith({}));
 		machine.handle({type: 'start'}, 0);
@@ -125,13 +125,13 @@
 });
 
 t.test('a request that is still waiting when its host stops is refused as not run', async t => {
-	const machine = RequestMachine.create(planWith({needsPreparation: true}), routerWith({}));
+	const machine = RequestStateMachine.create(planWith({needsPreparation: true}), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	t.match(machine.handle({type: 'hostStops'}, 10), [{type: 'finish', result: {outcome: 'refused', code: 'stopping', retryAfterMs: 50}}, {type: 'close'}]);
 });
 
 t.test('a request that an upstream may have begun continues when its host stops', async t => {
-	const machine = RequestMachine.create(planWith(), routerWith({}));
+	const machine = RequestStateMachine.create(planWith(), routerWith({}));
 	machine.handle({type: 'start'}, 0);
 	t.strictSame(machine.handle({type: 'hostStops'}, 10), []);
 });
@@ -146,7 +146,7 @@
 		const state = {isOpen: true};
 		const router = idleRouter(['u1', 'u2']);
 		const plan = planWith({isStreaming: true, rules: directRules});
-		const machine = RequestMachine.create({...plan, stages: [{...plan.stages[0], kind: 'http'}]}, {
+		const machine = RequestStateMachine.create({...plan, stages: [{...plan.stages[0], kind: 'http'}]}, {
 			...router,
 			choose: (...args) => state.isOpen ? router.choose(...args) : undefined,
 			unavailability: () => state.isOpen ? undefined : unavailability,
--- a/src/request/common/request-machine.ts
+++ b/src/request/common/request-state-machine.ts
@@ -2,7 +2,7 @@
 import {barredText} from '../../quarantine/common/quarantine.js';
 import type {RequestAction, RequestEvent} from './request-events.js';
 import {
-	failureCodes, noInputs, otherHostMs, outcomes, type FailureCode, type PreparedInputs, type RequestOutcome, type RequestPlan, type RequestResult,
+	failureCodes, noInputs, otherHostRetryAfterMs, outcomes, type FailureCode, type PreparedInputs, type RequestOutcome, type RequestPlan, type RequestResult,
 } from './request-plan.js';
 import type {RequestRouter} from './request-router.js';
 import {makeResult} from './request-result.js';
@@ -13,22 +13,22 @@
 /** How long after the deadline agents have to confirm that they did not start the request. */
 export const proofGraceMs = 150;
 /** How long the outcome of work that may not be repeated is followed after its caller was given `unknown`. */
-export const settleMs = 60_000;
+export const settleTimeoutMs = 60_000;
 
 /** Maximum number of preparations of one request, including those that replace lost results. */
-const mostPreparations = 3;
+const maxPreparations = 3;
 
 type Phase = 'new' | 'claiming' | 'preparing' | 'running' | 'proving' | 'settling' | 'closed';
 
 /** Drives one request from its start to its end. */
-export class RequestMachine {
+export class RequestStateMachine {
 	/**
 	Creates the state machine; it does nothing before the `start` event.
 	@param plan - the plan of the request.
 	@param router - decides about upstreams.
 	*/
-	static create(plan: RequestPlan, router: RequestRouter): RequestMachine {
-		return new RequestMachine(plan, router);
+	static create(plan: RequestPlan, router: RequestRouter): RequestStateMachine {
+		return new RequestStateMachine(plan, router);
 	}
 
 	private phase: Phase = 'new';
@@ -38,7 +38,7 @@
 	private settleByMs = Infinity;
 	/** Results of the preparation, which the first stage reads besides its input. */
 	private inputs: PreparedInputs = noInputs;
-	private preparations = 0;
+	private preparationCount = 0;
 
 	private constructor(readonly plan: RequestPlan, private readonly router: RequestRouter) {}
 
@@ -60,7 +60,7 @@
 			}
 
 			case 'running': {
-				const ownMs = this.runs.isUnstarted ? this.plan.deadlineMs : this.plan.giveUpMs;
+				const ownMs = this.runs.isUnstarted ? this.plan.deadlineMs : this.plan.hardDeadlineMs;
 				return Math.min(ownMs, this.runs.current?.wakeAtMs ?? Infinity);
 			}
 
@@ -87,14 +87,14 @@
 	handle(event: RequestEvent, nowMs: number): RequestAction[] {
 		this.actions = [];
 		if (!this.isClosed) {
-			this.accept(event, nowMs);
+			this.applyEvent(event, nowMs);
 			this.advance(nowMs);
 		}
 
 		return this.actions;
 	}
 
-	private accept(event: RequestEvent, nowMs: number): void {
+	private applyEvent(event: RequestEvent, nowMs: number): void {
 		switch (event.type) {
 			case 'start': {
 				this.start(nowMs);
@@ -121,14 +121,14 @@
 			case 'preparationFailed': {
 				if (this.phase === 'preparing') {
 					const {code, message, retryAfterMs} = event.failure;
-					this.finishWith(code, message, nowMs, retryAfterMs);
+					this.finishFailed(code, message, nowMs, retryAfterMs);
 				}
 
 				break;
 			}
 
 			case 'claimRefused': {
-				this.finishWith(event.code, event.message, nowMs);
+				this.finishFailed(event.code, event.message, nowMs);
 				break;
 			}
 
@@ -162,7 +162,7 @@
 
 	private start(nowMs: number): void {
 		if (nowMs + this.router.optimisticFinishMs(this.plan.stages, nowMs) > this.plan.deadlineMs) {
-			this.finishWith(failureCodes.deadlineUnreachable, 'the stages take longer than the deadline leaves', nowMs);
+			this.finishFailed(failureCodes.deadlineUnreachable, 'the stages take longer than the deadline leaves', nowMs);
 		} else if (this.plan.needsClaim) {
 			this.phase = 'claiming';
 			this.actions.push({type: 'claim'});
@@ -174,8 +174,8 @@
 	private prepareOrBegin(nowMs: number): void {
 		if (this.plan.needsPreparation) {
 			this.phase = 'preparing';
-			this.actions.push({type: 'prepare', isAgain: this.preparations > 0});
-			this.preparations++;
+			this.actions.push({type: 'prepare', isAgain: this.preparationCount > 0});
+			this.preparationCount++;
 		} else {
 			this.beginFirst(nowMs);
 		}
@@ -190,17 +190,17 @@
 		const {plan, router} = this;
 		const remainingMs = router.optimisticRunMs(plan.stages.slice(index));
 		// A request that has started may end late, but no request is started after its deadline.
-		const latestMs = index === 0 ? plan.deadlineMs : plan.giveUpMs;
+		const latestMs = index === 0 ? plan.deadlineMs : plan.hardDeadlineMs;
 		const run = StageRun.create({
 			plan,
 			router,
 			input,
 			inputs: index === 0 ? this.inputs : noInputs,
-			earlier: index === 0 ? this.runs.earlier : [],
+			earlierAttempts: index === 0 ? this.runs.earlierAttempts : [],
 			stage: index === 0 ? {...plan.stages[0], inputBytesByHall: this.inputs.bytesByHall} : plan.stages[index],
 			startByMs: latestMs - remainingMs,
 			isLast: index === plan.stages.length - 1,
-			isRepeat: index === 0 && this.preparations > 1,
+			isRepeat: index === 0 && this.preparationCount > 1,
 			startMs: nowMs,
 			emit: action => {
 				this.actions.push(action);
@@ -208,7 +208,7 @@
 		});
 		this.runs.add(run);
 		if (nowMs > latestMs - remainingMs) {
-			this.finishWith(failureCodes.deadlineExceeded, `stage "${run.stage.name}" can no longer end in time`, nowMs);
+			this.finishFailed(failureCodes.deadlineExceeded, `stage "${run.stage.name}" can no longer end in time`, nowMs);
 		} else {
 			run.begin(nowMs);
 		}
@@ -218,11 +218,11 @@
 		if (this.phase === 'settling' && nowMs >= this.settleByMs) {
 			this.settle(nowMs);
 		} else if (this.phase === 'proving' && nowMs >= this.proveByMs) {
-			this.finishWith(failureCodes.deadlineExceeded, 'the deadline has passed', nowMs);
+			this.finishFailed(failureCodes.deadlineExceeded, 'the deadline has passed', nowMs);
 		} else if (this.phase === 'claiming' && nowMs >= this.plan.deadlineMs) {
-			this.finishWith(failureCodes.deadlineExceeded, 'the deadline passed before the request was registered', nowMs);
+			this.finishFailed(failureCodes.deadlineExceeded, 'the deadline passed before the request was registered', nowMs);
 		} else if (this.phase === 'preparing' && nowMs >= this.plan.deadlineMs) {
-			this.finishWith(failureCodes.preparationFailed, 'the work before the request took longer than the request may be held', nowMs);
+			this.finishFailed(failureCodes.preparationFailed, 'the work before the request took longer than the request may be held', nowMs);
 		} else if (this.phase === 'running') {
 			this.tickRunning(nowMs);
 		}
@@ -235,15 +235,15 @@
 			return;
 		}
 
-		if (nowMs >= this.plan.giveUpMs) {
-			this.finishWith(failureCodes.deadlineExceeded, 'the deadline and the time allowed past it are over', nowMs);
+		if (nowMs >= this.plan.hardDeadlineMs) {
+			this.finishFailed(failureCodes.deadlineExceeded, 'the deadline and the time allowed past it are over', nowMs);
 		} else if (this.runs.isUnstarted && nowMs >= this.plan.deadlineMs) {
-			this.prove(nowMs);
+			this.confirmNotStarted(nowMs);
 		}
 	}
 
 	/** Handles a deadline that passed before anything is known to have started: cancels, so that the agents confirm it. */
-	private prove(nowMs: number): void {
+	private confirmNotStarted(nowMs: number): void {
 		this.phase = 'proving';
 		this.proveByMs = nowMs + proofGraceMs;
 		this.runs.current!.cancelLive();
@@ -266,10 +266,10 @@
 			}
 
 			if (run.status.type === 'failed') {
-				this.finishWith(run.status.code, run.status.message, nowMs, run.status.retryAfterMs);
+				this.finishFailed(run.status.code, run.status.message, nowMs, run.status.retryAfterMs);
 			} else if (run.status.type !== 'done') {
 				if (this.phase === 'proving' && !run.attempts.hasLive) {
-					this.finishWith(failureCodes.deadlineExceeded, 'the deadline has passed', nowMs);
+					this.finishFailed(failureCodes.deadlineExceeded, 'the deadline has passed', nowMs);
 				}
 
 				return;
@@ -284,12 +284,12 @@
 
 	/** Prepares the request again, since results that its first stage was to read are lost and the stage has not run. */
 	private prepareAgain(run: StageRun, nowMs: number): void {
-		if (this.preparations >= mostPreparations) {
-			this.finishWith(failureCodes.preparationFailed, 'results of the work before the request were lost again and again', nowMs);
-		} else if (this.plan.rules.paysForRefusals && !this.router.mayRetry(this.plan.stages[0], nowMs)) {
-			this.finishWith(failureCodes.overloaded, 'results of the work before the request were lost; the retry budget is spent', nowMs);
+		if (this.preparationCount >= maxPreparations) {
+			this.finishFailed(failureCodes.preparationFailed, 'results of the work before the request were lost again and again', nowMs);
+		} else if (this.plan.rules.chargesRefusalsToRetryBudget && !this.router.mayRetry(this.plan.stages[0], nowMs)) {
+			this.finishFailed(failureCodes.overloaded, 'results of the work before the request were lost; the retry budget is spent', nowMs);
 		} else {
-			this.runs.beginAgain(run);
+			this.runs.removeForRestart(run);
 			this.prepareOrBegin(nowMs);
 		}
 	}
@@ -301,7 +301,7 @@
 		this.close();
 	}
 
-	private finishWith(code: FailureCode, message: string, nowMs: number, retryAfterMs?: number): void {
+	private finishFailed(code: FailureCode, message: string, nowMs: number, retryAfterMs?: number): void {
 		if (this.phase === 'settling' || this.phase === 'closed') {
 			return;
 		}
@@ -316,7 +316,7 @@
 		if (this.runs.hasLive) {
 			// Work that may not be repeated is still live: cancelling withdraws only what has not started.
 			this.phase = 'settling';
-			this.settleByMs = nowMs + settleMs;
+			this.settleByMs = nowMs + settleTimeoutMs;
 			this.runs.current!.stopRecovery();
 			this.runs.current!.cancelLive();
 		} else {
@@ -333,8 +333,8 @@
 	}
 
 	private callerGone(nowMs: number): void {
-		if (this.plan.isRepeatable || !this.runs.mayHaveRun || this.plan.rules.cancelsWithCaller) {
-			this.finishWith(failureCodes.callerGone, 'the caller went away', nowMs);
+		if (this.plan.isRepeatable || !this.runs.mayHaveRun || this.plan.rules.cancelsOnCallerDisconnect) {
+			this.finishFailed(failureCodes.callerGone, 'the caller went away', nowMs);
 		}
 		// Work that may not be repeated continues, so that a repeat of the request gets its outcome.
 	}
@@ -343,14 +343,14 @@
 	private refuseIfBarred(nowMs: number): void {
 		const standing = this.router.standingOf(this.plan);
 		if (standing.type === 'barred' && !this.runs.mayHaveRun && this.phase !== 'claiming') {
-			this.finishWith(failureCodes.quarantined, barredText, nowMs, standing.forMs);
+			this.finishFailed(failureCodes.quarantined, barredText, nowMs, standing.forMs);
 		}
 	}
 
 	/** Refuses a request that no upstream can have begun as not run, so that its caller can turn to another host at once. */
 	private hostStops(nowMs: number): void {
 		if (!this.runs.mayHaveRun && this.phase !== 'claiming') {
-			this.finishWith(failureCodes.stopping, 'this host stops before it could run', nowMs, otherHostMs);
+			this.finishFailed(failureCodes.stopping, 'this host stops before it could run', nowMs, otherHostRetryAfterMs);
 		}
 	}
 
--- a/src/request/common/stage-answer.ts
+++ b/src/request/common/stage-answer.ts
@@ -9,16 +9,16 @@
 		return new StageAnswer();
 	}
 
-	private readonly pieces: Uint8Array[] = [];
-	private count = 0;
+	private readonly chunks: Uint8Array[] = [];
+	private unitCount = 0;
 
 	get units(): number {
-		return this.count;
+		return this.unitCount;
 	}
 
 	/** A copy of all bytes received so far. */
 	get body(): Uint8Array {
-		return joinBytes(this.pieces);
+		return joinBytes(this.chunks);
 	}
 
 	/**
@@ -27,8 +27,8 @@
 	@param data - the chunk.
 	*/
 	add(units: number, data: Uint8Array): void {
-		this.pieces.push(data);
-		this.count += units;
+		this.chunks.push(data);
+		this.unitCount += units;
 	}
 }
 
--- a/src/request/common/stage-dispatch.ts
+++ b/src/request/common/stage-dispatch.ts
@@ -1,6 +1,6 @@
 /** Creates the message that sends an attempt to its upstream or agent. */
 import type {DispatchMessage, UpstreamCall} from '../../wire/common/messages.js';
-import {creditWindow, type Attempt} from './attempt.js';
+import {creditWindowChunks, type Attempt} from './attempt.js';
 import type {PreparedInputs, RequestPlan, StagePlan} from './request-plan.js';
 
 /** The data from which a dispatch message is created. */
@@ -35,7 +35,7 @@
 		isRepeatable: plan.isRepeatable,
 		settingsRevision: plan.settingsRevision,
 		weight: plan.policy.fairShare,
-		creditChunks: creditWindow,
+		creditChunks: creditWindowChunks,
 		call: callOf(parts, attempt),
 	};
 }
--- a/src/request/common/stage-hold.ts
+++ b/src/request/common/stage-hold.ts
@@ -1,7 +1,7 @@
 /** Tracks how long a stage is held while no upstream is available for it. */
 
 /** Interval at which a held stage looks for an upstream again; short compared with the duration of a call. */
-const holdRetryMs = 20;
+const holdRetryIntervalMs = 20;
 
 /** Records the periods during which one stage is held. Whether it is held now is part of the stage's status. */
 export class StageHold {
@@ -14,9 +14,9 @@
 	}
 
 	private totalMs = 0;
-	private nextTryMs = Infinity;
+	private nextRetryMs = Infinity;
 
-	private constructor(private sinceMs: number) {}
+	private constructor(private heldSinceMs: number) {}
 
 	/** Total time of all completed holds; a hold in progress is not included. */
 	get heldMs(): number {
@@ -25,15 +25,15 @@
 
 	/** When the stage looks for an upstream again. */
 	get retryAtMs(): number {
-		return this.nextTryMs;
+		return this.nextRetryMs;
 	}
 
 	/**
 	Returns when the current hold must end.
-	@param longestMs - the maximum duration of a single hold.
+	@param maxHoldMs - the maximum duration of a single hold.
 	*/
-	endMs(longestMs: number): number {
-		return this.sinceMs + longestMs;
+	endMs(maxHoldMs: number): number {
+		return this.heldSinceMs + maxHoldMs;
 	}
 
 	/**
@@ -41,7 +41,7 @@
 	@param nowMs - the current time.
 	*/
 	begin(nowMs: number): void {
-		this.sinceMs = nowMs;
+		this.heldSinceMs = nowMs;
 	}
 
 	/**
@@ -49,7 +49,7 @@
 	@param nowMs - the current time.
 	*/
 	retryLater(nowMs: number): void {
-		this.nextTryMs = nowMs + holdRetryMs;
+		this.nextRetryMs = nowMs + holdRetryIntervalMs;
 	}
 
 	/**
@@ -57,6 +57,6 @@
 	@param nowMs - the current time.
 	*/
 	end(nowMs: number): void {
-		this.totalMs += nowMs - this.sinceMs;
+		this.totalMs += nowMs - this.heldSinceMs;
 	}
 }
--- a/src/request/common/stage-recovery.test.ts
+++ b/src/request/common/stage-recovery.test.ts
@@ -2,7 +2,7 @@
 import {decideRecovery, type RecoveryFacts} from './stage-recovery.js';
 
 const lost: RecoveryFacts = {
-	code: 'upstreamFailed', message: 'lost', isNotRun: false, areRefusalsFree: true, isRepeatable: true, isOver: false, hasUnknown: false, areSpent: false, isTooLate: false,
+	code: 'upstreamFailed', message: 'lost', isNotRun: false, areRefusalsFree: true, isRepeatable: true, isRecoveryStopped: false, hasUnknown: false, areAttemptsExhausted: false, isTooLate: false,
 	mayRetry: () => true,
 };
 const codeOf = (changes: Partial<RecoveryFacts>) => {
@@ -12,10 +12,10 @@
 
 t.test('another attempt is made while time, the number of attempts and the budget allow it', async t => {
 	t.equal(codeOf({}), 'again');
-	t.equal(codeOf({areSpent: true}), 'attemptsExhausted');
+	t.equal(codeOf({areAttemptsExhausted: true}), 'attemptsExhausted');
 	t.equal(codeOf({isTooLate: true}), 'deadlineExceeded');
 	t.equal(codeOf({mayRetry: () => false}), 'attemptsExhausted');
-	t.equal(codeOf({isOver: true}), 'upstreamFailed');
+	t.equal(codeOf({isRecoveryStopped: true}), 'upstreamFailed');
 });
 
 t.test('work that may have run and may not be repeated is never retried', async t => {
@@ -28,5 +28,5 @@
 	const declined = {isNotRun: true, mayRetry: () => false};
 	t.equal(codeOf(declined), 'again');
 	t.equal(codeOf({...declined, areRefusalsFree: false}), 'overloaded');
-	t.equal(codeOf({...declined, areSpent: true}), 'overloaded');
+	t.equal(codeOf({...declined, areAttemptsExhausted: true}), 'overloaded');
 });
--- a/src/request/common/stage-recovery.ts
+++ b/src/request/common/stage-recovery.ts
@@ -12,11 +12,11 @@
 	readonly areRefusalsFree: boolean;
 	readonly isRepeatable: boolean;
 	/** Whether the answer to the request is already final, so that a lost attempt is not replaced. */
-	readonly isOver: boolean;
+	readonly isRecoveryStopped: boolean;
 	/** Whether the result of any ended attempt is unknown. */
 	readonly hasUnknown: boolean;
 	/** Whether the maximum number of attempts or refusals has been reached. */
-	readonly areSpent: boolean;
+	readonly areAttemptsExhausted: boolean;
 	/** Whether it is too late to start on an upstream. */
 	readonly isTooLate: boolean;
 	/** Takes one retry from the retry budget if there is one left; called last, since a successful call spends it. */
@@ -35,8 +35,8 @@
 */
 export function decideRecovery(facts: RecoveryFacts): Recovery {
 	const {code, message, isNotRun} = facts;
-	const spentCode = isNotRun ? failureCodes.overloaded : failureCodes.attemptsExhausted;
-	if (facts.isOver) {
+	const exhaustedCode = isNotRun ? failureCodes.overloaded : failureCodes.attemptsExhausted;
+	if (facts.isRecoveryStopped) {
 		return failed(code, message);
 	}
 
@@ -44,8 +44,8 @@
 		return failed(facts.hasUnknown ? failureCodes.resultUnknown : code, message);
 	}
 
-	if (facts.areSpent) {
-		return failed(spentCode, message);
+	if (facts.areAttemptsExhausted) {
+		return failed(exhaustedCode, message);
 	}
 
 	if (facts.isTooLate) {
@@ -55,7 +55,7 @@
 	const isFree = isNotRun && facts.areRefusalsFree;
 	return isFree || facts.mayRetry()
 		? {type: 'again'}
-		: failed(spentCode, `${message}; the retry budget is spent`);
+		: failed(exhaustedCode, `${message}; the retry budget is spent`);
 }
 
 function failed(code: FailureCode, message: string): Recovery {
--- a/src/request/common/stage-run-list.ts
+++ b/src/request/common/stage-run-list.ts
@@ -10,7 +10,7 @@
 
 	readonly all: StageRun[] = [];
 	/** Attempts of a removed run that may have run; all of them have ended. */
-	earlier: readonly Attempt[] = [];
+	earlierAttempts: readonly Attempt[] = [];
 
 	get count(): number {
 		return this.all.length;
@@ -28,7 +28,7 @@
 
 	/** Whether any attempt may have run. */
 	get mayHaveRun(): boolean {
-		return this.earlier.length > 0 || this.all.some(run => run.attempts.mayHaveRun);
+		return this.earlierAttempts.length > 0 || this.all.some(run => run.attempts.mayHaveRun);
 	}
 
 	/** Whether any attempt is still live. */
@@ -38,7 +38,7 @@
 
 	/** Whether the result of any attempt is unknown or still pending. */
 	get isUnsettled(): boolean {
-		return this.earlier.length > 0 || this.all.some(run => run.attempts.hasLive || run.attempts.hasUnknown);
+		return this.earlierAttempts.length > 0 || this.all.some(run => run.attempts.hasLive || run.attempts.hasUnknown);
 	}
 
 	/** Whether only the first stage was begun and none of its attempts is known to have started. */
@@ -55,8 +55,8 @@
 	request has not run, and the stage does not exceed its maximum number of attempts.
 	@param run - a run in the list.
 	*/
-	beginAgain(run: StageRun): void {
-		this.earlier = run.attempts.all.filter(attempt => attempt.mayHaveRun);
+	removeForRestart(run: StageRun): void {
+		this.earlierAttempts = run.attempts.all.filter(attempt => attempt.mayHaveRun);
 		this.all.splice(this.all.indexOf(run), 1);
 	}
 
--- a/src/request/common/stage-run.ts
+++ b/src/request/common/stage-run.ts
@@ -16,7 +16,7 @@
 import {decideRecovery} from './stage-recovery.js';
 import {makeStageTrace} from './stage-trace.js';
 
-const firstServerError = 500;
+const minServerErrorStatus = 500;
 
 /** The status of a stage run. */
 export type StageStatus
@@ -38,7 +38,7 @@
 	readonly startByMs: number;
 	readonly isLast: boolean;
 	/** Attempts of an earlier run of the stage that may have run; they count like the attempts of this run. */
-	readonly earlier?: readonly Attempt[];
+	readonly earlierAttempts?: readonly Attempt[];
 	/** Whether the stage was sent before, for example when results it was to read were lost; its first attempt is then a retry. */
 	readonly isRepeat: boolean;
 	readonly emit: (action: RequestAction) => void;
@@ -54,19 +54,19 @@
 	status: StageStatus = {type: 'holding'};
 	readonly attempts = AttemptList.create();
 	/** The attempt whose units count; set once an attempt has delivered any. */
-	private leader: Attempt | undefined;
+	private acceptedAttempt: Attempt | undefined;
 	private answer = StageAnswer.create();
 	private receivedBytes = 0;
 	private readonly holding: StageHold;
 	private endMs = 0;
-	private isRecoveryOver = false;
-	private isHedgeOver = false;
+	private isRecoveryStopped = false;
+	private isHedgeDecided = false;
 	/** An attempt whose complete answer reports an error. */
-	private errorAnswer: Attempt | undefined;
+	private errorAttempt: Attempt | undefined;
 
 	private constructor(private readonly options: StageRunOptions) {
 		this.holding = StageHold.create(options.startMs);
-		for (const attempt of options.earlier ?? []) {
+		for (const attempt of options.earlierAttempts ?? []) {
 			this.attempts.add(attempt);
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 
 	get http(): Attempt['http'] {
-		return this.leader?.http;
+		return this.acceptedAttempt?.http;
 	}
 
 	/** Next time at which a tick has something to do. */
@@ -102,19 +102,19 @@
 	}
 
 	begin(nowMs: number): void {
-		this.dispatch(this.firstKind, nowMs);
+		this.dispatch(this.firstAttemptKind, nowMs);
 	}
 
 	tick(nowMs: number): void {
 		if (this.status.type === 'holding') {
-			this.tryAgain(nowMs);
+			this.retryHeld(nowMs);
 			return;
 		}
 
 		for (const attempt of this.attempts.live) {
 			if (nowMs >= this.timeoutAtMs(attempt)) {
 				this.cancel(attempt);
-				this.end(attempt, attemptStates.unknown, 'timeout', nowMs);
+				this.endAttempt(attempt, attemptStates.unknown, 'timeout', nowMs);
 				this.recover(failureCodes.upstreamFailed, 'the upstream fell silent', nowMs);
 			} else if (nowMs >= this.hedgeAtMs(attempt)) {
 				this.hedge(nowMs);
@@ -124,14 +124,14 @@
 
 	candidatesChanged(nowMs: number): void {
 		if (this.status.type === 'holding') {
-			this.tryAgain(nowMs);
+			this.retryHeld(nowMs);
 		}
 	}
 
 	notSent(dispatchId: string, nowMs: number): void {
 		const attempt = this.attempts.findLive(dispatchId);
 		if (attempt) {
-			this.end(attempt, attemptStates.notRun, 'notSent', nowMs);
+			this.endAttempt(attempt, attemptStates.notRun, 'notSent', nowMs);
 			this.recover(failureCodes.noUpstream, 'the connection was lost before sending', nowMs);
 		}
 	}
@@ -142,7 +142,7 @@
 			return;
 		}
 
-		this.end(attempt, attemptStates.notRun, message.reason, nowMs);
+		this.endAttempt(attempt, attemptStates.notRun, message.reason, nowMs);
 		if (message.reason === refusalReasons.inputsGone && !this.attempts.hasLive) {
 			this.status = {type: 'inputsGone'};
 		} else if (message.reason === refusalReasons.outOfTime && nowMs >= this.options.startByMs) {
@@ -156,7 +156,7 @@
 		const attempt = this.attempts.findLive(message.dispatchId);
 		if (attempt) {
 			attempt.state = attemptStates.started;
-			attempt.heardMs = nowMs;
+			attempt.lastReceivedMs = nowMs;
 			attempt.queueMs = message.queueMs;
 			attempt.http = message.http ?? attempt.http;
 		}
@@ -164,16 +164,16 @@
 
 	chunk(message: ChunkMessage, nowMs: number): void {
 		const attempt = this.attempts.findLive(message.dispatchId);
-		if (!attempt || this.isOvertaken(attempt) || !attempt.take(message)) {
+		if (!attempt || this.isSuperseded(attempt) || !attempt.take(message)) {
 			return;
 		}
 
-		attempt.heardMs = nowMs;
+		attempt.lastReceivedMs = nowMs;
 		if (attempt.answer.units === message.units) {
 			this.options.router.didBegin(this.stage, attempt, nowMs);
 		}
 
-		const chunks = attempt.takeCredit();
+		const chunks = attempt.takeCreditGrant();
 		if (chunks > 0) {
 			const {upstreamId, dispatchId} = attempt.options;
 			this.options.emit({
@@ -182,7 +182,7 @@
 		}
 
 		if (this.isIncremental) {
-			this.follow(attempt, nowMs);
+			this.accept(attempt, nowMs);
 			this.answer.add(message.units, message.data);
 			if (this.options.isLast && this.options.plan.isStreaming) {
 				this.options.emit({
@@ -194,7 +194,7 @@
 		this.receivedBytes += message.data.byteLength;
 		if (isTooLarge(this.receivedBytes)) {
 			this.cancel(attempt);
-			this.end(attempt, attemptStates.failed, 'answerTooLarge', nowMs);
+			this.endAttempt(attempt, attemptStates.failed, 'answerTooLarge', nowMs);
 			this.failUnlessLive(failureCodes.upstreamFailed, 'the answer is too large');
 		}
 	}
@@ -207,13 +207,13 @@
 
 		attempt.runMs = message.runMs;
 		if (message.state !== attemptStates.completed) {
-			this.end(attempt, message.state, message.reason ?? 'failed', nowMs);
+			this.endAttempt(attempt, message.state, message.reason ?? 'failed', nowMs);
 			this.recover(failureCodes.upstreamFailed, message.reason ?? 'the upstream failed', nowMs);
 		} else if (attempt.isWhole(message)) {
-			this.answered(attempt, nowMs);
+			this.completeAnswerReceived(attempt, nowMs);
 		} else {
 			// The end message does not match what was received: the stream was cut in transit.
-			this.end(attempt, attemptStates.unknown, 'incomplete', nowMs);
+			this.endAttempt(attempt, attemptStates.unknown, 'incomplete', nowMs);
 			this.recover(failureCodes.upstreamFailed, 'the answer came incomplete', nowMs);
 		}
 	}
@@ -224,11 +224,11 @@
 			return;
 		}
 
-		this.loseAttempts(upstreamId, 'connectionLost', nowMs);
+		this.endLostAttempts(upstreamId, 'connectionLost', nowMs);
 	}
 
 	incarnationGone(upstreamId: string, nowMs: number): void {
-		this.loseAttempts(upstreamId, 'agentGone', nowMs);
+		this.endLostAttempts(upstreamId, 'agentGone', nowMs);
 	}
 
 	reconnected(upstreamId: string): void {
@@ -244,7 +244,7 @@
 	abandon(nowMs: number): void {
 		for (const attempt of this.attempts.live) {
 			this.cancel(attempt);
-			this.end(attempt, attemptStates.unknown, 'abandoned', nowMs);
+			this.endAttempt(attempt, attemptStates.unknown, 'abandoned', nowMs);
 		}
 	}
 
@@ -263,10 +263,10 @@
 
 	/** Stops replacing lost attempts, because the answer to the request is final. */
 	stopRecovery(): void {
-		this.isRecoveryOver = true;
+		this.isRecoveryStopped = true;
 	}
 
-	private get firstKind(): AttemptTrace['kind'] {
+	private get firstAttemptKind(): AttemptTrace['kind'] {
 		return this.options.isRepeat ? 'retry' : 'first';
 	}
 
@@ -280,83 +280,83 @@
 	}
 
 	private isUseful(attempt: Attempt): boolean {
-		return this.status.type === 'done' && (attempt === this.leader || (this.isIncremental && attempt.answer.units > 0));
+		return this.status.type === 'done' && (attempt === this.acceptedAttempt || (this.isIncremental && attempt.answer.units > 0));
 	}
 
 	/** Whether the units of another attempt already count. */
-	private isOvertaken(attempt: Attempt): boolean {
-		return this.isIncremental && this.leader !== undefined && this.leader !== attempt;
+	private isSuperseded(attempt: Attempt): boolean {
+		return this.isIncremental && this.acceptedAttempt !== undefined && this.acceptedAttempt !== attempt;
 	}
 
 	private timeoutAtMs(attempt: Attempt): number {
 		const {isRepeatable, rules} = this.options.plan;
-		const isTimed = isRepeatable && (rules.timesFromSend || attempt.state === attemptStates.started);
-		return isTimed ? attempt.heardMs + this.stage.policy.timeoutMs : Infinity;
+		const isTimed = isRepeatable && (rules.startsTimeoutAtSend || attempt.state === attemptStates.started);
+		return isTimed ? attempt.lastReceivedMs + this.stage.policy.timeoutMs : Infinity;
 	}
 
 	private hedgeAtMs(attempt: Attempt): number {
-		const mayHedge = this.attempts.isAlone(attempt) && !this.isHedgeOver && !this.leader && this.options.plan.isRepeatable
-			&& this.attempts.countUnder(this.options.plan.rules) < this.stage.policy.maxAttempts;
+		const mayHedge = this.attempts.hasNoOtherLive(attempt) && !this.isHedgeDecided && !this.acceptedAttempt && this.options.plan.isRepeatable
+			&& this.attempts.countAgainstLimit(this.options.plan.rules) < this.stage.policy.maxAttempts;
 		const delayMs = mayHedge ? this.options.router.hedgeDelayMs(this.stage) : undefined;
 		return delayMs === undefined ? Infinity : attempt.options.sentAtMs + delayMs;
 	}
 
 	/** Sends a hedge if the budget allows it. This is decided only once for a stage, whatever the result. */
 	private hedge(nowMs: number): void {
-		this.isHedgeOver = true;
+		this.isHedgeDecided = true;
 		if (this.options.router.mayHedge(this.stage, nowMs)) {
 			this.dispatch('hedge', nowMs);
 		}
 	}
 
-	private follow(attempt: Attempt, nowMs: number): void {
-		if (this.leader === attempt) {
+	private accept(attempt: Attempt, nowMs: number): void {
+		if (this.acceptedAttempt === attempt) {
 			return;
 		}
 
-		this.leader = attempt;
-		this.dropOthers(attempt, nowMs);
+		this.acceptedAttempt = attempt;
+		this.cancelOthers(attempt, nowMs);
 	}
 
-	private dropOthers(kept: Attempt, nowMs: number): void {
+	private cancelOthers(kept: Attempt, nowMs: number): void {
 		for (const other of this.attempts.live) {
 			if (other !== kept) {
 				this.cancel(other);
-				this.end(other, attemptStates.unknown, 'lostRace', nowMs);
+				this.endAttempt(other, attemptStates.unknown, 'lostRace', nowMs);
 			}
 		}
 	}
 
 	/** Handles a complete answer. One that reports an error is kept aside while another attempt may succeed. */
-	private answered(attempt: Attempt, nowMs: number): void {
-		const isError = (attempt.http?.status ?? 0) >= firstServerError;
-		if (!isError || !this.options.plan.rules.retriesErrorAnswers || !this.options.plan.isRepeatable || this.leader) {
-			this.end(attempt, attemptStates.completed, '', nowMs);
+	private completeAnswerReceived(attempt: Attempt, nowMs: number): void {
+		const isError = (attempt.http?.status ?? 0) >= minServerErrorStatus;
+		if (!isError || !this.options.plan.rules.retriesErrorAnswers || !this.options.plan.isRepeatable || this.acceptedAttempt) {
+			this.endAttempt(attempt, attemptStates.completed, '', nowMs);
 			this.complete(attempt, nowMs);
 			return;
 		}
 
-		this.errorAnswer = attempt;
-		this.end(attempt, attemptStates.failed, `status ${attempt.http?.status ?? 0}`, nowMs);
+		this.errorAttempt = attempt;
+		this.endAttempt(attempt, attemptStates.failed, `status ${attempt.http?.status ?? 0}`, nowMs);
 		this.recover(failureCodes.upstreamFailed, 'the upstream answered with an error', nowMs);
 	}
 
 	private complete(attempt: Attempt, nowMs: number): void {
-		this.dropOthers(attempt, nowMs);
+		this.cancelOthers(attempt, nowMs);
 		if (!this.isIncremental) {
 			this.answer = attempt.answer;
 		}
 
-		this.leader = attempt;
+		this.acceptedAttempt = attempt;
 		this.endMs = nowMs;
 		this.status = {type: 'done'};
 		this.options.router.didComplete(this.stage, nowMs - this.options.startMs);
 	}
 
-	private loseAttempts(upstreamId: string, reason: string, nowMs: number): void {
+	private endLostAttempts(upstreamId: string, reason: string, nowMs: number): void {
 		const lost = this.attempts.liveAt(upstreamId);
 		for (const attempt of lost) {
-			this.end(attempt, attemptStates.unknown, reason, nowMs);
+			this.endAttempt(attempt, attemptStates.unknown, reason, nowMs);
 		}
 
 		if (lost.length > 0) {
@@ -370,8 +370,8 @@
 			return;
 		}
 
-		if (this.leader && !this.leader.isLive) {
-			this.leader = undefined;
+		if (this.acceptedAttempt && !this.acceptedAttempt.isLive) {
+			this.acceptedAttempt = undefined;
 		}
 
 		const {plan, router, startByMs} = this.options;
@@ -379,11 +379,11 @@
 			code,
 			message,
 			isNotRun: this.attempts.all.at(-1)?.state === attemptStates.notRun,
-			areRefusalsFree: !plan.rules.paysForRefusals,
+			areRefusalsFree: !plan.rules.chargesRefusalsToRetryBudget,
 			isRepeatable: plan.isRepeatable,
-			isOver: this.isRecoveryOver,
+			isRecoveryStopped: this.isRecoveryStopped,
 			hasUnknown: this.attempts.hasUnknown,
-			areSpent: this.attempts.areSpent(plan.rules, this.stage.policy.maxAttempts),
+			areAttemptsExhausted: this.attempts.isExhausted(plan.rules, this.stage.policy.maxAttempts),
 			isTooLate: nowMs >= startByMs,
 			mayRetry: () => router.mayRetry(this.stage, nowMs),
 		});
@@ -394,13 +394,13 @@
 		}
 	}
 
-	private tryAgain(nowMs: number): void {
+	private retryHeld(nowMs: number): void {
 		if (nowMs >= this.holdUntilMs) {
 			this.holding.end(nowMs);
 			const isOutOfTime = nowMs >= this.options.startByMs;
 			this.fail(isOutOfTime ? failureCodes.deadlineExceeded : failureCodes.noUpstream, 'no upstream became available');
 		} else {
-			this.dispatch(this.attempts.count === 0 ? this.firstKind : 'retry', nowMs);
+			this.dispatch(this.attempts.count === 0 ? this.firstAttemptKind : 'retry', nowMs);
 		}
 	}
 
@@ -408,7 +408,7 @@
 		const {plan, router} = this.options;
 		const standing = router.standingOf(plan);
 		if (standing.type !== 'clear') {
-			this.holdBack(standing, kind, nowMs);
+			this.holdOrFailBarred(standing, kind, nowMs);
 			return;
 		}
 
@@ -421,7 +421,7 @@
 			return;
 		}
 
-		this.leaveHold(nowMs);
+		this.endHold(nowMs);
 		const attempt = Attempt.create({
 			dispatchId: router.newDispatchId(),
 			upstreamId: choice.chosen.upstreamId,
@@ -439,11 +439,11 @@
 	Handles a request whose content may have crashed servers: it is held while that is in doubt. Once the content is barred, it is
 	sent to no other server and the stage fails, unless an attempt is live.
 	*/
-	private holdBack(standing: Exclude<Standing, {type: 'clear'}>, kind: AttemptTrace['kind'], nowMs: number): void {
+	private holdOrFailBarred(standing: Exclude<Standing, {type: 'clear'}>, kind: AttemptTrace['kind'], nowMs: number): void {
 		if (standing.type === 'inDoubt') {
 			this.hold(kind, nowMs);
 		} else if (!this.attempts.hasLive) {
-			this.leaveHold(nowMs);
+			this.endHold(nowMs);
 			this.fail(failureCodes.quarantined, barredText, standing.forMs);
 		}
 	}
@@ -457,7 +457,7 @@
 		const isBegun = this.answer.units > 0;
 		const unavailability = isBegun ? undefined : this.options.router.unavailability(this.stage, nowMs);
 		if (unavailability) {
-			this.leaveHold(nowMs);
+			this.endHold(nowMs);
 			this.fail(failureCodes.noUpstream, unavailability.message, unavailability.retryAfterMs);
 			return;
 		}
@@ -470,7 +470,7 @@
 		this.holding.retryLater(nowMs);
 	}
 
-	private leaveHold(nowMs: number): void {
+	private endHold(nowMs: number): void {
 		if (this.status.type === 'holding') {
 			this.holding.end(nowMs);
 			this.status = {type: 'running'};
@@ -485,7 +485,7 @@
 		}
 	}
 
-	private end(attempt: Attempt, state: AttemptState, reason: string, nowMs: number): void {
+	private endAttempt(attempt: Attempt, state: AttemptState, reason: string, nowMs: number): void {
 		if (attempt.state === attemptStates.started && attempt.runMs === 0) {
 			attempt.runMs = Math.max(0, nowMs - attempt.options.sentAtMs - attempt.queueMs);
 		}
@@ -501,10 +501,10 @@
 	}
 
 	private fail(code: FailureCode, message: string, retryAfterMs?: number): void {
-		if (this.errorAnswer && this.answer.units === 0) {
+		if (this.errorAttempt && this.answer.units === 0) {
 			// The upstream's own error answer is more informative than a generic failure.
-			this.leader = this.errorAnswer;
-			this.answer = this.errorAnswer.answer;
+			this.acceptedAttempt = this.errorAttempt;
+			this.answer = this.errorAttempt.answer;
 			this.status = {type: 'done'};
 			return;
 		}
--- a/src/request/node/request-runner.test.ts
+++ b/src/request/node/request-runner.test.ts
@@ -13,7 +13,7 @@
 import {
 	noInputs, type PreparationFailure, type PreparedInputs, type RequestPlan, type RequestResult,
 } from '../common/request-plan.js';
-import type {UpstreamMessage} from '../common/upstream-links.js';
+import type {UpstreamMessage} from '../common/upstream-transport.js';
 import {RequestRunner} from './request-runner.js';
 
 const silenceMs = 1200;
@@ -24,7 +24,7 @@
 function planWith(changes: Partial<RequestPlan>): RequestPlan {
 	return {
 		requestId: 'r', workspace: 'w', pipeline: 'p', policy, isRepeatable: true, settingsRevision: 1, needsClaim: false, needsPreparation: false, rules: directRules, isStreaming: true,
-		startMs: 0, deadlineMs: 8000, giveUpMs: 8000, input: new Uint8Array(0), prefixHash: 0, seed: 0,
+		startMs: 0, deadlineMs: 8000, hardDeadlineMs: 8000, input: new Uint8Array(0), prefixHash: 0, seed: 0,
 		http: {
 			kind: 'http', method: 'POST', path: '/', headers: [], body: new Uint8Array(0),
 		},
@@ -43,10 +43,10 @@
 	const sent: Message[] = [];
 	const runner = RequestRunner.create({
 		onDidReceive: received.event,
-		onDidJoin: none.event,
-		onDidLose: none.event,
+		onDidBecomeAvailable: none.event,
+		onDidDisconnect: none.event,
 		onDidReconnect: none.event,
-		onDidReplace: none.event,
+		onDidReplaceIncarnation: none.event,
 		send(_upstreamId, message) {
 			sent.push(message);
 			return true;
@@ -56,7 +56,7 @@
 	let prepared: (outcome: Outcome<PreparedInputs, PreparationFailure>) => void = () => undefined;
 	runner.start(planWith(changes), {
 		claim: async () => ok({epoch: 1} as never),
-		taken: () => undefined,
+		keyTaken: () => undefined,
 		prepare: async () => new Promise(resolve => {
 			prepared = resolve;
 		}),
--- a/src/request/node/request-runner.ts
+++ b/src/request/node/request-runner.ts
@@ -4,24 +4,24 @@
 import {ok, type Outcome} from '../../base/common/outcome.js';
 import type {ClaimRefusal, GrantedClaim} from '../common/claim-store.js';
 import type {RequestAction, RequestEvent} from '../common/request-events.js';
-import {RequestMachine} from '../common/request-machine.js';
+import {RequestStateMachine} from '../common/request-state-machine.js';
 import {
-	noInputs, type HttpHead, type PreparationFailure, type PreparedInputs, type RequestOutcome, type RequestPlan, type RequestResult,
+	noInputs, type HttpResponseHead, type PreparationFailure, type PreparedInputs, type RequestOutcome, type RequestPlan, type RequestResult,
 } from '../common/request-plan.js';
 import type {RequestRouter} from '../common/request-router.js';
-import type {UpstreamLinks, UpstreamMessage} from '../common/upstream-links.js';
+import type {UpstreamTransport, UpstreamMessage} from '../common/upstream-transport.js';
 
 /** Delay of a timer from which this host is assumed to have been frozen or suspended, and not to have read what arrived meanwhile. */
-const ownPauseMs = 400;
+const hostPauseThresholdMs = 400;
 /** Time given to read the sockets first: timers run before sockets are read, and on resumption all overdue timers fire at once. */
-const readFirstMs = 50;
+const socketReadDelayMs = 50;
 
 /** The callbacks by which a request uses its caller's side. */
 export type RequestHooks = {
 	/** Registers a request that may run only once. */
 	claim(): Promise<Outcome<GrantedClaim, ClaimRefusal>>;
 	/** Answers a request that repeats an idempotency key with what is known of the first request. */
-	taken(refusal: Extract<ClaimRefusal, {code: 'taken'}>): void;
+	keyTaken(refusal: Extract<ClaimRefusal, {code: 'taken'}>): void;
 	/**
 	Prepares the request: does the work that must be done before the request itself can run.
 	@param isAgain - whether the preparation is repeated because its earlier results are lost.
@@ -35,49 +35,49 @@
 	@param http - status and headers of the upstream's answer.
 	@returns a promise that resolves when the caller can take more, or `undefined` if it can at once.
 	*/
-	deliver(units: number, data: Uint8Array, http?: HttpHead): Promise<void> | undefined;
+	deliver(units: number, data: Uint8Array, http?: HttpResponseHead): Promise<void> | undefined;
 	/** Gives the caller the final answer. */
 	finish(result: RequestResult): void;
 	/** Records the outcome of a request whose caller was given `unknown`. */
 	settle(outcome: RequestOutcome): void;
 };
 
-type Running = {
-	readonly machine: RequestMachine;
+type RunningRequest = {
+	readonly machine: RequestStateMachine;
 	readonly hooks: RequestHooks;
 	timer: Disposable | undefined;
 	timerAtMs: number;
 	/** Resolves when a streaming caller that is behind can take more; credit is not granted before. */
-	blocked: Promise<void> | undefined;
+	backpressure: Promise<void> | undefined;
 };
 
 /** Runs all requests of one entry. */
 export class RequestRunner implements Disposable {
-	static create(links: UpstreamLinks, router: RequestRouter, clock: Clock): RequestRunner {
-		return new RequestRunner(links, router, clock);
+	static create(transport: UpstreamTransport, router: RequestRouter, clock: Clock): RequestRunner {
+		return new RequestRunner(transport, router, clock);
 	}
 
-	private readonly running = new Set<Running>();
-	private readonly byDispatch = new Map<string, Running>();
-	private readonly owned = DisposableStore.create();
+	private readonly running = new Set<RunningRequest>();
+	private readonly byDispatchId = new Map<string, RunningRequest>();
+	private readonly disposables = DisposableStore.create();
 	/** Number of received messages about dispatches of no current request. */
 	private dropped = 0;
 	private isDisposed = false;
 
-	private constructor(private readonly links: UpstreamLinks, private readonly router: RequestRouter, private readonly clock: Clock) {
-		this.owned.add(links.onDidReceive(received => {
+	private constructor(private readonly transport: UpstreamTransport, private readonly router: RequestRouter, private readonly clock: Clock) {
+		this.disposables.add(transport.onDidReceive(received => {
 			this.receive(received);
 		}));
-		this.owned.add(links.onDidLose(upstreamId => {
+		this.disposables.add(transport.onDidDisconnect(upstreamId => {
 			this.broadcast({type: 'connectionLost', upstreamId});
 		}));
-		this.owned.add(links.onDidReconnect(upstreamId => {
+		this.disposables.add(transport.onDidReconnect(upstreamId => {
 			this.broadcast({type: 'reconnected', upstreamId});
 		}));
-		this.owned.add(links.onDidReplace(upstreamId => {
+		this.disposables.add(transport.onDidReplaceIncarnation(upstreamId => {
 			this.broadcast({type: 'incarnationGone', upstreamId});
 		}));
-		this.owned.add(links.onDidJoin(() => {
+		this.disposables.add(transport.onDidBecomeAvailable(() => {
 			this.broadcast({type: 'candidatesChanged'});
 		}));
 	}
@@ -97,13 +97,13 @@
 	@returns a function to call when the caller disconnects.
 	*/
 	start(plan: RequestPlan, hooks: RequestHooks): () => void {
-		const running: Running = {
-			machine: RequestMachine.create(plan, this.router), hooks, timer: undefined, timerAtMs: Infinity, blocked: undefined,
+		const running: RunningRequest = {
+			machine: RequestStateMachine.create(plan, this.router), hooks, timer: undefined, timerAtMs: Infinity, backpressure: undefined,
 		};
 		this.running.add(running);
-		this.feed(running, {type: 'start'});
+		this.handleEvent(running, {type: 'start'});
 		return () => {
-			this.feed(running, {type: 'callerGone'});
+			this.handleEvent(running, {type: 'callerGone'});
 		};
 	}
 
@@ -120,7 +120,7 @@
 	dispose(): void {
 		// Connections that close after this must not set a timer, since nothing would dispose it.
 		this.isDisposed = true;
-		this.owned.dispose();
+		this.disposables.dispose();
 		for (const running of this.running) {
 			running.timer?.dispose();
 		}
@@ -131,25 +131,25 @@
 			return;
 		}
 
-		const running = this.byDispatch.get(message.dispatchId);
+		const running = this.byDispatchId.get(message.dispatchId);
 		if (running) {
-			this.feed(running, message);
+			this.handleEvent(running, message);
 		} else {
 			this.dropped++;
 			if (message.type === 'started' || message.type === 'chunk') {
 				// No request waits for this work any more.
-				this.links.send(upstreamId, {type: 'cancel', dispatchId: message.dispatchId});
+				this.transport.send(upstreamId, {type: 'cancel', dispatchId: message.dispatchId});
 			}
 		}
 	}
 
 	private broadcast(event: RequestEvent): void {
 		for (const running of [...this.running]) {
-			this.feed(running, event);
+			this.handleEvent(running, event);
 		}
 	}
 
-	private feed(running: Running, event: RequestEvent): void {
+	private handleEvent(running: RunningRequest, event: RequestEvent): void {
 		if (this.isDisposed || running.machine.isClosed) {
 			return;
 		}
@@ -160,10 +160,10 @@
 			this.perform(running, action);
 		}
 
-		this.arm(running);
+		this.scheduleWake(running);
 	}
 
-	private perform(running: Running, action: RequestAction): void {
+	private perform(running: RunningRequest, action: RequestAction): void {
 		switch (action.type) {
 			case 'claim': {
 				void this.claim(running);
@@ -177,11 +177,11 @@
 
 			case 'dispatch': {
 				const {dispatchId} = action.message;
-				this.byDispatch.set(dispatchId, running);
-				if (!this.links.send(action.upstreamId, action.message)) {
+				this.byDispatchId.set(dispatchId, running);
+				if (!this.transport.send(action.upstreamId, action.message)) {
 					// Deferred to a later turn, since the state machine must not be re-entered while its actions are performed.
 					this.clock.setTimer(0, () => {
-						this.feed(running, {type: 'notSent', dispatchId});
+						this.handleEvent(running, {type: 'notSent', dispatchId});
 					});
 				}
 
@@ -190,17 +190,17 @@
 
 			case 'cancel':
 			case 'query': {
-				this.links.send(action.upstreamId, {type: action.type, dispatchId: action.dispatchId});
+				this.transport.send(action.upstreamId, {type: action.type, dispatchId: action.dispatchId});
 				break;
 			}
 
 			case 'credit': {
-				void this.grant(running, action);
+				void this.grantCredit(running, action);
 				break;
 			}
 
 			case 'deliver': {
-				running.blocked = running.hooks.deliver(action.units, action.data, action.http) ?? running.blocked;
+				running.backpressure = running.hooks.deliver(action.units, action.data, action.http) ?? running.backpressure;
 				break;
 			}
 
@@ -221,32 +221,32 @@
 		}
 	}
 
-	private async claim(running: Running): Promise<void> {
+	private async claim(running: RunningRequest): Promise<void> {
 		const claimed = await running.hooks.claim();
 		if (claimed.ok) {
-			this.feed(running, {type: 'claimed'});
+			this.handleEvent(running, {type: 'claimed'});
 		} else if (claimed.error.code === 'taken') {
-			running.hooks.taken(claimed.error);
-			this.feed(running, {type: 'claimRefused', code: 'duplicateRequest', message: 'the idempotency key was used before'});
+			running.hooks.keyTaken(claimed.error);
+			this.handleEvent(running, {type: 'claimRefused', code: 'duplicateRequest', message: 'the idempotency key was used before'});
 		} else {
-			this.feed(running, {type: 'claimRefused', code: 'storeUnavailable', message: claimed.error.message});
+			this.handleEvent(running, {type: 'claimRefused', code: 'storeUnavailable', message: claimed.error.message});
 		}
 	}
 
-	private async prepare(running: Running, isAgain: boolean): Promise<void> {
+	private async prepare(running: RunningRequest, isAgain: boolean): Promise<void> {
 		const prepared = await running.hooks.prepare?.(isAgain) ?? ok(noInputs);
-		this.feed(running, prepared.ok
+		this.handleEvent(running, prepared.ok
 			? {type: 'prepared', inputs: prepared.value}
 			: {type: 'preparationFailed', failure: prepared.error});
 	}
 
 	/** Grants credit to the agent once the caller has read what it was sent, so that a slow caller delays only its own stream. */
-	private async grant(running: Running, action: Extract<RequestAction, {type: 'credit'}>): Promise<void> {
-		await running.blocked;
-		this.links.send(action.upstreamId, {type: 'credit', dispatchId: action.dispatchId, chunks: action.chunks});
+	private async grantCredit(running: RunningRequest, action: Extract<RequestAction, {type: 'credit'}>): Promise<void> {
+		await running.backpressure;
+		this.transport.send(action.upstreamId, {type: 'credit', dispatchId: action.dispatchId, chunks: action.chunks});
 	}
 
-	private arm(running: Running): void {
+	private scheduleWake(running: RunningRequest): void {
 		const {wakeAtMs} = running.machine;
 		if (running.timerAtMs === wakeAtMs && running.timer) {
 			return;
@@ -268,24 +268,24 @@
 	Sends a `tick` event to a request whose timer has fired. After a pause of this host the event waits until the sockets have been
 	read, so that an upstream is not treated as silent, and no call is sent a second time, while its answer is still unread.
 	*/
-	private wake(running: Running, dueMs: number): void {
+	private wake(running: RunningRequest, dueMs: number): void {
 		const tick = () => {
 			running.timer = undefined;
-			this.feed(running, {type: 'tick'});
+			this.handleEvent(running, {type: 'tick'});
 		};
 
-		if (this.clock.nowMs() - dueMs >= ownPauseMs) {
-			running.timer = this.clock.setTimer(readFirstMs, tick);
+		if (this.clock.nowMs() - dueMs >= hostPauseThresholdMs) {
+			running.timer = this.clock.setTimer(socketReadDelayMs, tick);
 		} else {
 			tick();
 		}
 	}
 
-	private close(running: Running): void {
+	private close(running: RunningRequest): void {
 		running.timer?.dispose();
 		this.running.delete(running);
 		for (const dispatchId of running.machine.dispatchIds) {
-			this.byDispatch.delete(dispatchId);
+			this.byDispatchId.delete(dispatchId);
 		}
 	}
 }
--- a/test/request-oracle.ts
+++ b/test/request-oracle.ts
@@ -88,8 +88,8 @@
 			found.push(`promise 3: ${requestId} was refused as not run, and ran`);
 		}
 
-		if (endedMs > plan.giveUpMs + marginMs) {
-			found.push(`${requestId} was answered ${endedMs - plan.giveUpMs} ms after its last moment`);
+		if (endedMs > plan.hardDeadlineMs + marginMs) {
+			found.push(`${requestId} was answered ${endedMs - plan.hardDeadlineMs} ms after its last moment`);
 		}
 
 		return found;
--- a/test/request-world.ts
+++ b/test/request-world.ts
@@ -362,7 +362,7 @@
 			isStreaming: !isOnce,
 			startMs: this.nowMs,
 			deadlineMs: this.nowMs + deadlineMs,
-			giveUpMs: this.nowMs + deadlineMs + policy.maxLateMs,
+			hardDeadlineMs: this.nowMs + deadlineMs + policy.maxLateMs,
 			input: new TextEncoder().encode(`${requestId}:${key}`),
 			prefixHash: 0,
 			seed: generationSeed,
--- a/test/world-entry.ts
+++ b/test/world-entry.ts
@@ -6,7 +6,7 @@
 import {claimKey} from '../src/request/common/claim.js';
 import {ClaimStore, type GrantedClaim} from '../src/request/common/claim-store.js';
 import type {RequestAction, RequestEvent} from '../src/request/common/request-events.js';
-import {RequestMachine} from '../src/request/common/request-machine.js';
+import {RequestStateMachine} from '../src/request/common/request-state-machine.js';
 import {PrefixIndex} from '../src/routing/common/prefix-index.js';
 import {ScoreChooser} from '../src/routing/common/score-chooser.js';
 import type {MemoryTable} from '../src/standins/common/memory-table.js';
@@ -21,7 +21,7 @@
 const notSentMs = 1;
 
 /** A request that the entry has. */
-export type LiveRequest = {readonly machine: RequestMachine; readonly caller: CallerRecord; granted: GrantedClaim | undefined};
+export type LiveRequest = {readonly machine: RequestStateMachine; readonly caller: CallerRecord; granted: GrantedClaim | undefined};
 
 /** What an entry is made of. */
 export type WorldEntryOptions = {
@@ -57,7 +57,7 @@
 			hall: 'a', members: this.members, prefixes, isAdaptive: true, chooser: ScoreChooser.create(random, prefixes), newDispatchId: () => `d${nextNumber()}`,
 		});
 		this.claims = ClaimStore.create({
-			table, clock, writer: this.incarnation, spacingMs: claimSpacingMs,
+			table, clock, writer: this.incarnation, minWriteIntervalMs: claimSpacingMs,
 		});
 	}
 
@@ -73,7 +73,7 @@
 	/** A caller's request comes. */
 	accept(caller: CallerRecord): void {
 		const {plan} = caller;
-		const live: LiveRequest = {machine: RequestMachine.create(plan, this.router), caller, granted: undefined};
+		const live: LiveRequest = {machine: RequestStateMachine.create(plan, this.router), caller, granted: undefined};
 		this.live.set(plan.requestId, live);
 		this.feed(live, {type: 'start'});
 	}
--- a/test/world-upstream.ts
+++ b/test/world-upstream.ts
@@ -1,7 +1,7 @@
 /** An upstream and the agent before it, in the world of the request fuzzer: the agent's real machine around a fake upstream. */
 import type {Clock} from '../src/base/common/clock.js';
 import type {CallEnd, GateAction} from '../src/request/common/gate-actions.js';
-import {GateMachine} from '../src/request/common/gate-machine.js';
+import {GateStateMachine} from '../src/request/common/gate-state-machine.js';
 import {tokenAt} from '../src/standins/common/engine-state.js';
 import type {DispatchMessage, Message} from '../src/wire/common/messages.js';
 import {stageOutput, type RequestOracle} from './request-oracle.js';
@@ -194,11 +194,11 @@
 		const input = new TextDecoder().decode(work.kind === 'generate' ? work.prompt : (work.kind === 'run' ? work.input : work.body));
 		const text = isGenerating ? tokenAt({prompt: input, seed: generationSeed}, call.produced) : stageOutput('run', input, generationSeed, tokens);
 		call.produced++;
-		this.perform(this.gate.callPiece(dispatchId, 1, new TextEncoder().encode(text), this.nowMs));
+		this.perform(this.gate.callChunkReceived(dispatchId, 1, new TextEncoder().encode(text), this.nowMs));
 		return true;
 	}
 }
 
-function makeGate(): GateMachine {
-	return GateMachine.create({slots: 2, maxQueue: 2});
+function makeGate(): GateStateMachine {
+	return GateStateMachine.create({slots: 2, maxQueue: 2});
 }
--- a/tools/caller-value.test.ts
+++ b/tools/caller-value.test.ts
@@ -4,7 +4,7 @@
 import {sumCallerValue} from './caller-value.js';
 
 const worths = [{targetMs: 1000, inTime: 4, late: 1}];
-const {ended, refusedAtDoor} = requestLogMessages;
+const {ended, refusedForPredictedWait: refusedAtDoor} = requestLogMessages;
 
 function line(message: string, fields: Record<string, unknown>): LogLine {
 	return {
