--- a/src/request/common/claim-store.test.ts
+++ b/src/request/common/claim-store.test.ts
@@ -12,7 +12,7 @@
 	const clock = ManualClock.create();
 	const table = MemoryTable.create();
 	const storeOf = (writer: string) => ClaimStore.create({
-		table, clock, writer, minWriteIntervalMs: minWriteIntervalMs,
+		table, clock, writer, minWriteIntervalMs,
 	});
 	const claimOf = (writer: string, requestId: string): Claim => ({
 		writer, requestId, fingerprint: 1, state: 'claimed', claimedAtMs: clock.wallMs(), endsByMs: clock.wallMs() + 1000,
