--- a/src/daemon/node/compose-entry.ts
+++ b/src/daemon/node/compose-entry.ts
@@ -86,7 +86,7 @@
 		table: components.resolve(tableServiceToken),
 		clock: components.resolve(clockToken),
 		writer: components.resolve(identityToken).incarnation,
-		spacingMs: host.claimSpacingMs,
+		minWriteIntervalMs: host.claimSpacingMs,
 	})));
 	register(accountingToken, () => Accounting.create(components.resolve(metricsToken)));
 	register(placementToken, () => {
@@ -104,7 +104,7 @@
 			table: components.resolve(tableServiceToken),
 			clock: components.resolve(clockToken),
 			random: components.resolve(randomToken),
-			isHolder: () => placement.leaseEpoch !== undefined,
+			isLeaseHolder: () => placement.leaseEpoch !== undefined,
 		}));
 		lifecycle.register(links.onDidReceive(({message}) => {
 			if (message.type === 'orderReply') {
--- a/src/entry/common/planner.ts
+++ b/src/entry/common/planner.ts
@@ -115,7 +115,7 @@
 		isStreaming: request.isStreaming,
 		startMs: nowMs,
 		deadlineMs,
-		giveUpMs: deadlineMs + policy.maxLateMs,
+		hardDeadlineMs: deadlineMs + policy.maxLateMs,
 		input: request.input,
 		...(request.http && {http: request.http}),
 		prefixHash: prefixHashOf(request),
--- a/src/entry/node/fleet-links.ts
+++ b/src/entry/node/fleet-links.ts
@@ -2,7 +2,7 @@
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {Emitter} from '../../base/common/emitter.js';
-import type {UpstreamLinks, UpstreamMessage} from '../../request/common/upstream-links.js';
+import type {UpstreamTransport, UpstreamMessage} from '../../request/common/upstream-transport.js';
 import type {Logger} from '../../base/common/logger.js';
 import {jitter, type Random} from '../../base/common/random.js';
 import type {MemberTable} from '../../membership/common/member-table.js';
@@ -47,7 +47,7 @@
 };
 
 /** Maintains the connections to agents. */
-export class FleetLinks implements UpstreamLinks, Disposable {
+export class FleetLinks implements UpstreamTransport, Disposable {
 	static create(options: FleetLinksOptions): FleetLinks {
 		return new FleetLinks(options);
 	}
@@ -79,7 +79,7 @@
 	}
 
 	/** Fires with the id of an upstream when the connection to its agent is lost. */
-	get onDidLose() {
+	get onDidDisconnect() {
 		return this.didDisconnect.event;
 	}
 
@@ -89,12 +89,12 @@
 	}
 
 	/** Fires with the id of an upstream when its agent connects in another incarnation than before. */
-	get onDidReplace() {
+	get onDidReplaceIncarnation() {
 		return this.didReplaceIncarnation.event;
 	}
 
 	/** Fires with the id of an upstream that may be chosen from now on. */
-	get onDidJoin() {
+	get onDidBecomeAvailable() {
 		return this.didBecomeAvailable.event;
 	}
 
--- a/src/entry/node/response-writer.ts
+++ b/src/entry/node/response-writer.ts
@@ -1,6 +1,6 @@
 /** Writes the response to one request to its caller: complete, streamed, or an error. */
 import type {ServerResponse} from 'node:http';
-import type {KeptAnswer} from '../../request/common/claim.js';
+import type {StoredResponse} from '../../request/common/claim.js';
 import {outcomes, type RequestResult} from '../../request/common/request-plan.js';
 import {problemOfResult} from '../common/problems.js';
 import {sendJson, sendProblem} from './http-common.js';
@@ -54,7 +54,7 @@
 	@param result - result of the request.
 	@returns the response to store for repeats of the request; undefined if the request did not complete.
 	*/
-	finish(result: RequestResult): KeptAnswer | undefined {
+	finish(result: RequestResult): StoredResponse | undefined {
 		if (result.outcome !== outcomes.completed) {
 			this.finishFailed(result);
 			return undefined;
@@ -83,7 +83,7 @@
 		};
 	}
 
-	private finishPassThrough(result: RequestResult): KeptAnswer | undefined {
+	private finishPassThrough(result: RequestResult): StoredResponse | undefined {
 		const status = result.http?.status ?? statusOk;
 		this.setHeaders(result);
 		const headers = new Headers((result.http?.headers ?? []).filter(({name}) => name !== 'content-length').map(({name, value}) => [name, value]));
--- a/src/request/common/claim-store.ts
+++ b/src/request/common/claim-store.ts
@@ -1,7 +1,7 @@
 /**
-Claims of requests that run at most once: a row for each key in the table service.
-Claims and outcomes of one entry are committed together, one transaction at a time,
-so that writes stay within the platform's budget.
+Stores the claims of requests that run at most once, as one row for each idempotency key in the table service.
+Claims and outcomes of one entry are committed in batches, one transaction at a time, so that writes stay within the
+platform's budget.
 */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
@@ -10,66 +10,66 @@
 	Row, RowCondition, RowWrite, TableService,
 } from '../../store/common/table-service.js';
 import {
-	isSameClaim, parseClaim, type Claim, type KeptAnswer,
+	isSameClaim, parseClaim, type Claim, type StoredResponse,
 } from './claim.js';
 import {outcomes} from './request-plan.js';
 
-const mostInBatch = 200;
-/** Answers up to this size are kept with their claim, so that a repeat gets the same answer. */
-const keptAnswerBytes = 16_384;
-/** How long an outcome is tried to be written. */
-const settleTimeMs = 30_000;
-const settleRetryMs = 200;
-const releaseCheckMs = 1000;
+const maxBatchWrites = 200;
+/** Maximum length of an answer that is stored with its claim, so that a repeated request gets the same answer. */
+const maxStoredResponseChars = 16_384;
+/** How long writing an outcome is retried. */
+const settleTimeoutMs = 30_000;
+const settleRetryDelayMs = 200;
+const releaseCheckIntervalMs = 1000;
 
 /** Why a claim was not granted. */
 export type ClaimRefusal
-	/** The key was used before; this is what became of that request. */
+	/** The key was used before; `claim` holds the state of that request. */
 	= | {readonly code: 'taken'; readonly claim: Claim}
 		| {readonly code: 'unavailable'; readonly message: string};
 
-/** A claim that was granted, to be settled later. */
+/** A granted claim, whose outcome is recorded later with `settle`. */
 export type GrantedClaim = {readonly key: string; readonly claim: Claim};
 
-type Pending = {
+type PendingWrite = {
 	readonly key: string;
 	readonly value: string;
-	/** Version the row must have. */
+	/** Version that the row must have for the write to apply; 0 for a row that must not exist. */
 	version: number;
 	readonly resolve: (result: 'written' | 'conflict' | 'unavailable') => void;
 };
 
-/** What the claims of a process need. */
+/** Options of a claim store. */
 export type ClaimStoreOptions = {
 	readonly table: TableService;
 	readonly clock: Clock;
 	readonly writer: string;
-	/** Least time between two transactions. */
-	readonly spacingMs: number;
+	/** Minimum pause between the end of a transaction and the start of the next, in ms. */
+	readonly minWriteIntervalMs: number;
 };
 
-/** Makes and settles claims. */
+/** Claims idempotency keys and records the outcomes of the claimed requests. */
 export class ClaimStore implements Disposable {
 	static create(options: ClaimStoreOptions): ClaimStore {
 		return new ClaimStore(options);
 	}
 
-	/** Transactions sent. */
+	/** Number of transactions sent. */
 	writeCount = 0;
-	/** Outcomes that are not written yet. */
-	private settling = 0;
-	private pending: Pending[] = [];
+	/** Number of outcomes that are neither written nor given up. */
+	private settlingCount = 0;
+	private pendingWrites: PendingWrite[] = [];
 	private isWriting = false;
 	private readonly timers = new Set<Disposable>();
 
 	private constructor(private readonly options: ClaimStoreOptions) {}
 
-	/** Whether every outcome is written, or given up. */
+	/** Whether every outcome has been written or given up. */
 	get isSettled(): boolean {
-		return this.settling === 0;
+		return this.settlingCount === 0;
 	}
 
-	/** Ends all waits: what was not written stays as it is in the store. */
+	/** Cancels all pending delays. Rows whose writes have not been sent stay unchanged in the store. */
 	dispose(): void {
 		for (const timer of this.timers) {
 			timer.dispose();
@@ -80,9 +80,9 @@
 
 	/**
 	Claims a key for a request.
-	@param key - the claim's row.
-	@param claim - the request.
-	@returns the claim, or why it was not granted.
+	@param key - the key of the claim's row.
+	@param claim - the claim to write.
+	@returns the granted claim, or the reason why it was not granted.
 	*/
 	async claim(key: string, claim: Claim): Promise<Outcome<GrantedClaim, ClaimRefusal>> {
 		const written = await this.write(key, JSON.stringify(claim), 0);
@@ -92,50 +92,51 @@
 
 		const row = await this.readRow(key);
 		if (!row.ok) {
-			void this.release(key, claim);
+			void this.releaseLateClaim(key, claim);
 			return row;
 		}
 
 		const found = row.value ? parseClaim(row.value) : undefined;
 		if (!row.value || !found) {
-			void this.release(key, claim);
+			void this.releaseLateClaim(key, claim);
 			return fail({code: 'unavailable', message: 'the claim could not be written'});
 		}
 
 		if (isSameClaim(found, claim)) {
-			// Our own write took effect; only its answer was lost.
+			// The write took effect, but the table service's response was lost.
 			return ok({key, claim});
 		}
 
-		// A request that is known not to have run leaves its key free for the next try.
-		const isFree = found.state === outcomes.refused && found.fingerprint === claim.fingerprint;
-		return isFree ? this.reclaim(key, claim, row.value) : fail({code: 'taken', claim: found});
+		// A request that is known not to have run leaves its key available to the next attempt.
+		const isReclaimable = found.state === outcomes.refused && found.fingerprint === claim.fingerprint;
+		return isReclaimable ? this.reclaim(key, claim, row.value) : fail({code: 'taken', claim: found});
 	}
 
 	/**
-	Records what became of a claimed request. Tries again until it is written or the
-	time allowed is over; then readers take the claim's state as unknown.
+	Records the outcome of a claimed request. Retries until the outcome is written or the time allowed has passed; after
+	that, readers treat the state of the claim as unknown.
 	@param granted - the claim.
-	@param state - how the request ended.
-	@param answer - the answer, where it is small enough to be kept.
+	@param state - the outcome of the request.
+	@param answer - the answer; stored only if it is small enough.
+	@returns whether the outcome, or a known one in place of `unknown`, is stored.
 	*/
-	async settle(granted: GrantedClaim, state: Claim['state'], answer?: KeptAnswer): Promise<boolean> {
-		this.settling++;
+	async settle(granted: GrantedClaim, state: Claim['state'], answer?: StoredResponse): Promise<boolean> {
+		this.settlingCount++;
 		const isWritten = await this.trySettle(granted, state, answer);
-		this.settling--;
+		this.settlingCount--;
 		return isWritten;
 	}
 
-	private async trySettle(granted: GrantedClaim, state: Claim['state'], answer?: KeptAnswer): Promise<boolean> {
-		const isKept = answer && answer.text.length <= keptAnswerBytes;
-		const value = JSON.stringify({...granted.claim, state, ...(isKept && {answer})});
-		const untilMs = this.options.clock.nowMs() + settleTimeMs;
-		while (this.options.clock.nowMs() < untilMs) {
+	private async trySettle(granted: GrantedClaim, state: Claim['state'], answer?: StoredResponse): Promise<boolean> {
+		const isResponseStored = answer && answer.text.length <= maxStoredResponseChars;
+		const value = JSON.stringify({...granted.claim, state, ...(isResponseStored && {answer})});
+		const giveUpAtMs = this.options.clock.nowMs() + settleTimeoutMs;
+		while (this.options.clock.nowMs() < giveUpAtMs) {
 			const row = await this.readRow(granted.key);
 			const found = row.ok && row.value ? parseClaim(row.value) : undefined;
 			if (row.ok && row.value && found && isSameClaim(found, granted.claim)) {
 				if (state === outcomes.unknown && found.state !== 'claimed') {
-					// What is known already is not made unknown by a write that was held up.
+					// A delayed write of `unknown` must not overwrite an outcome that is already known.
 					return true;
 				}
 
@@ -144,21 +145,21 @@
 					return true;
 				}
 			} else if (row.ok) {
-				// Not ours any more; whoever holds it has read ours as settled.
+				// Another request holds the key; its writer has read this claim as settled.
 				return false;
 			}
 
-			await this.pauseMs(settleRetryMs);
+			await this.delay(settleRetryDelayMs);
 		}
 
 		return false;
 	}
 
-	/** A write whose answer was lost may land late: its claim is given back, for nothing ran under it. */
-	private async release(key: string, claim: Claim): Promise<void> {
-		const untilMs = this.options.clock.nowMs() + settleTimeMs;
-		while (this.options.clock.nowMs() < untilMs) {
-			await this.pauseMs(releaseCheckMs);
+	/** Releases a claim that was not granted but whose write may still take effect, as its response was lost; nothing ran under it. */
+	private async releaseLateClaim(key: string, claim: Claim): Promise<void> {
+		const giveUpAtMs = this.options.clock.nowMs() + settleTimeoutMs;
+		while (this.options.clock.nowMs() < giveUpAtMs) {
+			await this.delay(releaseCheckIntervalMs);
 			const row = await this.readRow(key);
 			const found = row.ok && row.value ? parseClaim(row.value) : undefined;
 			if (found) {
@@ -174,8 +175,8 @@
 			return ok({key, claim});
 		}
 
-		const again = await this.readRow(key);
-		const found = again.ok && again.value ? parseClaim(again.value) : undefined;
+		const current = await this.readRow(key);
+		const found = current.ok && current.value ? parseClaim(current.value) : undefined;
 		if (!found) {
 			return fail({code: 'unavailable', message: 'the claim could not be written'});
 		}
@@ -194,72 +195,72 @@
 
 	private async write(key: string, value: string, version: number): Promise<'written' | 'conflict' | 'unavailable'> {
 		return new Promise(resolve => {
-			this.pending.push({
+			this.pendingWrites.push({
 				key, value, version, resolve,
 			});
 			void this.writePending();
 		});
 	}
 
-	/** One transaction in the air; what comes meanwhile goes with the next. */
+	/** Keeps one transaction in flight; writes that are queued meanwhile go with the next one. */
 	private async writePending(): Promise<void> {
 		if (this.isWriting) {
 			return;
 		}
 
 		this.isWriting = true;
-		while (this.pending.length > 0) {
+		while (this.pendingWrites.length > 0) {
 			const batch = this.takeBatch();
 			await this.commit(batch);
-			await this.pauseMs(this.options.spacingMs);
+			await this.delay(this.options.minWriteIntervalMs);
 		}
 
 		this.isWriting = false;
 	}
 
-	/** Two writes of one row can't stand in one transaction. */
-	private takeBatch(): Pending[] {
+	/** Takes the next batch of writes, at most one for each row: a transaction can't write a row twice. */
+	private takeBatch(): PendingWrite[] {
 		const keys = new Set<string>();
-		const batch: Pending[] = [];
-		const left: Pending[] = [];
-		for (const item of this.pending) {
-			if (batch.length < mostInBatch && !keys.has(item.key)) {
+		const batch: PendingWrite[] = [];
+		const remaining: PendingWrite[] = [];
+		for (const item of this.pendingWrites) {
+			if (batch.length < maxBatchWrites && !keys.has(item.key)) {
 				keys.add(item.key);
 				batch.push(item);
 			} else {
-				left.push(item);
+				remaining.push(item);
 			}
 		}
 
-		this.pending = left;
+		this.pendingWrites = remaining;
 		return batch;
 	}
 
-	private async commit(batch: readonly Pending[]): Promise<void> {
-		let left = batch;
-		while (left.length > 0) {
+	private async commit(batch: readonly PendingWrite[]): Promise<void> {
+		let remaining = batch;
+		while (remaining.length > 0) {
 			this.writeCount++;
-			const conditions: RowCondition[] = left.map(({key, version}) => ({key, version}));
-			const writes: RowWrite[] = left.map(({key, value}) => ({key, value}));
-			const done = await this.options.table.transact({conditions, writes});
-			if (done.ok) {
-				resolveAll(left, 'written');
+			const conditions: RowCondition[] = remaining.map(({key, version}) => ({key, version}));
+			const writes: RowWrite[] = remaining.map(({key, value}) => ({key, value}));
+			const result = await this.options.table.transact({conditions, writes});
+			if (result.ok) {
+				resolveAll(remaining, 'written');
 				return;
 			}
 
-			if (done.error.code === 'unavailable') {
-				resolveAll(left, 'unavailable');
+			if (result.error.code === 'unavailable') {
+				resolveAll(remaining, 'unavailable');
 				return;
 			}
 
-			// One taken key must not hold up the others.
-			const conflicts = new Set(done.error.keys);
-			resolveAll(left.filter(item => conflicts.has(item.key)), 'conflict');
-			left = left.filter(item => !conflicts.has(item.key));
+			// Conflicting rows are dropped from the transaction, so that one claimed key does not delay the others.
+			const conflicts = new Set(result.error.keys);
+			resolveAll(remaining.filter(item => conflicts.has(item.key)), 'conflict');
+			remaining = remaining.filter(item => !conflicts.has(item.key));
 		}
 	}
 
-	private async pauseMs(delayMs: number): Promise<void> {
+	private async delay(delayMs: number): Promise<void> {
 		return new Promise(resolve => {
 			const timer = this.options.clock.setTimer(delayMs, () => {
 				this.timers.delete(timer);
@@ -270,7 +271,7 @@
 	}
 }
 
-function resolveAll(items: readonly Pending[], result: 'written' | 'conflict' | 'unavailable'): void {
+function resolveAll(items: readonly PendingWrite[], result: 'written' | 'conflict' | 'unavailable'): void {
 	for (const item of items) {
 		item.resolve(result);
 	}
--- a/src/request/common/gate-machine.ts
+++ b/src/request/common/gate-state-machine.ts
@@ -1,4 +1,4 @@
-/** The gate of one upstream at its agent: admits, queues, starts, cancels and ends dispatches. */
+/** The gate of one upstream at its agent: a state machine that admits, queues, starts, cancels and ends dispatches. */
 import {extendDigest} from '../../base/common/hash.js';
 import {FairQueue, type WorkQueue} from '../../routing/common/fair-queue.js';
 import {
@@ -8,23 +8,23 @@
 import {EndedJobs} from './ended-jobs.js';
 import {makeJob, resumeOffsetOf, type GateJob} from './gate-job.js';
 
-/** How long work whose entry is gone runs on, in case the entry comes back. */
+/** How long repeatable work runs on after its entry's connection was lost, in case the entry reconnects. */
 const orphanGraceMs = 1500;
 
-/** Decides for every dispatch at one upstream; time comes with each call. */
-export class GateMachine {
+/** Makes all decisions about dispatches at one upstream. The current time is passed with each call. */
+export class GateStateMachine {
 	/**
-	Makes a gate.
-	@param limits - slots and queue length.
-	@param queue - the order of waiting work.
+	Creates a gate.
+	@param limits - the number of slots and the maximum queue length.
+	@param queue - the queue, which determines the order of waiting work.
 	*/
-	static create(limits: GateLimits, queue: WorkQueue<GateJob> = FairQueue.create<GateJob>()): GateMachine {
-		return new GateMachine(limits, queue);
+	static create(limits: GateLimits, queue: WorkQueue<GateJob> = FairQueue.create<GateJob>()): GateStateMachine {
+		return new GateStateMachine(limits, queue);
 	}
 
 	private readonly jobs = new Map<string, GateJob>();
-	private readonly ended = EndedJobs.create();
-	private running = 0;
+	private readonly endedJobs = EndedJobs.create();
+	private runningCount = 0;
 	private isLeavingNow = false;
 	private actions: GateAction[] = [];
 	private upstreamModels: UpstreamLoad['models'] = [];
@@ -36,14 +36,14 @@
 		return this.isLeavingNow;
 	}
 
-	/** Nothing runs and nothing waits. */
+	/** Whether no dispatch is running or waiting. */
 	get isIdle(): boolean {
 		return this.jobs.size === 0;
 	}
 
 	get load(): UpstreamLoad {
 		return {
-			running: this.running, queued: this.queue.size, slots: this.limits.slots, serviceMs: this.serviceMs, models: this.upstreamModels,
+			running: this.runningCount, queued: this.queue.size, slots: this.limits.slots, serviceMs: this.serviceMs, models: this.upstreamModels,
 		};
 	}
 
@@ -53,7 +53,7 @@
 	}
 
 	setLimits(limits: GateLimits, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			this.limits = limits;
 		});
 	}
@@ -62,9 +62,9 @@
 		this.upstreamModels = models;
 	}
 
-	/** From now on no new work is taken; what waits is given back, what runs ends. */
+	/** Stops accepting new work. Waiting dispatches are refused; running ones are left to finish. */
 	leave(nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			this.isLeavingNow = true;
 			for (const job of this.queue.items()) {
 				this.queue.remove(job);
@@ -74,23 +74,23 @@
 	}
 
 	/**
-	A dispatch came.
-	@param connectionId - the connection it came on.
+	Handles a received dispatch.
+	@param connectionId - the connection on which it was received.
 	@param dispatch - the message.
-	@param isStale - whether it may have waited unread while this process slept.
-	@param nowMs - the time.
+	@param isStale - whether it may have been waiting unread while this process was suspended.
+	@param nowMs - the current time.
 	*/
 	dispatch(connectionId: number, dispatch: DispatchMessage, isStale: boolean, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const {dispatchId} = dispatch;
-			if (this.jobs.has(dispatchId) || this.ended.has(dispatchId)) {
-				// Doubled on its way; the first one counts.
+			if (this.jobs.has(dispatchId) || this.endedJobs.has(dispatchId)) {
+				// Duplicated in transit: only the first copy counts.
 				return;
 			}
 
 			const reason = this.refusalOf(dispatch, isStale);
 			if (reason) {
-				this.ended.remember(dispatchId, undefined);
+				this.endedJobs.remember(dispatchId, undefined);
 				this.send(connectionId, {
 					type: 'refused', dispatchId, reason, load: this.load,
 				});
@@ -104,12 +104,12 @@
 	}
 
 	/**
-	An entry gives up a dispatch. What may not be repeated is taken back only before its start.
-	@param dispatchId - which.
-	@param nowMs - the time.
+	Cancels a dispatch that its entry gives up. Work that may not be repeated is cancelled only before it has started.
+	@param dispatchId - the dispatch.
+	@param nowMs - the current time.
 	*/
 	cancel(dispatchId: string, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (job?.startedMs === undefined) {
 				if (job) {
@@ -123,12 +123,12 @@
 	}
 
 	credit(dispatchId: string, chunks: number, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (job) {
-				const wasOut = job.credit <= 0;
+				const wasExhausted = job.credit <= 0;
 				job.credit += chunks;
-				if (wasOut && job.credit > 0) {
+				if (wasExhausted && job.credit > 0) {
 					this.actions.push({type: 'flow', dispatchId, isOpen: true});
 				}
 			}
@@ -136,35 +136,35 @@
 	}
 
 	/**
-	An entry that was cut off asks what became of a dispatch.
-	@param connectionId - its new connection.
-	@param dispatchId - which.
-	@param nowMs - the time.
+	Answers a query about a dispatch from an entry that lost its connection and has reconnected.
+	@param connectionId - the new connection of the entry.
+	@param dispatchId - the dispatch.
+	@param nowMs - the current time.
 	*/
 	query(connectionId: number, dispatchId: string, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
-			const job = this.jobs.get(dispatchId) ?? this.ended.get(dispatchId);
+		return this.collectActions(nowMs, () => {
+			const job = this.jobs.get(dispatchId) ?? this.endedJobs.get(dispatchId);
 			if (job) {
 				job.connectionId = connectionId;
 				job.orphanedMs = undefined;
-				for (const message of job.sent) {
+				for (const message of job.sentMessages) {
 					this.send(connectionId, message);
 				}
 			} else {
-				// Remembered from now on, so that it is not run should it still arrive.
-				this.ended.remember(dispatchId, undefined);
+				// The id is remembered, so that the dispatch is not run if it still arrives.
+				this.endedJobs.remember(dispatchId, undefined);
 				this.send(connectionId, {type: 'refused', dispatchId, reason: refusalReasons.neverSeen});
 			}
 		});
 	}
 
 	/**
-	A connection was lost: what waits is dropped, what runs is an orphan.
-	@param connectionId - which.
-	@param nowMs - the time.
+	Handles the loss of a connection: waiting dispatches of its entry are refused, running ones become orphans.
+	@param connectionId - the lost connection.
+	@param nowMs - the current time.
 	*/
 	connectionLost(connectionId: number, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			for (const job of this.jobs.values()) {
 				if (job.connectionId !== connectionId) {
 					continue;
@@ -173,7 +173,7 @@
 				job.connectionId = undefined;
 				job.orphanedMs = nowMs;
 				if (!job.dispatch.isRepeatable && job.startedMs !== undefined) {
-					this.letRunOn(job);
+					this.liftCreditLimit(job);
 				}
 
 				if (job.startedMs === undefined) {
@@ -185,16 +185,16 @@
 	}
 
 	/**
-	The upstream has taken the call.
-	@param dispatchId - which.
-	@param http - status and headers of a plain service's answer.
-	@param nowMs - the time.
+	Handles the upstream's acceptance of a call.
+	@param dispatchId - the dispatch.
+	@param http - status and headers of the answer, if the call is to a plain service.
+	@param nowMs - the current time.
 	*/
 	callStarted(dispatchId: string, http: StartedMessage['http'], nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (job?.startedMs !== undefined) {
-				this.tell(job, {
+				this.notifyEntry(job, {
 					type: 'started', dispatchId, queueMs: job.startedMs - job.arrivedMs, ...(http && {http}),
 				});
 			}
@@ -202,20 +202,20 @@
 	}
 
 	/**
-	The upstream gave a piece of its answer.
-	@param dispatchId - which.
-	@param units - tokens, or 1 for a piece of bytes.
-	@param data - the piece.
-	@param nowMs - the time.
+	Handles a chunk of the upstream's answer.
+	@param dispatchId - the dispatch.
+	@param units - the number of tokens in the chunk, or 1 for a chunk of bytes.
+	@param data - the chunk.
+	@param nowMs - the current time.
 	*/
-	callPiece(dispatchId: string, units: number, data: Uint8Array, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+	callChunkReceived(dispatchId: string, units: number, data: Uint8Array, nowMs: number): GateAction[] {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (!job || job.isAborted) {
 				return;
 			}
 
-			this.tell(job, {
+			this.notifyEntry(job, {
 				type: 'chunk', dispatchId, sequence: job.units, units, data,
 			});
 			job.units += units;
@@ -228,19 +228,19 @@
 	}
 
 	/**
-	The call to the upstream has ended.
-	@param dispatchId - which.
-	@param end - how.
-	@param nowMs - the time.
+	Handles the end of a call to the upstream.
+	@param dispatchId - the dispatch.
+	@param end - how the call ended.
+	@param nowMs - the current time.
 	*/
 	callEnded(dispatchId: string, end: CallEnd, nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			const job = this.jobs.get(dispatchId);
 			if (job?.startedMs === undefined) {
 				return;
 			}
 
-			this.running--;
+			this.runningCount--;
 			if (end.state === 'notRun' && job.units === resumeOffsetOf(job.dispatch)) {
 				this.refuseJob(job, refusalReasons.unreachable, nowMs);
 				return;
@@ -253,7 +253,7 @@
 
 			this.jobs.delete(dispatchId);
 			job.endedMs = nowMs;
-			this.tell(job, {
+			this.notifyEntry(job, {
 				type: 'end',
 				dispatchId,
 				state: end.state === 'notRun' ? endStates.failed : end.state,
@@ -263,13 +263,13 @@
 				...(end.reason !== undefined && {reason: end.reason.slice(0, 500)}),
 				load: this.load,
 			});
-			this.ended.remember(dispatchId, job);
+			this.endedJobs.remember(dispatchId, job);
 		});
 	}
 
-	/** Time has passed: drops what can no longer start, ends orphans, forgets old results. */
+	/** Refuses waiting dispatches that can no longer start, aborts repeatable orphans and drops expired results. */
 	tick(nowMs: number): GateAction[] {
-		return this.act(nowMs, () => {
+		return this.collectActions(nowMs, () => {
 			for (const job of this.queue.items()) {
 				if (nowMs >= job.startByMs) {
 					this.queue.remove(job);
@@ -284,11 +284,11 @@
 				}
 			}
 
-			this.ended.dropOldResults(nowMs);
+			this.endedJobs.dropExpiredResults(nowMs);
 		});
 	}
 
-	private act(nowMs: number, run: () => void): GateAction[] {
+	private collectActions(nowMs: number, run: () => void): GateAction[] {
 		this.actions = [];
 		run();
 		this.startNext(nowMs);
@@ -296,7 +296,7 @@
 	}
 
 	private startNext(nowMs: number): void {
-		while (this.running < this.limits.slots) {
+		while (this.runningCount < this.limits.slots) {
 			const job = this.queue.pop();
 			if (!job) {
 				return;
@@ -308,7 +308,7 @@
 			}
 
 			job.startedMs = nowMs;
-			this.running++;
+			this.runningCount++;
 			this.actions.push({type: 'start', dispatch: job.dispatch});
 		}
 	}
@@ -326,24 +326,24 @@
 			return refusalReasons.outOfTime;
 		}
 
-		return this.queue.size >= this.limits.maxQueue && this.running >= this.limits.slots ? refusalReasons.queueFull : undefined;
+		return this.queue.size >= this.limits.maxQueue && this.runningCount >= this.limits.slots ? refusalReasons.queueFull : undefined;
 	}
 
 	private refuseJob(job: GateJob, reason: RefusalReason, nowMs: number): void {
 		const {dispatchId} = job.dispatch;
 		this.jobs.delete(dispatchId);
 		job.endedMs = nowMs;
-		this.tell(job, {
+		this.notifyEntry(job, {
 			type: 'refused', dispatchId, reason, load: this.load,
 		});
-		this.ended.remember(dispatchId, job);
+		this.endedJobs.remember(dispatchId, job);
 	}
 
-	/** Nobody is left to grant credit; the result is kept here for an entry that comes back. */
-	private letRunOn(job: GateJob): void {
-		const wasHeld = job.credit <= 0;
+	/** Lifts the credit limit of a job whose entry can no longer grant credit; its result is retained for the entry's return. */
+	private liftCreditLimit(job: GateJob): void {
+		const wasPaused = job.credit <= 0;
 		job.credit = Infinity;
-		if (wasHeld) {
+		if (wasPaused) {
 			this.actions.push({type: 'flow', dispatchId: job.dispatch.dispatchId, isOpen: true});
 		}
 	}
@@ -355,9 +355,9 @@
 		}
 	}
 
-	private tell(job: GateJob, message: Message): void {
+	private notifyEntry(job: GateJob, message: Message): void {
 		if (!job.dispatch.isRepeatable) {
-			job.sent.push(message);
+			job.sentMessages.push(message);
 		}
 
 		if (job.connectionId !== undefined) {
