--- a/src/peers/common/ask-pace.test.ts
+++ b/src/peers/common/ask-pace.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {AskPace} from './ask-pace.js';
 
-t.test('one peer is asked at a time, the next one later each time', async t => {
+t.test('one peer is asked at a time, with a longer timeout before each next one', async t => {
 	const pace = AskPace.create();
 	const askedMs: number[] = [];
 	for (let nowMs = 0; nowMs < 6000; nowMs += 100) {
@@ -14,7 +14,7 @@
 	t.same(askedMs, [0, 400, 1200, 2800, 4400]);
 });
 
-t.test('only the answer of the peer that was asked last ends the waiting', async t => {
+t.test('only the reply of the peer that was asked last completes the request', async t => {
 	const pace = AskPace.create();
 	pace.ask('a', 0);
 	pace.ask('b', 400);
@@ -23,5 +23,5 @@
 	t.equal(pace.answered('b', 510), 110);
 	t.equal(pace.mayAsk(510), true);
 	pace.ask('c', 600);
-	t.equal(pace.mayAsk(1000), true, 'after an answer the first wait is the usual one again');
+	t.equal(pace.mayAsk(1000), true, 'after a reply the timeout starts from its initial value again');
 });
--- a/src/peers/common/ask-pace.ts
+++ b/src/peers/common/ask-pace.ts
@@ -1,15 +1,15 @@
 /**
-When a host asks a peer for news, and when another. Every peer that has them says so at once, and each answer is taken
-from the same link: one is asked at a time, and the next one later each time, so that a link that is too full for the
-answers gets fewer of them.
+Paces the requests that a host sends to its peers for an update. Every peer that has the update announces it at once, and all replies
+share this host's link. One peer is asked at a time, with a longer timeout before each next one, so that a link that is too
+busy for the replies receives fewer of them.
 */
 
-/** A peer that was asked is given this long at first: many times what an answer of usual size takes on a thin link. */
+/** Initial timeout of a request: many times what a reply of typical size takes on a slow link. */
 const firstWaitMs = 400;
-/** Longest time a peer is given: a silent one is lost after 1.6 s. */
+/** Upper bound of the timeout: a silent peer is considered lost after 1.6 s. */
 const longestWaitMs = 1600;
 
-/** Follows what was asked for one kind of news. */
+/** Tracks the requests for one kind of update. */
 export class AskPace {
 	static create(): AskPace {
 		return new AskPace();
@@ -19,17 +19,17 @@
 	private waitMs = firstWaitMs;
 
 	/**
-	Tells whether a peer may be asked.
-	@param nowMs - the time.
+	Checks whether a request may be sent to a peer.
+	@param nowMs - the current time.
 	*/
 	mayAsk(nowMs: number): boolean {
 		return this.asked === undefined || nowMs - this.asked.atMs >= this.waitMs;
 	}
 
 	/**
-	A peer was asked; the one asked before did not answer.
+	Records that a request was sent. If the peer that was asked before has not replied, the timeout doubles.
 	@param hostId - the peer.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	ask(hostId: string, nowMs: number): void {
 		this.waitMs = this.asked === undefined ? firstWaitMs : Math.min(longestWaitMs, this.waitMs * 2);
@@ -37,10 +37,10 @@
 	}
 
 	/**
-	A peer answered. Only the one that was asked last ends the waiting: the late answer of another says nothing of it.
+	Records a reply. Only a reply from the peer that was asked last completes the request: a late one from another peer says nothing about it.
 	@param hostId - the peer.
-	@param nowMs - the time.
-	@returns how long after it was asked; nothing where another was asked since.
+	@param nowMs - the current time.
+	@returns the time since the request in milliseconds; `undefined` if another peer was asked since.
 	*/
 	answered(hostId: string, nowMs: number): number | undefined {
 		if (this.asked?.hostId !== hostId) {
--- a/src/peers/common/beat-need.ts
+++ b/src/peers/common/beat-need.ts
@@ -1,39 +1,41 @@
 /**
-Whether a peer needs a beat on a connection: where nothing else has told it that this host lives, where what this host
-has in force has changed, or where it was last told a while ago. Every message counts as a sign of life, and hosts under
-load say something to each other several times a second; beats beside that were most of what they said.
+Decides when a peer needs a heartbeat on a connection: if no other message has shown that this host is alive, if the state in force
+on this host has changed, or if that state was last sent a while ago. Every message counts as a sign of life, because hosts under
+load send each other messages several times a second, and heartbeats in addition made up most of their messages.
 */
 import {isRoomy} from '../../routing/common/host-room.js';
 
-/** A sign of life is due after this long, where one of the two does work for the other. */
+/** Interval between signs of life if one of the two hosts does work for the other. */
 export const beatMs = 500;
-/** The same between two hosts that do none for each other; only their number counts then. */
+/** The same between two hosts that do no work for each other; only the number of such hosts matters to them. */
 const rareBeatMs = 2000;
-/** What is in force is told again after this many signs of life: a peer that asked for it and got no answer asks at the next beat. */
+/** The state in force is sent again after this many intervals: a peer that requested it and got no reply asks again at the next heartbeat. */
 const signsPerTelling = 2;
-/** A connection without any message for this many times the time that was told is dead: three beats, one of them lost. */
+/** A connection on which nothing arrives for this many announced intervals is dead: that is the time of three heartbeats, one of them lost. */
 const silentBeats = 3.2;
 
 /**
-Tells how often two hosts need signs of life from each other. Hosts with little room batch, read and gather for nobody:
-between two of them a loss may be noticed late. At 68 hosts, 53 of them thin, each thin one hears 56 signs a second
-where it would hear 134.
-@param rooms - of the two for shared work.
-@param mostRoom - of the roomiest host there is.
+Returns how often two hosts need signs of life from each other. Low-capacity hosts do not batch, read or gather for others, so
+a loss may be noticed late between two of them. In a fleet of 68 hosts, 53 of them with low capacity, each of those receives 56 signs of
+life a second instead of 134.
+@param capacities - capacities of the two hosts for shared work, in cores.
+@param maxCapacity - capacity of the host that has the most.
+@returns the interval in milliseconds.
 */
 export function beatIntervalMs(rooms: readonly [number, number], mostRoom: number): number {
 	return rooms.some(room => isRoomy(room, mostRoom)) ? beatMs : rareBeatMs;
 }
 
 /**
-Tells how long a connection may be silent before it is dead.
-@param intervalMs - how often the other side says something, as it told; absent where it does not tell.
+Returns how long a connection may be silent before it is considered dead.
+@param intervalMs - how often the other side sends something, as it announced; absent if it announces no interval.
+@returns the time in milliseconds.
 */
 export function longestSilenceMs(intervalMs: number | undefined): number {
 	return silentBeats * (intervalMs ?? beatMs);
 }
 
-/** What was last said to a peer on one connection. */
+/** Tracks what was last sent to a peer on one connection. */
 export class BeatNeed {
 	static create(): BeatNeed {
 		return new BeatNeed();
@@ -43,15 +45,15 @@
 	private toldState = '';
 	private toldMs = -Infinity;
 
-	/** Something was sent. */
+	/** Records that a message was sent. */
 	spoke(nowMs: number): void {
 		this.spokeMs = nowMs;
 	}
 
 	/**
-	A beat was sent.
-	@param state - what it told, as a text to compare.
-	@param nowMs - the time.
+	Records that a heartbeat was sent.
+	@param state - the state it carried, as a string to compare.
+	@param nowMs - the current time.
 	*/
 	told(state: string, nowMs: number): void {
 		this.spoke(nowMs);
@@ -60,10 +62,10 @@
 	}
 
 	/**
-	Tells whether a beat is needed.
-	@param state - what it would tell.
+	Checks whether a heartbeat is due.
+	@param state - the state it would carry, as a string to compare.
 	@param intervalMs - how often the peer needs a sign of life.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	isNeeded(state: string, intervalMs: number, nowMs: number): boolean {
 		return state !== this.toldState || nowMs - this.spokeMs >= intervalMs || nowMs - this.toldMs >= signsPerTelling * intervalMs;
--- a/src/peers/common/dial-plan.test.ts
+++ b/src/peers/common/dial-plan.test.ts
@@ -1,18 +1,18 @@
 /**
-Pattern: all hosts of a fleet start at once, as after a loss of power, and find each other through three seeds. What a
-start costs grows with the connections each host makes, when its processor is needed most.
+All hosts of a fleet start at once, as after a power failure, and discover each other through three seeds. The cost of a
+start grows with the number of connections that each host makes, at the time when its processor is needed most.
 */
 import t from 'tap';
 import {DialPlan} from './dial-plan.js';
 
-/** Time between the rounds in which hosts tell each other addresses. */
+/** Time between the rounds in which hosts report addresses to each other. */
 const roundMs = 500;
 
-/** Hosts that dial and tell addresses in rounds; a dial is answered within its round. */
+/** Hosts that dial and report addresses in rounds; a dial is answered within its round. */
 class Fleet {
 	readonly endpoints: readonly string[];
 	dials = 0;
-	/** Hosts each host is connected to. */
+	/** The hosts that each host is connected to. */
 	readonly met = new Map<string, Set<string>>();
 	private readonly plans = new Map<string, DialPlan>();
 	private nowMs = 0;
@@ -67,7 +67,7 @@
 }
 
 for (const count of [8, 68, 370]) {
-	t.test(`${count} hosts that start at once meet in two rounds, with one connection a pair`, async t => {
+	t.test(`${count} hosts that start at once are all connected after two rounds, with one connection per pair`, async t => {
 		const fleet = new Fleet(count);
 		fleet.round();
 		fleet.round();
@@ -76,7 +76,7 @@
 	});
 }
 
-t.test('a host that starts anew meets all again, whichever side dials first', async t => {
+t.test('a restarted host is connected to all others again, whichever side dials first', async t => {
 	const fleet = new Fleet(12);
 	fleet.round();
 	fleet.round();
@@ -86,7 +86,7 @@
 	t.ok(fleet.isWhole);
 });
 
-t.test('where the first of a pair does not dial, the other does after a while', async t => {
+t.test('if the first of a pair does not dial, the other does after a delay', async t => {
 	const names = ['10.0.0.1:1', '10.0.0.2:1'];
 	const [first, second] = names.toSorted((left, right) => dueAtOnce(right, left).length - dueAtOnce(left, right).length);
 	t.same(dueAtOnce(first, second), [second]);
@@ -97,7 +97,7 @@
 	t.same(plan.due(() => false, 1500), [first]);
 });
 
-t.test('an address that is lost after it was met is given the same while again', async t => {
+t.test('the same delay applies again to an address whose host was connected and is lost', async t => {
 	const names = ['10.0.0.1:1', '10.0.0.2:1'];
 	const second = names.find(name => dueAtOnce(name, names.find(other => other !== name)!).length === 0)!;
 	const first = names.find(name => name !== second)!;
@@ -108,7 +108,7 @@
 	t.same(plan.due(() => false, 61_500), [first]);
 });
 
-t.test('an address that peers told of becomes a seed when the settings name it', async t => {
+t.test('an address that peers reported becomes a seed when the settings name it', async t => {
 	const plan = DialPlan.create('10.0.0.1:1');
 	const others = ['10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1', '10.0.0.5:1'];
 	for (const other of others) {
@@ -119,10 +119,10 @@
 		t.ok(plan.isSeed(other));
 	}
 
-	t.same(plan.due(() => false, 20), others, 'seeds are dialled at once');
+	t.same(plan.due(() => false, 20), others, 'seeds are dialed at once');
 });
 
-/** What a host dials that was just told of another. */
+/** Returns what a host dials as soon as another host is reported to it. */
 function dueAtOnce(own: string, other: string): string[] {
 	const plan = DialPlan.create(own);
 	plan.add(other, false, 0);
@@ -130,10 +130,10 @@
 }
 
 /*
-Pattern: all hosts start at once and each tells all others whom it has met, several times until all have met. Figures: 31 hosts, 30
-tellings of 30 addresses each; each look for addresses to dial goes through all that are known.
+All hosts start at once, and each reports to all others the hosts that it is connected to, several times until all are connected. With 31
+hosts that makes 30 reports of 30 addresses each, and each search for addresses to dial goes through all known ones.
 */
-t.test('addresses that are told again are no news: a start looks for addresses to dial as often as one is new', async t => {
+t.test('addresses that are reported again are not new: a start searches for addresses to dial only as often as one is new', async t => {
 	const hostCount = 31;
 	const addresses = Array.from({length: hostCount}, (_, index) => `10.0.0.${index}:1`);
 	const plan = DialPlan.create(addresses[0]);
@@ -144,6 +144,6 @@
 	}
 
 	t.equal(looks, 1);
-	t.equal(plan.add(addresses[5], true, 50), true, 'that it is a seed is news');
-	t.equal(plan.add(addresses[0], true, 50), false, 'its own is none');
+	t.equal(plan.add(addresses[5], true, 50), true, 'an address that becomes a seed is new');
+	t.equal(plan.add(addresses[0], true, 50), false, 'the own address is never new');
 });
--- a/src/peers/common/dial-plan.ts
+++ b/src/peers/common/dial-plan.ts
@@ -1,22 +1,22 @@
 /**
-Which of the addresses that a host knows it dials, and when. One connection between two hosts carries all they say; a
-second one doubles the handshakes of a start and the beats ever after. With 18 hosts of an eighth of a core that
-started at once, two connections a pair took 3.4 s until all had met; of that time a host worked for itself alone.
+Decides which of the addresses that a host knows it dials, and when. One connection between two hosts carries all their messages; a
+second one doubles the handshakes at startup and the heartbeats from then on. With 18 hosts of an eighth of a core that
+started at once, two connections per pair took 3.4 s until all hosts were connected; during that time each host worked on its own.
 */
 import {hashText} from '../../base/common/hash.js';
 import {parseEndpoint} from '../../wire/common/endpoint.js';
 
-/** The side of a pair that does not dial first gives the other this long: a start takes a thin host about a second. */
+/** How long the side of a pair that does not dial first waits for the other: a low-capacity host takes about a second to start. */
 const yieldMs = 1500;
 
-/** An address, and since when nobody who listens there has been met. */
+/** An address, and since when no host that listens there has been connected. */
 type Known = {readonly isSeed: boolean; unmetSinceMs: number};
 
-/** Follows the addresses of one host. */
+/** Tracks the addresses that one host may dial. */
 export class DialPlan {
 	/**
-	Makes a plan without addresses.
-	@param own - where the host itself listens; it is never dialled.
+	Creates a plan without addresses.
+	@param ownEndpoint - where the host itself listens; it is never dialed.
 	*/
 	static create(own: string): DialPlan {
 		return new DialPlan(own);
@@ -26,22 +26,22 @@
 
 	private constructor(private readonly own: string) {}
 
-	/** All addresses; the host's own is none. */
+	/** All known addresses, without the host's own. */
 	get all(): string[] {
 		return [...this.known.keys()];
 	}
 
-	/** Addresses of seeds; the host's own is none. */
+	/** Addresses of the seeds, without the host's own. */
 	get seeds(): string[] {
 		return [...this.known].filter(([, {isSeed}]) => isSeed).map(([endpoint]) => endpoint);
 	}
 
 	/**
-	Takes in an address; one that no connection can be made to is passed over, whoever told it.
+	Adds an address; one to which no connection can be made is ignored, whoever reported it.
 	@param endpoint - where a peer may listen.
-	@param isSeed - whether it is one of the few through which hosts find each other.
-	@param nowMs - the time.
-	@returns whether it is news.
+	@param isSeed - whether it is one of the few through which hosts discover each other.
+	@param nowMs - the current time.
+	@returns whether the address is new, or was not known as a seed.
 	*/
 	add(endpoint: string, isSeed: boolean, nowMs: number): boolean {
 		const known = this.known.get(endpoint);
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	Tells whether an address is a seed.
+	Checks whether an address is a seed.
 	@param endpoint - the address.
 	*/
 	isSeed(endpoint: string): boolean {
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	An address is forgotten until it is added again.
+	Removes an address until it is added again.
 	@param endpoint - the address.
 	*/
 	remove(endpoint: string): void {
@@ -70,10 +70,10 @@
 	}
 
 	/**
-	Gives the addresses to dial now. A seed is dialled at once, as is every address of which this host is the first of
-	the pair to dial; the others only where the peer has not come by itself.
-	@param isMet - tells whether the host that listens at an address is connected, whoever dialled.
-	@param nowMs - the time.
+	Returns the addresses to dial now. A seed is dialed at once, as is every address for which this host is the first of
+	the pair to dial; the others only if the peer has not connected by itself.
+	@param isConnected - whether the host that listens at an address is connected, whichever side dialed.
+	@param nowMs - the current time.
 	*/
 	due(isMet: (endpoint: string) => boolean, nowMs: number): string[] {
 		const due: string[] = [];
@@ -88,7 +88,7 @@
 		return due;
 	}
 
-	/** Whether this host is the first of the pair to dial; each host is so in about half of its pairs. */
+	/** Whether this host is the first of the pair to dial; each host is the first in about half of its pairs. */
 	private isFirst(endpoint: string): boolean {
 		const [low, high] = [this.own, endpoint].toSorted();
 		return (hashText(`${low}\n${high}`) % 2 === 0 ? low : high) === this.own;
--- a/src/peers/common/fleet-memory.ts
+++ b/src/peers/common/fleet-memory.ts
@@ -1,44 +1,44 @@
 /**
-Which hosts a deployment has, as one host remembers: those it has met, and those that they have met. A host that is cut off
-goes on remembering the others, since what all hosts share is not its own just because it sees nobody.
+Tracks which hosts a deployment has, as known to one host: those it has been connected to, and those that they have been connected to. A
+host behind a network partition keeps the others, since what all hosts share does not become its own just because it sees no other host.
 */
 
 import {parseEndpoint} from '../../wire/common/endpoint.js';
 import type {FleetView} from '../../routing/common/fleet-view.js';
 
-/** A host that nobody has seen for this long is forgotten: longer than any cut that is borne, shorter than a machine is missed. */
+/** A host that nobody has seen for this long is forgotten: longer than any partition that is tolerated, shorter than a machine is missing. */
 const rememberMs = 600_000;
-/** A host that has started knows all others this long after it met the first, also where all start at once. */
+/** A host that has started knows all others this long after it connected to the first, even if all start at once. */
 const settleMs = 2000;
 /**
-A host that has not heard of a seed yet may be cut off from part of the deployment. After this long the seed is taken for gone:
-cuts are borne for less, and a seed may be named by settings that are out of date.
+A host to which a seed was not reported yet may be partitioned from part of the deployment. After this long the seed is assumed to be gone:
+tolerated partitions are shorter, and a seed may be named by outdated settings.
 */
 const goneSeedMs = 30_000;
 
-/** Remembers the hosts by where they listen for their peers. */
+/** Tracks the hosts by the endpoints where they listen for their peers. */
 export class FleetMemory {
 	/**
-	Makes one that knows of no other host.
-	@param own - where this host listens.
-	@param nowMs - the time.
+	Creates a tracker that knows no other host.
+	@param ownEndpoint - where this host listens.
+	@param nowMs - the current time.
 	*/
 	static create(own: string, nowMs: number): FleetMemory {
 		return new FleetMemory(own, nowMs);
 	}
 
 	private readonly seenMs = new Map<string, number>();
-	/** All hosts in order; absent since another came or was forgotten. */
+	/** All hosts in sorted order; cleared when another host is added or forgotten. */
 	private hosts: readonly string[] | undefined;
-	/** When another host was first met. */
+	/** When another host was first recorded. */
 	private metMs: number | undefined;
 
 	private constructor(private readonly own: string, private readonly startMs: number) {}
 
 	/**
-	Hosts were met, or told of by one that was.
+	Records hosts that are connected, or were reported by one that is.
 	@param endpoints - where they listen.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	seen(endpoints: Iterable<string>, nowMs: number): void {
 		const {size} = this.seenMs;
@@ -55,9 +55,9 @@
 	}
 
 	/**
-	Gives the hosts as they are remembered.
-	@param seeds - where others may listen, as the settings tell.
-	@param nowMs - the time.
+	Returns the hosts as they are known.
+	@param seeds - where others may listen, according to the settings.
+	@param nowMs - the current time.
 	*/
 	view(seeds: readonly string[], nowMs: number): FleetView {
 		this.forgetUnseen(nowMs);
