--- a/src/membership/common/member-table.test.ts
+++ b/src/membership/common/member-table.test.ts
@@ -17,7 +17,7 @@
 
 const idsAt = (table: MemberTable, nowMs: number) => table.candidates('p', nowMs).map(member => member.upstreamId);
 
-t.test('each signal of leaving suffices by itself, and sticks to the incarnation', async t => {
+t.test('each signal of leaving suffices by itself, and stays in effect for the incarnation', async t => {
 	const table = tableOf(4);
 	table.heard('u0', 'leaving', 10);
 	table.listed('h1', 'leaving');
@@ -25,13 +25,13 @@
 	t.strictSame(idsAt(table, 10), ['u3']);
 	table.heard('u0', 'serving', 20);
 	table.listed('h1', 'live');
-	t.strictSame(idsAt(table, 20), ['u3'], 'what left does not come back by flapping');
+	t.strictSame(idsAt(table, 20), ['u3'], 'an upstream that was leaving is not live again in the same incarnation');
 	table.connected(identityOf(0, 'i2'), 30);
 	table.connected(identityOf(1, 'i2'), 30);
 	t.strictSame(idsAt(table, 30).toSorted(), ['u0', 'u1', 'u3']);
 });
 
-t.test('a few silent upstreams are left out; if most are silent at once, the entry doubts itself', async t => {
+t.test('a few silent upstreams are left out; if most are silent at once, the entry assumes that the fault is its own', async t => {
 	const table = tableOf(10);
 	for (let number = 0; number < 7; number++) {
 		table.heard(`u${number}`, 'serving', 2000);
@@ -39,10 +39,10 @@
 
 	t.equal(idsAt(table, 2500).length, 7);
 	t.equal(table.stateOf('u9', 2500), 'silent');
-	t.equal(idsAt(table, 9000).length, 10, 'all are silent: nothing is believed');
+	t.equal(idsAt(table, 9000).length, 10, 'all are silent: the silence is ignored');
 });
 
-t.test('a lost connection takes an upstream out at once, and an old incarnation\'s loss does not touch the new one', async t => {
+t.test('a lost connection removes an upstream at once, and the loss of an old incarnation does not affect the new one', async t => {
 	const table = tableOf(2);
 	table.disconnected('u0', 'i1');
 	t.strictSame(idsAt(table, 1), ['u1']);
--- a/src/membership/common/member-table.ts
+++ b/src/membership/common/member-table.ts
@@ -1,17 +1,17 @@
-/** Which upstreams may get new work: joins the host list, connections, heartbeats and settings. */
+/** Decides which upstreams may receive new work, from the host list, connections, heartbeats and settings. */
 import {serveStates, type Identity, type ServeState} from '../../wire/common/messages.js';
 
-/** How a host list speaks of a host. */
+/** State of a host in the platform's host list. */
 export const listedStates = {live: 'live', leaving: 'leaving'} as const;
 export type ListedState = typeof listedStates[keyof typeof listedStates];
 
-/** Why an upstream gets no new work, or that it does. */
+/** Whether an upstream receives new work (`live`), or why it does not. */
 export const memberStates = {
 	live: 'live', leaving: 'leaving', silent: 'silent', gone: 'gone',
 } as const;
 export type MemberState = typeof memberStates[keyof typeof memberStates];
 
-/** One upstream as this entry sees it. */
+/** One upstream as known to this entry. */
 export type Member = {
 	readonly upstreamId: string;
 	readonly hostId: string;
@@ -21,11 +21,11 @@
 	readonly joinedMs: number;
 };
 
-/** Limits of membership. */
+/** Limits that decide when an upstream counts as silent. */
 export type MemberOptions = {
-	/** Silence after which an upstream gets no new work. */
+	/** Silence after which an upstream receives no new work. */
 	readonly heartbeatTimeoutMs: number;
-	/** Where more than this share of a pool is silent at once, this host doubts itself instead. */
+	/** If more than this share of a pool is silent at once, this host assumes that the fault is its own and ignores the silence. */
 	readonly distrustShare: number;
 };
 
@@ -35,11 +35,11 @@
 	readonly member: Member;
 	isConnected: boolean;
 	lastHeardMs: number;
-	/** Sticky for one incarnation. */
+	/** Once set, stays set for the incarnation. */
 	isLeaving: boolean;
 };
 
-/** Joins what is heard of each upstream into one state; time comes with each call. */
+/** Combines the signals about each upstream into one state; callers pass the current time to each method. */
 export class MemberTable {
 	static create(options: MemberOptions = defaultMemberOptions): MemberTable {
 		return new MemberTable(options);
@@ -57,24 +57,24 @@
 		this.heartbeatTimeoutMs = options.heartbeatTimeoutMs;
 	}
 
-	/** Rises whenever an upstream joins, leaves or is lost; silence alone does not count. */
+	/** Increases whenever an upstream joins, leaves or is lost; silence alone does not change it. */
 	get version(): number {
 		return this.changes;
 	}
 
 	/**
-	Pings come as often as the number of links allows; silence is judged by that.
-	@param timeoutMs - silence after which an upstream gets no new work; never less than the options say.
+	Adapts the silence timeout to the ping interval, which depends on the number of links.
+	@param timeoutMs - silence after which an upstream receives no new work; the value in the options is the lower bound.
 	*/
 	setHeartbeatTimeout(timeoutMs: number): void {
 		this.heartbeatTimeoutMs = Math.max(timeoutMs, this.options.heartbeatTimeoutMs);
 	}
 
 	/**
-	An agent's connection is ready.
-	@param identity - who is behind it.
-	@param nowMs - the time.
-	@returns whether it is an incarnation not met before.
+	Records that the connection to an agent is ready.
+	@param identity - the agent's identity.
+	@param nowMs - the current time.
+	@returns whether the incarnation is new.
 	*/
 	connected(identity: Identity, nowMs: number): boolean {
 		const {upstreamId, pool, hostId, hall, incarnation} = identity;
@@ -92,7 +92,7 @@
 
 		if (known) {
 			this.pools.get(known.member.pool)?.delete(upstreamId);
-			// A list that named the old incarnation as leaving says nothing of the new one, unless it says so again.
+			// A host list that named the old incarnation as leaving does not apply to the new one, unless it reports that again.
 			this.leavingHosts.delete(hostId);
 		}
 
@@ -107,9 +107,9 @@
 	}
 
 	/**
-	A connection was lost.
-	@param upstreamId - the upstream behind it.
-	@param incarnation - the run of the agent that was connected.
+	Records that a connection was lost.
+	@param upstreamId - the upstream of the agent.
+	@param incarnation - the incarnation of the agent that was connected.
 	*/
 	disconnected(upstreamId: string, incarnation: string): void {
 		const entry = this.entries.get(upstreamId);
@@ -120,10 +120,10 @@
 	}
 
 	/**
-	Something came from an agent.
-	@param upstreamId - its upstream.
-	@param state - how it stands towards new work, if the message said so.
-	@param nowMs - the time.
+	Records that a message was received from an agent.
+	@param upstreamId - the upstream of the agent.
+	@param state - whether it accepts new work, if the message reported that.
+	@param nowMs - the current time.
 	*/
 	heard(upstreamId: string, state: ServeState | undefined, nowMs: number): void {
 		const entry = this.entries.get(upstreamId);
@@ -137,9 +137,9 @@
 	}
 
 	/**
-	The platform's list was read.
-	@param hostId - a host it names.
-	@param state - what it says of it.
+	Applies an entry of the platform's host list.
+	@param hostId - the host that it names.
+	@param state - the state that it reports.
 	*/
 	listed(hostId: string, state: ListedState): void {
 		if (state === listedStates.leaving) {
@@ -156,8 +156,8 @@
 	}
 
 	/**
-	The settings name upstreams that shall get no work.
-	@param upstreamIds - all of them.
+	Sets the upstreams that are to receive no work according to the settings.
+	@param upstreamIds - all of these upstreams; they replace the former ones.
 	*/
 	drainedBySettings(upstreamIds: Iterable<string>): void {
 		this.drained = new Set(upstreamIds);
@@ -165,10 +165,10 @@
 	}
 
 	/**
-	Tells how an upstream stands.
-	@param upstreamId - which.
-	@param nowMs - the time.
-	@returns its state.
+	Returns the state of an upstream.
+	@param upstreamId - the upstream.
+	@param nowMs - the current time.
+	@returns its state; `gone` if it is unknown or not connected.
 	*/
 	stateOf(upstreamId: string, nowMs: number): MemberState {
 		const entry = this.entries.get(upstreamId);
@@ -184,10 +184,10 @@
 	}
 
 	/**
-	Lists upstreams that may get new work.
+	Lists the upstreams that may receive new work.
 	@param pool - the pool's name.
-	@param nowMs - the time.
-	@returns the live ones; the silent ones too where too many are silent at once to be believed.
+	@param nowMs - the current time.
+	@returns the live upstreams; also the silent ones if so many are silent at once that the fault must be this host's own.
 	*/
 	candidates(pool: string, nowMs: number): Member[] {
 		const live: Member[] = [];
@@ -206,9 +206,9 @@
 	}
 
 	/**
-	Forgets upstreams that have been gone for long.
-	@param olderThanMs - how long.
-	@param nowMs - the time.
+	Forgets upstreams that have been gone for a long time.
+	@param olderThanMs - time since the last message after which a disconnected upstream is forgotten.
+	@param nowMs - the current time.
 	*/
 	forget(olderThanMs: number, nowMs: number): void {
 		for (const [upstreamId, entry] of this.entries) {
@@ -219,7 +219,7 @@
 		}
 	}
 
-	/** @returns every upstream known. */
+	/** @returns all known upstreams. */
 	all(): Member[] {
 		return Array.from(this.entries.values(), entry => entry.member);
 	}
--- a/src/peers/node/declaration-spread.test.ts
+++ b/src/peers/node/declaration-spread.test.ts
@@ -1,10 +1,9 @@
 /*
-Seen: a declaration of 4,249 routes never came into force on the 15 of 21 hosts whose links carry 7 Mbit/s; the links stayed
-full until the day's end, and requests were handled by the version before, and late.
-How it came about: each host asked for the whole of every version, 1.4 MB, even where one setting had changed; after 400 ms
-without the answer it asked another host, whose copy shared the link with the first.
-Cause: what is sent for a change grows with all that is declared, and more is asked for the slower it comes.
-Proof: this network, where nothing else is sent and nothing is lost, shows the same as the hosts' logs.
+Guards against declarations that overload slow links. A declaration of 4,249 routes never came into force on the 15 of 21 hosts whose links carry
+7 Mbit/s; the links stayed full until the end of the day, and requests were handled by the previous version, and late. Each host requested
+every version completely, 1.4 MB, even if one setting had changed; after 400 ms without a reply it asked another host, whose copy shared the link
+with the first. So the data sent for a change grew with the whole declaration, and more was requested the slower it arrived. The simulated network
+below, where nothing else is sent and nothing is lost, reproduced what the hosts' logs showed.
 */
 import t from 'tap';
 import {ManualClock, setRepeating} from '../../base/common/clock.js';
@@ -20,22 +19,22 @@
 import type {PeerMessage} from './peer-mesh.js';
 import {StateExchange} from './state-exchange.js';
 
-/** Hosts of the deployment in which it was seen: three that read the store, three more with their room, and thin ones. */
+/** Hosts of the deployment in which the fault occurred: three that read the store, three more with the same capacity, and low-capacity ones. */
 const readerCount = 3;
 const roomyCount = 6;
 const hostCount = 21;
-/** 140 and 7 Mbit/s. */
+/** Bandwidth of the links: 140 and 7 Mbit/s. */
 const roomyBytesPerMs = 17_500;
 const thinBytesPerMs = 875;
 const stepMs = 5;
 const beatMs = 500;
-/** A change must be in force this long after its confirmation; half of that is left for requests and slow processors. */
+/** A change must be in force this long after its confirmation; half of that is reserved for requests and slow processors. */
 const boundMs = 3000;
 
-/** Bytes on their way from one host to another, in order. */
+/** Messages in transit from one host to another, in order. */
 type Flow = {readonly from: Host; readonly to: Host; readonly frames: Array<{readonly message: Message; leftBytes: number}>};
 
-/** A host that reads nothing itself: all it learns comes from its peers. */
+/** A host that does not read the store itself: all it learns comes from its peers. */
 class Host {
 	static create(network: Network, hostId: string, bytesPerMs: number): Host {
 		return new Host(network, hostId, bytesPerMs);
@@ -76,7 +75,7 @@
 	}
 }
 
-/** Links that are shared evenly by all that comes and goes on them; nothing else slows a message. */
+/** Links that are shared evenly by all messages that are sent and received on them; nothing else delays a message. */
 class Network {
 	static create(): Network {
 		return new Network();
@@ -104,12 +103,12 @@
 		return true;
 	}
 
-	/** Lets time pass and bytes flow. */
+	/** Advances the clock and transfers bytes. */
 	async pass(durationMs: number): Promise<void> {
 		for (let passedMs = 0; passedMs < durationMs; passedMs += stepMs) {
 			this.clock.advance(stepMs);
 			this.carry();
-			// What repeats is armed again in a later turn.
+			// Repeating timers are armed again asynchronously.
 			await Promise.resolve();
 		}
 	}
@@ -141,7 +140,7 @@
 
 const random = SeededRandom.create(1);
 
-/** Letters and digits by chance, as names are: they can't be written much shorter. */
+/** Returns random letters and digits; like real names, they can hardly be compressed. */
 function wordOf(length: number): string {
 	return Array.from({length}, () => random.int(36).toString(36)).join('');
 }
@@ -164,7 +163,7 @@
 	};
 }
 
-/** A declaration as a host reads it anew: it shares nothing with the one before. */
+/** Creates a declaration as a host reads it anew: it shares no objects with the previous one. */
 function makeDeployment(version: number, routes: readonly Route[], idleTimeoutMs: number): Deployment {
 	return structuredClone({
 		version,
@@ -177,20 +176,20 @@
 	});
 }
 
-/** The readers learn of a version from the store, all at once. */
+/** Lets all readers learn of a version from the store at once. */
 function declare(network: Network, deployment: Deployment): void {
 	for (const {board} of network.hosts.slice(0, readerCount)) {
 		board.offer(structuredClone(deployment), 'store');
 	}
 }
 
-/** How many hosts have each version in force, as `version x hosts`. */
+/** Returns how many hosts have each version in force, as `version x hosts`. */
 function inForce({hosts}: Network): string {
 	const versions = [...new Set(hosts.map(({board}) => board.version))].toSorted((left, right) => left - right);
 	return versions.map(version => `${version} x ${hosts.filter(({board}) => board.version === version).length}`).join(', ');
 }
 
-t.test('a large declaration and the small change behind it are in force on hosts with thin links in half of the bound', async t => {
+t.test('a large declaration and the small change after it are in force on hosts with slow links within half of the time limit', async t => {
 	const network = Network.create();
 	const routes = Array.from({length: 2850}, makeRoute);
 	for (const {board} of network.hosts) {
@@ -209,6 +208,6 @@
 	declare(network, changed);
 	await network.pass(boundMs / 2);
 	t.equal(inForce(network), `19 x ${hostCount}`);
-	t.same(thin.board.current?.deployment, changed, 'each host has the same, in the same order');
-	t.ok(thin.heardBytes < 50_000, `${Math.round(thin.heardBytes)} bytes were heard for a change of one setting`);
+	t.same(thin.board.current?.deployment, changed, 'each host has the same declaration, in the same order');
+	t.ok(thin.heardBytes < 50_000, `${Math.round(thin.heardBytes)} bytes were received for a change of one setting`);
 });
--- a/src/peers/node/leaving-news.test.ts
+++ b/src/peers/node/leaving-news.test.ts
@@ -11,7 +11,7 @@
 	return {leaving, mesh};
 }
 
-t.test('what a server says to one host is known to all, and is not told on', async t => {
+t.test('what a server announces to one host becomes known to all, and is not forwarded', async t => {
 	const teller = makeHost();
 	const hearer = makeHost();
 	teller.leaving.said({serverId: 's', pool: 'p'});
@@ -21,12 +21,12 @@
 	t.same(hearer.mesh.sent, []);
 });
 
-t.test('a host that connects is told all that is known, and nothing where nothing is', async t => {
+t.test('a host that connects is sent everything that is known, and nothing if nothing is known', async t => {
 	const serverIds = Array.from({length: 1200}, (_, index) => `s${index}`);
 	const some = makeHost();
 	some.leaving.hear(serverIds, 'peer');
 	some.mesh.connect('new');
-	t.same(some.mesh.sent, [{to: 'new', message: {type: 'leavingServers', serverIds: serverIds.slice(200)}}], 'the latest, where they are too many');
+	t.same(some.mesh.sent, [{to: 'new', message: {type: 'leavingServers', serverIds: serverIds.slice(200)}}], 'the latest ones, if there are too many');
 	const nothing = makeHost();
 	nothing.mesh.connect('new');
 	t.same(nothing.mesh.sent, []);
--- a/src/peers/node/leaving-news.ts
+++ b/src/peers/node/leaving-news.ts
@@ -1,16 +1,16 @@
-/** Tells peers which servers have said in an answer that they leave, and takes in what they tell. */
+/** Notifies peers of servers that have announced in a response that they are leaving, and applies what peers report. */
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {LeavingServers} from '../../deployment/common/leaving-servers.js';
 import {leavingServersTold} from '../../wire/common/messages.js';
 import type {PeerMesh} from './peer-mesh.js';
 
-/** What the news are made of. */
+/** Dependencies of `LeavingServerUpdates`. */
 export type LeavingNewsOptions = {
 	readonly leaving: Pick<LeavingServers, 'onDidSay' | 'hear' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 };
 
-/** What an answer told one host goes to all at once, and everything to a host that has just connected. */
+/** Sends what a response announced to one host to all peers at once, and everything known to a host that has just connected. */
 export class LeavingNews implements Disposable {
 	static create(options: LeavingNewsOptions): LeavingNews {
 		return new LeavingNews(options);
--- a/src/peers/node/limit-news.test.ts
+++ b/src/peers/node/limit-news.test.ts
@@ -23,7 +23,7 @@
 	return {learned, heard, mesh};
 }
 
-t.test('what is learned goes to all peers, and is taken in as it was sent', async t => {
+t.test('what is learned goes to all peers, and is applied as it was sent', async t => {
 	const {learned, heard, mesh} = makeNews();
 	const news: News[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
 		serverId: 's', perS: 0.5, namedAgoMs: 700, endedAgoMs: 20,
@@ -40,11 +40,11 @@
 	t.same(heard, news);
 });
 
-t.test('a host that connects is told all that is known, and nothing where nothing is', async t => {
+t.test('a host that connects is sent everything that is known, and nothing if nothing is known', async t => {
 	const limits: News[] = Array.from({length: 1200}, (_, index) => ({serverId: `s${index}`, perS: 1, namedAgoMs: 5}));
 	const some = makeNews(limits);
 	some.mesh.connect('new');
-	t.same(some.mesh.sent, [{to: 'new', message: {type: 'serverLimits', limits: limits.slice(200)}}], 'the latest, where they are too many');
+	t.same(some.mesh.sent, [{to: 'new', message: {type: 'serverLimits', limits: limits.slice(200)}}], 'the latest ones, if there are too many');
 	const nothing = makeNews();
 	nothing.mesh.connect('new');
 	t.same(nothing.mesh.sent, []);
--- a/src/peers/node/limit-news.ts
+++ b/src/peers/node/limit-news.ts
@@ -1,18 +1,18 @@
-/** Tells peers which upstreams name a limit, and takes in what they tell. */
+/** Notifies peers of upstreams that announce a limit, and applies what peers report. */
 import type {Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {ServerLimits} from '../../deployment/common/server-limits.js';
 import {limitsTold} from '../../wire/common/messages.js';
 import type {PeerMesh} from './peer-mesh.js';
 
-/** What the news are made of. */
+/** Dependencies of `ServerLimitUpdates`. */
 export type LimitNewsOptions = {
 	readonly limits: Pick<ServerLimits, 'onDidLearn' | 'hear' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 	readonly clock: Clock;
 };
 
-/** Keeps what hosts know of limits alike: news go to all at once, everything to a host that has just connected. */
+/** Keeps the limits that hosts know consistent: updates go to all peers at once, everything known to a host that has just connected. */
 export class LimitNews implements Disposable {
 	static create(options: LimitNewsOptions): LimitNews {
 		return new LimitNews(options);
--- a/src/peers/node/peer-dials.test.ts
+++ b/src/peers/node/peer-dials.test.ts
@@ -1,6 +1,6 @@
 /**
-Found by reading, and shown by this test: a peer that told of an address without a port that exists ended the host that heard it, as
-no socket can be made for it; and since hosts tell each other the addresses they know, one host after the other.
+Guards against a crash by an address with an invalid port, found by code review: a peer that reported one crashed the host that received it, because
+no socket can be created for it; and since hosts report the addresses they know to each other, one host after the other crashed.
 */
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
@@ -9,7 +9,7 @@
 
 const strangeEndpoints = ['', 'x', 'a:b', '1.2.3.4', '1.2.3.4:', '1.2.3.4:0', '1.2.3.4:99999', '1.2.3.4:-1', '1.2.3.4:1.5', ':::', '[::1]:80', '999.1.1.1:80', '1.2.3.4:5:6'];
 
-t.test('addresses that can\'t be dialled are passed over', async t => {
+t.test('addresses that can\'t be dialed are ignored', async t => {
 	const clock = ManualClock.create();
 	const dials = PeerDials.create({
 		wire: {
@@ -33,5 +33,5 @@
 	});
 	t.same(dials.known, []);
 	dials.addKnown(['127.0.0.1:2']);
-	t.same(dials.known, ['127.0.0.1:2'], 'others are dialled');
+	t.same(dials.known, ['127.0.0.1:2'], 'others are dialed');
 });
--- a/src/peers/node/peer-dials.ts
+++ b/src/peers/node/peer-dials.ts
@@ -1,4 +1,4 @@
-/** The addresses that this host dials: it keeps connecting to each, and forgets one where nobody answers unless it is a seed. */
+/** Dials the addresses that this host knows: it keeps connecting to each, and forgets one where no host answers unless it is a seed. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import {WireClient, type WireClientOptions} from '../../wire/node/wire-client.js';
@@ -7,27 +7,27 @@
 import {parseEndpoint} from '../../wire/common/endpoint.js';
 import {DialPlan} from '../common/dial-plan.js';
 
-/** An address at which nobody answers for this long is forgotten unless it is a seed. */
+/** An address at which no host answers for this long is forgotten unless it is a seed. */
 const forgetMs = 15_000;
 
-/** What the dials are made of. */
+/** Dependencies of `PeerDialer`. */
 export type PeerDialsOptions = {
 	readonly wire: WireClientOptions;
 	readonly clock: Clock;
-	/** A peer answered. */
+	/** Called with a connection that was established. */
 	readonly connected: (connection: WireConnection) => void;
-	/** Where the hosts listen that are connected, whoever dialled. */
+	/** Endpoints of the connected hosts, whichever side dialed. */
 	readonly metEndpoints: () => ReadonlySet<string>;
 };
 
 type Dial = {
 	readonly client: WireClient;
-	/** When it was last open, or was begun. */
+	/** When the connection was last open; if it never was, when the dial started. */
 	openMs: number;
 	isOpen: boolean;
 };
 
-/** Keeps connecting to known addresses. */
+/** Keeps connecting to the known addresses. */
 export class PeerDials implements Disposable {
 	static create(options: PeerDialsOptions): PeerDials {
 		return new PeerDials(options);
@@ -39,24 +39,24 @@
 
 	private constructor(private readonly options: PeerDialsOptions) {}
 
-	/** Addresses that are never forgotten. */
+	/** Addresses of the seeds; they are never forgotten. */
 	get seeds(): readonly string[] {
 		return this.plan.seeds;
 	}
 
-	/** Addresses that are dialled or will be. */
+	/** Addresses that are dialed or will be. */
 	get known(): readonly string[] {
 		return this.plan.all;
 	}
 
-	/** Where this host listens for peers, as peers are told of it; it is not dialled. */
+	/** Where this host listens for peers, as reported to them; it is not dialed. */
 	get ownEndpoint(): string {
 		return this.own;
 	}
 
 	/**
-	Says where this host itself listens.
-	@param own - its address.
+	Sets the address at which this host itself listens.
+	@param endpoint - its address.
 	*/
 	start(own: Endpoint): void {
 		this.own = textOf(own);
@@ -78,7 +78,7 @@
 
 	/**
 	Adds addresses that a peer knows.
-	@param endpoints - as the peer told them.
+	@param endpoints - as the peer reported them.
 	*/
 	addKnown(endpoints: readonly string[]): void {
 		const nowMs = this.options.clock.nowMs();
@@ -88,7 +88,7 @@
 		}
 	}
 
-	/** Dials what is due by now. */
+	/** Dials the addresses that are due. */
 	dialDue(): void {
 		const met = this.options.metEndpoints();
 		for (const endpoint of this.plan.due(each => met.has(each), this.options.clock.nowMs())) {
@@ -97,8 +97,8 @@
 	}
 
 	/**
-	Forgets addresses at which nobody has answered for long.
-	@param nowMs - the time.
+	Forgets addresses at which no host has answered for a long time, except seeds.
+	@param nowMs - the current time.
 	*/
 	forgetSilent(nowMs: number): void {
 		for (const [endpoint, dial] of this.dials) {
--- a/src/peers/node/peer-mesh.test.ts
+++ b/src/peers/node/peer-mesh.test.ts
@@ -1,6 +1,6 @@
 /**
-Incident: connections between hosts went silent for good, without a reset, while new ones worked. Nothing but time shows
-it: a peer is lost once nothing has come for three beats, and is dialled again.
+Guards against connections that become silent permanently, as in an incident between hosts: no reset came, while new connections worked. Only time
+shows it: a peer is considered lost once nothing has arrived for the time of three heartbeats, and is dialed again.
 */
 import {setImmediate as turn} from 'node:timers/promises';
 import t, {type Test} from 'tap';
@@ -39,7 +39,7 @@
 	});
 }
 
-/** A mesh with one seed, where a peer listens that says only what the test has it say. */
+/** Creates a mesh with one seed, where a peer listens that sends only what the test specifies. */
 async function makePair(t: Test) {
 	const clock = ManualClock.create();
 	const server = WireServer.create(wireOf('own'));
@@ -58,7 +58,7 @@
 	};
 }
 
-/** Time passes; what repeats is armed again a turn after each run. */
+/** Advances the clock; repeating timers are armed again one turn of the event loop after each run. */
 async function pass(clock: ManualClock, durationMs: number): Promise<void> {
 	for (let passedMs = 0; passedMs < durationMs; passedMs += 100) {
 		clock.advance(100);
@@ -66,7 +66,7 @@
 	}
 }
 
-/** Another process connects to the mesh, as the peer that started anew or came back by a new connection. */
+/** Connects another process to the mesh, as a peer that was restarted or opened a new connection. */
 async function comeTo(t: Test, {clock, mesh, own}: {readonly clock: ManualClock; readonly mesh: PeerMesh; readonly own: Endpoint}, incarnation: string): Promise<WireConnection> {
 	const client = WireClient.create(own, {...wireOf('peer', incarnation), clock, random: SeededRandom.create(2)});
 	t.teardown(() => {
@@ -88,7 +88,7 @@
 	});
 }
 
-/** The peer is dialled, and says something that the mesh takes in. */
+/** Lets the mesh dial the peer, and the peer send a message that the mesh receives. */
 async function meet({clock, mesh, peer}: {readonly clock: ManualClock; readonly mesh: PeerMesh; readonly peer: WireServer}, message: Message): Promise<WireConnection> {
 	const connected = nextOf(peer.onDidConnect);
 	clock.advance(100);
@@ -103,7 +103,7 @@
 	return heard;
 }
 
-t.test('a peer whose connection goes silent is lost after three beats, and dialled again', async t => {
+t.test('a peer whose connection becomes silent is lost after three heartbeats, and dialed again', async t => {
 	const pair = await makePair(t);
 	const lost: string[] = [];
 	pair.mesh.onDidLose(hostId => {
@@ -122,7 +122,7 @@
 	t.same(pair.mesh.liveHosts, ['peer'], 'a new connection works');
 });
 
-t.test('whatever a peer says is a sign of life', async t => {
+t.test('every message of a peer is a sign of life', async t => {
 	const pair = await makePair(t);
 	const connection = await meet(pair, {...beat, endpoint: pair.endpoint});
 	for (let round = 0; round < 4; round++) {
@@ -133,7 +133,7 @@
 	t.same(pair.mesh.liveHosts, ['peer']);
 });
 
-t.test('a peer that said that it speaks seldom is given as much more time', async t => {
+t.test('a peer that announced a longer interval may be silent for longer in proportion', async t => {
 	const pair = await makePair(t);
 	await meet(pair, {...beat, endpoint: pair.endpoint, nextWithinMs: 2000});
 	await pass(pair.clock, 6000);
@@ -143,10 +143,10 @@
 });
 
 /*
-A host that lost power says nothing; its peers keep the dead connection until its silence counts. When it is back before
-that, what they send on the dead one reaches nobody, and what it had in its hands is handed in again by nobody.
+Guards against work that is lost with a restarted host. A host that lost power sends nothing, and its peers keep the dead connection until the silence
+timeout. If it is back earlier, what they send on the dead connection is lost, and the work that the host held is not submitted again.
 */
-t.test('a peer that started anew is lost and met again, whatever its old connection looks like', async t => {
+t.test('a peer that was restarted is lost and connected again, whatever state its old connection seems to be in', async t => {
 	const pair = await makePair(t);
 	const lost: string[] = [];
 	pair.mesh.onDidLose(hostId => {
@@ -161,7 +161,7 @@
 	t.ok(await heard);
 });
 
-t.test('what is sent to a peer goes by its newest connection: an older one may be dead', async t => {
+t.test('messages to a peer are sent on its newest connection: an older one may be dead', async t => {
 	const pair = await makePair(t);
 	const older = await meet(pair, {...beat, endpoint: pair.endpoint});
 	const newest = await comeTo(t, pair, 'i');
@@ -170,7 +170,7 @@
 	t.equal(await way, 'newest');
 });
 
-/** Names the connection once a message for the batches comes by it. */
+/** Resolves to the name of the connection once a batch message arrives on it. */
 async function wayOf(name: string, connection: WireConnection): Promise<string> {
 	return new Promise(resolve => {
 		connection.onDidReceive(({type}) => {
@@ -181,7 +181,7 @@
 	});
 }
 
-/** A peer's connection that gives what the test says; only the mesh's side of it is there. */
+/** Creates a connection to a peer that delivers what the test specifies; it has only the mesh's side. */
 function makeConnection() {
 	const heard = Emitter.create<void>();
 	const received = Emitter.create<Message>();
@@ -204,13 +204,12 @@
 }
 
 /*
-Seen: on full links up to 40 connections a second between hosts were closed because "the peer fell silent", while
-megabytes came in on them; what was on its way was lost, and asked for again.
-How it came about: a message of 1.4 MB takes 1.6 s on 7 Mbit/s, longer beside others; signs of life wait behind it.
-Cause: only whole messages were signs of life, so that a busy peer looked like a lost one.
-Proof: the links of the hosts that lost the most peers carried all they could in the same seconds.
+Guards against closing connections on which data is arriving. On busy links up to 40 connections a second between hosts were closed as silent while
+megabytes arrived on them; the data in transit was lost and requested again. A message of 1.4 MB takes 1.6 s at 7 Mbit/s, longer in parallel with
+others, and signs of life wait behind it. Only complete messages counted as signs of life, so a busy peer looked like a lost one: the links of the
+hosts that lost the most peers were fully used in the same seconds.
 */
-t.test('a peer whose large message is still coming is not silent', async t => {
+t.test('a peer whose large message is still arriving is not silent', async t => {
 	const clock = ManualClock.create();
 	const connected = Emitter.create<WireConnection>();
 	const mesh = makeMesh(clock, {onDidConnect: connected.event} as unknown as WireServer);
@@ -228,10 +227,10 @@
 
 	t.same(mesh.liveHosts, ['peer']);
 	await pass(clock, 2500);
-	t.same(mesh.liveHosts, [], 'without a byte it is');
+	t.same(mesh.liveHosts, [], 'without any received byte it is');
 });
 
-t.test('a host that slept loses no peer by that, and takes what it was told before for as old as it is', async t => {
+t.test('a suspended host loses no peer by that, and counts the suspension in the age of earlier reports', async t => {
 	const pair = await makePair(t);
 	const lost: string[] = [];
 	pair.mesh.onDidLose(hostId => {
@@ -242,5 +241,5 @@
 	pair.clock.sleep(8000);
 	await turn();
 	t.same(lost, []);
-	t.ok(pair.mesh.storeAgesMs.get('peer')! >= 8100, 'no fresh reader until it says so again');
+	t.ok(pair.mesh.storeAgesMs.get('peer')! >= 8100, 'no fresh reader until it reports again');
 });
--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -1,4 +1,4 @@
-/** Connections among the hosts of a deployment: found from a few seed addresses, each host telling the ones it knows. */
+/** Connects the hosts of a deployment: peers are discovered from a few seed addresses, and each host reports the addresses it knows. */
 import type {InjectionToken} from 'tsyringe';
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
@@ -17,18 +17,18 @@
 import {FleetMemory} from '../common/fleet-memory.js';
 import {PeerDials} from './peer-dials.js';
 
-/** How often peers are told all addresses this host knows, beside those that are new: two hosts may have forgotten each other. */
+/** How often peers are sent all addresses that this host knows, in addition to new ones: two hosts may have forgotten each other. */
 const tellAllMs = 5000;
-/** A tick that is this late means that this host itself stood still: what it has not read yet says nothing about peers. */
+/** A tick that is this late means that this host itself was frozen: peers may have sent data that it has not read yet, so silence says nothing about them. */
 const ownPauseMs = 400;
 
-/** What a host tells its peers of itself. */
+/** The state of a host that it reports to its peers. */
 export type OwnState = Pick<PeerBeat, 'deploymentVersion' | 'listRevision' | 'isLeaving' | 'room' | 'storeAgeMs' | 'hallDrains'>;
 
-/** A message of a peer. */
+/** A message received from a peer. */
 export type PeerMessage = {readonly hostId: string; readonly message: Message};
 
-/** What the mesh is made of. */
+/** Dependencies of `PeerMesh`. */
 export type PeerMeshOptions = {
 	readonly server: WireServer;
 	readonly wire: WireClientOptions;
@@ -42,7 +42,7 @@
 
 export const peerMeshToken: InjectionToken<PeerMesh> = Symbol('PeerMesh');
 
-/** Knows the live peers of this host. */
+/** Keeps the connections to the peers of this host, and tracks which of them are live. */
 export class PeerMesh implements Disposable {
 	static create(options: PeerMeshOptions): PeerMesh {
 		return new PeerMesh(options);
@@ -51,18 +51,18 @@
 	private readonly peers = new Map<string, Peer>();
 	private readonly owned = DisposableStore.create();
 	private readonly dials: PeerDials;
-	/** All hosts of the deployment, met now or not. */
+	/** All hosts of the deployment, connected now or not. */
 	private fleet: FleetMemory;
 	private readonly didReceive = Emitter.create<PeerMessage>();
 	private readonly didChange = Emitter.create<void>();
 	private readonly didLose = Emitter.create<string>();
 	private readonly didConnect = Emitter.create<string>();
-	/** Where connected peers listen; absent since one came or went. */
+	/** Cached endpoints of the connected peers; cleared when a peer joins or is lost. */
 	private endpoints: ReadonlySet<string> | undefined;
-	/** Addresses that peers have been told of. */
+	/** Addresses that were last known when peers were notified. */
 	private toldEndpoints: ReadonlySet<string> = new Set();
 	private toldAllMs = 0;
-	/** Room of the roomiest peer. */
+	/** Capacity of the peer that has the most, in cores. */
 	private mostRoom = 0;
 	private tickedMs = 0;
 
@@ -86,12 +86,12 @@
 		return this.didReceive.event;
 	}
 
-	/** Fires when a peer comes, goes or begins to leave. */
+	/** Fires when a peer joins, is lost or starts to leave. */
 	get onDidChange() {
 		return this.didChange.event;
 	}
 
-	/** Fires with the host to which a connection has come about, the first one or another: what was sent before may be lost. */
+	/** Fires with the host to which a connection was established, the first one or another: what was sent before may be lost. */
 	get onDidConnect() {
 		return this.didConnect.event;
 	}
@@ -101,25 +101,25 @@
 		return this.didLose.event;
 	}
 
-	/** Hosts that take shared work, this one not among them. */
+	/** Hosts that accept shared work, without this one. */
 	get liveHosts(): string[] {
 		return [...this.peers.values()].filter(peer => peer.ways.size > 0 && peer.beat?.isLeaving === false).map(peer => peer.hostId);
 	}
 
-	/** Rooms for shared work of the live hosts, this one not among them. */
+	/** Capacities for shared work of the live hosts, without this one, in cores; 0 for a host that reports none. */
 	get liveRooms(): ReadonlyMap<string, number> {
 		return new Map(this.liveHosts.map(hostId => [hostId, this.peers.get(hostId)?.beat?.room ?? 0]));
 	}
 
 	/**
-	Gives the hosts among which this one shares what is bounded over all of them.
-	@param nowMs - the time.
+	Returns the hosts with which this one shares what is limited across all of them.
+	@param nowMs - the current time.
 	*/
 	fleetView(nowMs: number): FleetView {
 		return this.fleet.view(this.dials.seeds, nowMs);
 	}
 
-	/** How long ago the store answered those live hosts that read it. */
+	/** Time since the last response of the store to each live host that reads it, in milliseconds. */
 	get storeAgesMs(): ReadonlyMap<string, number> {
 		const nowMs = this.options.clock.nowMs();
 		return new Map(this.liveHosts.flatMap(hostId => {
@@ -129,7 +129,7 @@
 	}
 
 	/**
-	Starts looking for peers.
+	Starts the discovery of peers.
 	@param own - where this host listens for them.
 	@param seeds - where some of them may listen.
 	*/
@@ -144,7 +144,7 @@
 	}
 
 	/**
-	Adds addresses, as when the settings of the host have changed.
+	Adds seed addresses, for example after a change of the host's settings.
 	@param seeds - where peers may listen.
 	*/
 	addSeeds(seeds: readonly Endpoint[]): void {
@@ -152,7 +152,7 @@
 	}
 
 	/**
-	Sends to one peer.
+	Sends a message to one peer.
 	@returns false if nothing was written.
 	*/
 	send(hostId: string, message: Message): boolean {
@@ -160,7 +160,7 @@
 		return peer !== undefined && this.sendFrame(peer, encodeFrame(message));
 	}
 
-	/** Sends to every peer. */
+	/** Sends a message to every peer. */
 	broadcast(message: Message): void {
 		const frame = encodeFrame(message);
 		for (const peer of this.peers.values()) {
@@ -168,7 +168,7 @@
 		}
 	}
 
-	/** Tells all peers at once what this host has in force. */
+	/** Sends the state in force on this host to all peers at once. */
 	announce(): void {
 		this.tellState(() => true);
 	}
@@ -187,7 +187,7 @@
 				if (wasPaused) {
 					way.heardMs = nowMs;
 				} else if (nowMs - way.heardMs > longestSilenceMs(peer.beat?.nextWithinMs)) {
-					way.connection.close('the peer fell silent');
+					way.connection.close('the peer sent nothing for too long');
 				}
 			}
 		}
@@ -197,7 +197,7 @@
 		this.dials.forgetSilent(nowMs);
 	}
 
-	/** Sends what this host has in force, with the addresses that are new, on the connections that need it. */
+	/** Sends the state in force on this host, with the addresses that are new, on the connections that need it. */
 	private tellState(isNeeded: (way: Way, state: string, intervalMs: number) => boolean): void {
 		const nowMs = this.options.clock.nowMs();
 		const known = this.knownEndpoints();
@@ -213,7 +213,7 @@
 			const intervalMs = this.beatIntervalOf(peer, own.room ?? 0);
 			const state = `${intervalMs} ${ownState}`;
 			for (const way of peer.ways) {
-				// News of addresses go to all: who is left out now would not hear of them for long.
+				// New addresses go to all peers: one that is left out now would not learn of them for a long time.
 				if (news.length > 0 || isNeeded(way, state, intervalMs)) {
 					const frame = frames.get(intervalMs) ?? encodeFrame(this.makeBeat(news, intervalMs));
 					frames.set(intervalMs, frame);
@@ -234,14 +234,14 @@
 		return beat?.room === undefined ? beatMs : beatIntervalMs([room, beat.room], Math.max(room, this.mostRoom));
 	}
 
-	/** Where connected peers listen. */
+	/** Returns the endpoints of the connected peers. */
 	private knownEndpoints(): ReadonlySet<string> {
-		// Strange addresses are not passed on.
+		// Malformed addresses are not forwarded.
 		this.endpoints ??= new Set([...this.peers.values()].flatMap(({beat}) => beat && parseEndpoint(beat.endpoint) ? [beat.endpoint] : []));
 		return this.endpoints;
 	}
 
-	/** The newest connection goes first: the peer has opened it because an older one is dead, or it works as well. */
+	/** Tries the newest connection first: either the peer opened it because an older one is dead, or it works as well as the others. */
 	private sendFrame({ways}: Peer, frame: Uint8Array): boolean {
 		for (const {connection, beatNeed} of [...ways].toReversed()) {
 			if (connection.sendFrame(frame)) {
@@ -268,7 +268,7 @@
 		this.peers.set(hostId, peer);
 		peer.ways.add(way);
 		this.options.log.info('A peer is connected.', {peer: hostId, hall: identity.hall, ways: peer.ways.size});
-		// A message of thousands of routes takes longer to come, on a thin or a full link, than a lost peer is waited for.
+		// Every received byte counts: on a slow or a busy link, a message with thousands of routes takes longer to arrive than the silence after which a peer is lost.
 		connection.onDidHear(() => {
 			way.heardMs = this.options.clock.nowMs();
 		});
@@ -283,13 +283,13 @@
 	}
 
 	/**
-	A host that started anew has left its former connections, however they look: a host that lost power closes none. What
-	it had in its hands is gone, and counts as lost before the new process is met.
+	Closes the connections to former processes of a restarted host, whatever state they seem to be in: a host that lost power closes none. The work
+	that the host held is gone, and is reported as lost before the new process is added.
 	*/
 	private leaveFormer(hostId: string, incarnation: string): void {
 		for (const {connection} of this.peers.get(hostId)?.ways ?? []) {
 			if (connection.peer?.incarnation !== incarnation) {
-				connection.close('its host started anew');
+				connection.close('the host was restarted');
 			}
 		}
 	}
@@ -305,7 +305,7 @@
 		}
 	}
 
-	/** A peer came or went, or told something else of itself: hosts that start at once hear thousands of beats, few of which do. */
+	/** Updates what is derived from all peers, only after one joined, was lost or changed: hosts that start at once receive thousands of heartbeats, few of which change anything. */
 	private peersChanged(): void {
 		this.endpoints = undefined;
 		this.mostRoom = Math.max(0, ...[...this.peers.values()].map(({beat}) => beat?.room ?? 0));
@@ -317,7 +317,7 @@
 			const isChanged = beat?.isLeaving !== message.isLeaving;
 			peer.beat = message;
 			if (beat === undefined && !parseEndpoint(message.endpoint)) {
-				this.options.log.warn('A peer tells of an address that can\'t be dialled; it is passed over.', {peer: peer.hostId, endpoint: message.endpoint});
+				this.options.log.warn('A peer reported an address that can\'t be dialed; the address is ignored.', {peer: peer.hostId, endpoint: message.endpoint});
 			}
 
 			if (beat?.endpoint !== message.endpoint || beat.room !== message.room) {
--- a/src/peers/node/reading-duty.test.ts
+++ b/src/peers/node/reading-duty.test.ts
@@ -5,7 +5,7 @@
 
 const names = Array.from({length: 10}, (_, index) => `host-${index}`);
 
-/** One host's duty; the others live and, if they have an age, read. */
+/** The election of one host; the other hosts are live, and those with an age read the store. */
 function dutyOf(hostId: string, ages: Map<string, number>, clock = ManualClock.create(), hosts = names) {
 	return ReadingDuty.create({
 		hostId,
@@ -26,7 +26,7 @@
 	const fresh = new Map([['x', 300], ['y', 900], ['z', 100]]);
 	const readers = names.filter(name => !dutyOf(name, fresh).mayRest());
 	t.equal(readers.length, 3);
-	t.ok(dutyOf(readers[0], fresh).holdMs <= 900, 'and ask more often than the news may be old');
+	t.ok(dutyOf(readers[0], fresh).holdMs <= 900, 'and call more often than the updates may be old');
 });
 
 t.test('in a small deployment all read', async t => {
@@ -35,14 +35,14 @@
 	t.equal(dutyOf(few[0], new Map(), ManualClock.create(), few).holdMs, 2000);
 });
 
-t.test('a host reads itself while fewer than two readers had an answer of late, and for a while after', async t => {
+t.test('a host reads itself while fewer than two readers had a recent response, and for a while after', async t => {
 	const clock = ManualClock.create();
 	const ages = new Map([['x', 300], ['y', 300], ['z', 300]]);
 	const resting = names.find(name => dutyOf(name, ages).mayRest())!;
 	const duty = dutyOf(resting, ages, clock);
 	t.equal(duty.mayRest(), true);
 	ages.set('x', 1900).set('y', 1900);
-	t.equal(duty.mayRest(), false, 'two are old');
+	t.equal(duty.mayRest(), false, 'two responses are old');
 	ages.set('x', 100).set('y', 100);
 	clock.advance(4000);
 	t.equal(duty.mayRest(), false, 'not yet: the store may be slow');
@@ -50,7 +50,7 @@
 	t.equal(duty.mayRest(), true);
 });
 
-t.test('a host that has just started rests as soon as it knows two readers', async t => {
+t.test('a host that has just started goes on standby as soon as it knows two readers', async t => {
 	const clock = ManualClock.create();
 	const ages = new Map([['x', 300], ['y', 300], ['z', 300]]);
 	const resting = names.find(name => dutyOf(name, ages).mayRest())!;
@@ -64,5 +64,5 @@
 	t.equal(duty.mayRest(), false);
 	clock.advance(200);
 	known.set('y', 100);
-	t.equal(duty.mayRest(), false, 'later on a slow store must not make it change its mind at each call');
+	t.equal(duty.mayRest(), false, 'later on a slow store must not make it switch at each call');
 });
--- a/src/peers/node/reading-duty.ts
+++ b/src/peers/node/reading-duty.ts
@@ -1,7 +1,7 @@
 /**
-Who reads the platform's store for whom. Each call to it has a price, and many hosts that read the same feeds
-read the same bytes: above a few hosts, three of them read and tell the rest at once. A host trusts that only
-while two of them had an answer a moment ago; otherwise it reads for itself, as all do in a small deployment.
+Elects the hosts that read the platform's store for all. Each call to the store has a price, and many hosts that read the same feeds
+read the same bytes: above a few hosts, three of them read and notify the others at once. A host relies on that only
+while two of them had a response recently; otherwise it reads for itself, as all hosts do in a small deployment.
 */
 import type {InjectionToken} from 'tsyringe';
 import type {Clock} from '../../base/common/clock.js';
@@ -10,43 +10,43 @@
 import {rendezvousOrder} from '../../routing/common/rendezvous.js';
 import type {PeerMesh} from './peer-mesh.js';
 
-/** With fewer hosts than this all read: sharing would save little there. */
+/** With fewer hosts than this all of them read, because sharing would save little. */
 const fewestHosts = 8;
-/** Hosts that read: two may be lost at once. */
+/** Number of hosts that read: two may be lost at once. */
 const readerCount = 3;
-/** Readers that must have had a fresh answer for another host to rest. */
+/** Number of readers that must have had a fresh response for another host to be on standby. */
 const fewestFreshReaders = 2;
-/** An answer is fresh for this part of the time in which news must be acted on. */
+/** A response is fresh for this share of the time within which updates must be acted on. */
 const freshShare = 0.6;
-/** The store may hold a shared reader's call for this part of the time its answers are fresh, so that the next is there in time. */
+/** The store may hold a shared reader's call for this share of the time for which its responses are fresh, so that the next one arrives in time. */
 const holdShare = 0.5;
-/** Longest hold of a call where every host reads: a silent cut must be noticed before it counts. */
+/** Maximum hold of a call, and the hold where every host reads: a connection that was lost silently must be noticed before that matters. */
 const usualHoldMs = 2000;
-/** A host that had to read goes on for this long: a slow store must not make it change its mind at each call. */
+/** A host that had to read continues for this long, so that a slow store does not make it switch at each call. */
 const readOnMs = 5000;
 const dutyKey = 'readers of the store';
 
-export const readingDutyToken: InjectionToken<ReadingDuty> = Symbol('ReadingDuty');
+export const readingDutyToken: InjectionToken<ReadingDuty> = Symbol('ReaderElection');
 
-/** What the duty is made of. */
+/** Dependencies of `ReaderElection`. */
 export type ReadingDutyOptions = {
 	readonly hostId: string;
-	/** This host's room for shared work. */
+	/** This host's capacity for shared work, in cores. */
 	readonly room: number;
 	readonly mesh: Pick<PeerMesh, 'liveRooms' | 'storeAgesMs'>;
-	/** Time within which what the store tells must be acted on. */
+	/** Time within which updates from the store must be acted on. */
 	readonly newsWithinMs: number;
 	readonly clock: Clock;
 	readonly log: Logger;
 };
 
-/** Decides whether this host reads. */
+/** Decides whether this host reads the store. */
 export class ReadingDuty {
 	static create(options: ReadingDutyOptions): ReadingDuty {
 		return new ReadingDuty(options);
 	}
 
-	/** What was last decided; logged when it changes. */
+	/** The last decision; logged when it changes. */
 	private isResting = false;
 	/** Whether others have read for this host since it started. */
 	private hasRested = false;
@@ -54,7 +54,7 @@
 
 	private constructor(private readonly options: ReadingDutyOptions) {}
 
-	/** How long the store may hold a call. */
+	/** How long the store may hold a call before it responds. */
 	get holdMs(): number {
 		return this.isShared ? Math.min(usualHoldMs, this.freshMs * holdShare) : usualHoldMs;
 	}
@@ -82,7 +82,7 @@
 		const nowMs = clock.nowMs();
 		const freshReaders = [...mesh.storeAgesMs.values()].filter(ageMs => ageMs <= this.freshMs).length;
 		if (freshReaders < fewestFreshReaders) {
-			// A host that has just started reads only until it knows its peers; what it reads fills its link.
+			// A host that has just started reads only until it knows its peers, because what it reads fills its link.
 			this.readOnUntilMs = this.hasRested ? nowMs + readOnMs : nowMs;
 			return false;
 		}
@@ -90,17 +90,17 @@
 		return nowMs >= this.readOnUntilMs;
 	}
 
-	/** For how long an answer of the store is fresh. */
+	/** How long a response of the store is fresh. */
 	private get freshMs(): number {
 		return this.options.newsWithinMs * freshShare;
 	}
 
-	/** Whether there are so many hosts that some read for all. */
+	/** Whether there are enough hosts for some of them to read for all. */
 	private get isShared(): boolean {
 		return this.options.mesh.liveRooms.size + 1 >= fewestHosts;
 	}
 
-	/** Whether this host is among those that read for all; every host that sees the same peers names the same ones. */
+	/** Whether this host is among those that read for all; every host that sees the same peers elects the same readers. */
 	private get isReader(): boolean {
 		const {hostId, room, mesh} = this.options;
 		const rooms = new Map([...mesh.liveRooms, [hostId, room]]);
--- a/src/peers/node/state-exchange.test.ts
+++ b/src/peers/node/state-exchange.test.ts
@@ -13,7 +13,7 @@
 import type {PeerMessage} from './peer-mesh.js';
 import {StateExchange} from './state-exchange.js';
 
-/** An exchange whose peers speak by hand; tells what it asked them for. */
+/** Creates an exchange whose peers send what the test specifies, and records what it requests from them. */
 function exchangeByHand(isListAway: boolean) {
 	const log = silentLoggers.for('test');
 	const clock = ManualClock.create();
@@ -63,35 +63,35 @@
 	};
 }
 
-t.test('news that all peers tell at once is asked of one, and of another if that one does not answer', async t => {
+t.test('an update that all peers announce at once is requested from one, and from another if that one does not reply', async t => {
 	const {clock, asked, tell, reply} = exchangeByHand(true);
 	clock.advance(1000);
 	tell('gone', 5, 0);
 	tell('a', 5, 0);
 	tell('b', 5, 0);
-	t.same(asked, ['gone declaration', 'a declaration'], 'one that can\'t be reached does not count as asked');
+	t.same(asked, ['gone declaration', 'a declaration'], 'a peer that can\'t be reached does not count as asked');
 	tell('b', 5, 9);
-	t.same(asked.at(-1), 'b servers', 'servers are asked for besides');
+	t.same(asked.at(-1), 'b servers', 'servers are requested in addition');
 	clock.advance(500);
 	tell('c', 5, 9);
 	t.same(asked.at(-1), 'c declaration servers');
 	reply('c', {revision: 9, servers: []});
 	tell('d', 5, 10);
-	t.same(asked.at(-1), 'd servers', 'after an answer the next news is asked for at once');
+	t.same(asked.at(-1), 'd servers', 'after a reply the next update is requested at once');
 });
 
 /*
-Seen: a host whose connection to the store had fallen silent learned nothing of leaving servers for up to 2.7 s, though
-all its peers told it of a newer list twice a second.
-Cause: only a host that knew that its own reading was interrupted took what peers told.
+Guards against a host that falls behind its peers: a host whose connection to the store had become silent learned nothing of leaving servers
+for up to 2.7 s, though all its peers reported a newer list to it twice a second. Only a host that knew that its own reading was
+interrupted requested the list from its peers.
 */
-t.test('a host that stays behind its peers asks them, also while its own reading seems sound', async t => {
+t.test('a host that stays behind its peers requests their list, also while its own reading seems healthy', async t => {
 	const {clock, asked, registry, tell, reply} = exchangeByHand(false);
 	clock.advance(1000);
 	tell('a', 0, 9);
 	clock.advance(200);
 	tell('b', 0, 9);
-	t.same(asked, [], 'its own reading is given a moment');
+	t.same(asked, [], 'its own reading is given time first');
 	clock.advance(200);
 	tell('a', 0, 9);
 	t.same(asked, ['a servers']);
@@ -100,14 +100,14 @@
 	clock.advance(500);
 	tell('a', 0, 9);
 	tell('a', 0, 10);
-	t.same(asked, ['a servers'], 'once it has caught up the next news are given a moment again');
+	t.same(asked, ['a servers'], 'once it has caught up, its own reading is given time again for the next update');
 });
 
 /*
-Found by reading, after the same had been seen of the declaration: each change of the list makes each host that does not read
-the store ask for all of it, 200 bytes a server. 65 hosts that ask for 200 servers twice a second take 5 MB a second.
+Guards against server lists that overload links, found by code review after the same fault had occurred with the declaration: each change of the list
+makes each host that does not read the store request all of it, 200 bytes a server. 65 hosts that request 200 servers twice a second take 5 MB a second.
 */
-t.test('a list of 200 servers is told in less than 7 KB, made once for all that ask', async t => {
+t.test('a list of 200 servers is sent in less than 7 KB, built once for all hosts that request it', async t => {
 	const {registry, sent, ask} = exchangeByHand(false);
 	const servers = Array.from({length: 200}, (_, index) => ({
 		serverId: `i-${hashText(`server ${index}`).toString(16)}@${1_767_225_600_000 + index}`, instanceId: `i-${hashText(`server ${index}`).toString(16)}`,
--- a/src/peers/node/state-exchange.ts
+++ b/src/peers/node/state-exchange.ts
@@ -1,4 +1,4 @@
-/** What peers tell each other of the declaration and the servers, so that no host is left behind while the store is away from it. */
+/** Exchanges the declaration and the server list between peers, so that no host falls behind while it can't reach the store. */
 import type {Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {messageOf} from '../../base/common/errors.js';
@@ -15,40 +15,40 @@
 import type {PeerMesh} from './peer-mesh.js';
 import {StateReplies} from './state-replies.js';
 
-/** Changes of the list are gathered for this long before peers are told that there are some: servers often change together. */
+/** Changes of the server list are collected for this long before peers are notified, because servers often change together. */
 const gatherMs = 40;
 
 /**
-A host whose list stays older than a peer's for this long asks for the peer's: its own reading may have fallen
-silent, which it notices itself only after 2.7 s. Usually both learn of a change within milliseconds.
+A host whose server list stays older than a peer's for this long requests the peer's list: its own connection to the store may have become
+silent, which the host itself notices only after 2.7 s. Usually both hosts learn of a change within milliseconds.
 */
 const behindMs = 300;
 
-/** What the exchange is made of. */
+/** Dependencies of `StateExchange`. */
 export type StateExchangeOptions = {
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'announce' | 'send'>;
 	readonly board: DeploymentBoard;
 	readonly registry: ServerRegistry;
 	readonly drains: HallDrains;
-	/** Whether this host's own reading of the server list is interrupted. */
+	/** Whether this host knows that its own reading of the server list is interrupted. */
 	readonly isListAway: () => boolean;
 	readonly clock: Clock;
 	readonly log: Logger;
 };
 
-/** Asks peers for what they have in force, answers them, and tells them of changes. */
+/** Requests the state in force from peers, replies to their requests, and notifies them of changes. */
 export class StateExchange implements Disposable {
 	static create(options: StateExchangeOptions): StateExchange {
 		return new StateExchange(options);
 	}
 
 	private readonly owned = DisposableStore.create();
-	/** Runs while changes of the list are gathered. */
+	/** Runs while changes of the server list are collected. */
 	private gatherTimer: Disposable | undefined;
 	private readonly replies: StateReplies;
 	private readonly deploymentPace = AskPace.create();
 	private readonly serversPace = AskPace.create();
-	/** The first revision of a peer's list that this host lacked, and when it was told; kept until it has caught up. */
+	/** The first revision of a peer's list that this host lacked, and when it was reported; kept until this host has caught up. */
 	private lacked: {readonly revision: number; readonly sinceMs: number} | undefined;
 
 	private constructor(private readonly options: StateExchangeOptions) {
@@ -73,7 +73,7 @@
 		this.owned.dispose();
 	}
 
-	/** Peers that do not read the store learn of servers from those that do. */
+	/** Schedules a notification of peers: those that do not read the store learn of servers from those that do. */
 	private announceSoon(): void {
 		const {clock, mesh, isListAway} = this.options;
 		if (!isListAway()) {
@@ -118,7 +118,7 @@
 		}
 	}
 
-	/** Whether a peer's list is newer and this host's own reading won't bring it. */
+	/** Whether a peer's list is newer and is not expected from this host's own reading. */
 	private lacks(listRevision: number): boolean {
 		const {registry, isListAway, clock} = this.options;
 		if (listRevision <= registry.revision) {
@@ -159,7 +159,7 @@
 				this.takeServers(hostId, servers);
 			}
 		} catch (error) {
-			this.options.log.error('A peer sent a state that can\'t be read; it is passed over.', {peer: hostId, reason: messageOf(error)});
+			this.options.log.error('A peer sent a state that can\'t be parsed; the state is ignored.', {peer: hostId, reason: messageOf(error)});
 		}
 	}
 
@@ -167,10 +167,10 @@
 		const {board, clock, log} = this.options;
 		const tookMs = this.deploymentPace.answered(hostId, clock.nowMs());
 		const isNews = version > board.version;
-		log.info('A peer told of the declaration.', {
+		log.info('Received the declaration from a peer.', {
 			peer: hostId, version, baseVersion, sizeBytes: patch.byteLength, isNews, ...(tookMs !== undefined && {tookMs: Math.round(tookMs)}),
 		});
-		// Late answers of peers that were asked before cost nothing more.
+		// Late replies from peers that were asked before are not decompressed, so they cost nothing more.
 		if (!isNews) {
 			return;
 		}
@@ -179,7 +179,7 @@
 		if (made.ok) {
 			board.offer(made.value, 'peer');
 		} else {
-			log.warn('What a peer told of the declaration does not fit the version here; it is asked for again.', {peer: hostId, reason: made.error.message});
+			log.warn('A declaration patch from a peer does not apply to the version on this host; the declaration will be requested again.', {peer: hostId, reason: made.error.message});
 		}
 	}
 
@@ -188,7 +188,7 @@
 		this.serversPace.answered(hostId, clock.nowMs());
 		const {list, unreadableCount} = readToldServers(unpackJson(servers));
 		if (unreadableCount > 0) {
-			log.error('A peer told of servers that can\'t be read; the others are used.', {peer: hostId, revision: list.revision, count: unreadableCount});
+			log.error('A peer reported servers that can\'t be parsed; the others are used.', {peer: hostId, revision: list.revision, count: unreadableCount});
 		}
 
 		registry.replaceAll(list, clock.nowMs(), listSources.peer);
--- a/src/peers/node/state-replies.ts
+++ b/src/peers/node/state-replies.ts
@@ -1,18 +1,18 @@
-/** What peers are sent of the declaration and the servers: made once for all that lack the same. */
+/** Builds what peers are sent of the declaration and the server list, once for all peers that lack the same. */
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {DeploymentBoard} from '../../deployment/common/deployment-board.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {PackedDeployment} from '../../wire/common/messages.js';
 import {packJson} from './packed-json.js';
 
-/** Keeps the replies until what is in force changes. */
+/** Caches the replies until the state in force changes. */
 export class StateReplies implements Disposable {
 	static create(board: DeploymentBoard, registry: ServerRegistry): StateReplies {
 		return new StateReplies(board, registry);
 	}
 
 	private readonly owned = DisposableStore.create();
-	/** By the version that the peer has. */
+	/** By the version that the requesting peer has. */
 	private readonly patches = new Map<number, PackedDeployment>();
 	private list: {readonly revision: number; readonly packed: Uint8Array} | undefined;
 
@@ -26,9 +26,9 @@
 	}
 
 	/**
-	Gives what a peer lacks of the declaration.
-	@param version - the one that the peer has; 0 for none.
-	@returns nothing where nothing is in force here.
+	Returns the part of the declaration that a peer lacks.
+	@param version - the version that the peer has; 0 for none.
+	@returns the compressed patch; `undefined` if no declaration is in force on this host.
 	*/
 	deployment(version: number): PackedDeployment | undefined {
 		const known = this.patches.get(version);
@@ -46,7 +46,7 @@
 		return packed;
 	}
 
-	/** @returns all servers that are listed, packed: 200 take 40 KB as text and 5 KB so. */
+	/** @returns all listed servers as compressed JSON: 200 servers take 40 KB as text and 5 KB compressed. */
 	servers(): Uint8Array {
 		const {revision} = this.registry;
 		if (this.list?.revision !== revision) {
