--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -19,7 +19,10 @@
 
 /** How often peers are sent all addresses that this host knows, in addition to new ones: two hosts may have forgotten each other. */
 const tellAllMs = 5000;
-/** A tick that is this late means that this host itself was frozen: peers may have sent data that it has not read yet, so silence says nothing about them. */
+/**
+A tick that is this late means that this host itself was frozen: peers may have sent data that it has not read yet, so silence says
+nothing about them.
+*/
 const ownPauseMs = 400;
 
 /** The state of a host that it reports to its peers. */
@@ -59,7 +62,7 @@
 	private readonly didConnect = Emitter.create<string>();
 	/** Cached endpoints of the connected peers; cleared when a peer joins or is lost. */
 	private endpoints: ReadonlySet<string> | undefined;
-	/** Addresses that were last known when peers were notified. */
+	/** Addresses that have been announced to peers. */
 	private toldEndpoints: ReadonlySet<string> = new Set();
 	private toldAllMs = 0;
 	/** Capacity of the peer that has the most, in cores. */
@@ -268,7 +271,8 @@
 		this.peers.set(hostId, peer);
 		peer.ways.add(way);
 		this.options.log.info('A peer is connected.', {peer: hostId, hall: identity.hall, ways: peer.ways.size});
-		// Every received byte counts: on a slow or a busy link, a message with thousands of routes takes longer to arrive than the silence after which a peer is lost.
+		// Every received byte counts: on a slow or a busy link, a message with thousands of routes takes longer to arrive than
+		// the silence after which a peer is considered lost.
 		connection.onDidHear(() => {
 			way.heardMs = this.options.clock.nowMs();
 		});
@@ -305,7 +309,10 @@
 		}
 	}
 
-	/** Updates what is derived from all peers, only after one joined, was lost or changed: hosts that start at once receive thousands of heartbeats, few of which change anything. */
+	/**
+	Updates what is derived from the state of all peers. Called only after a peer joined, was lost or reported another endpoint or capacity:
+	hosts that start at once receive thousands of heartbeats, few of which change anything.
+	*/
 	private peersChanged(): void {
 		this.endpoints = undefined;
 		this.mostRoom = Math.max(0, ...[...this.peers.values()].map(({beat}) => beat?.room ?? 0));
--- a/src/peers/node/state-exchange.test.ts
+++ b/src/peers/node/state-exchange.test.ts
@@ -104,8 +104,9 @@
 });
 
 /*
-Guards against server lists that overload links, found by code review after the same fault had occurred with the declaration: each change of the list
-makes each host that does not read the store request all of it, 200 bytes a server. 65 hosts that request 200 servers twice a second take 5 MB a second.
+Guards against server lists that overload links, found by code review after the same fault had occurred with the declaration. Each change
+of the list makes each host that does not read the store request all of it, 200 bytes a server. 65 hosts that request 200 servers
+twice a second take 5 MB a second.
 */
 t.test('a list of 200 servers is sent in less than 7 KB, built once for all hosts that request it', async t => {
 	const {registry, sent, ask} = exchangeByHand(false);
