--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -24,7 +24,7 @@
 export type DecisionFigure = {readonly name: string; readonly microseconds: number; readonly spreadShare: number};
 
 function makeRouter(upstreams: number, clock: ManualClock): FleetRouter {
-	const members = MemberTable.create({heartbeatTimeoutMs: Infinity, distrustShare: 0.5});
+	const members = MemberTable.create({heartbeatTimeoutMs: Infinity, maxSilentShare: 0.5});
 	const random = SeededRandom.create(3);
 	const prefixes = PrefixIndex.create();
 	let serial = 0;
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -22,8 +22,8 @@
 import {DirectLinks} from '../../direct/node/direct-links.js';
 import {Ingress, ingressToken} from '../../direct/node/ingress.js';
 import {PromptNews} from '../../direct/node/prompt-news.js';
-import {LeavingNews} from '../../peers/node/leaving-news.js';
-import {LimitNews} from '../../peers/node/limit-news.js';
+import {LeavingServerUpdates} from '../../peers/node/leaving-server-updates.js';
+import {ServerLimitUpdates} from '../../peers/node/server-limit-updates.js';
 import {PeerMesh, peerMeshToken} from '../../peers/node/peer-mesh.js';
 import {StateExchange} from '../../peers/node/state-exchange.js';
 import {BatchDesk, batchDeskToken} from '../../preparation/node/batch-desk.js';
@@ -243,10 +243,10 @@
 function keepStateAlike({lifecycle, clock, logOf, get}: Composition): void {
 	lifecycle.register(StateExchange.create({
 		mesh: get(peerMeshToken),
-		board: get(deploymentBoardToken),
+		tracker: get(deploymentBoardToken),
 		registry: get(serverRegistryToken),
 		drains: get(hallDrainsToken),
-		isListAway: () => !get(serverFeedToken).isCurrent,
+		isListUnavailable: () => !get(serverFeedToken).isCurrent,
 		clock,
 		log: logOf('peers'),
 	}));
@@ -259,8 +259,8 @@
 	get(quarantineToken).onDidHearOfEnd(serverId => {
 		get(routerToken).serverEnded(serverId, clock.nowMs());
 	});
-	lifecycle.register(LeavingNews.create({leaving: get(leavingServersToken), mesh: get(peerMeshToken)}));
-	lifecycle.register(LimitNews.create({limits: get(serverLimitsToken), mesh: get(peerMeshToken), clock}));
+	lifecycle.register(LeavingServerUpdates.create({leaving: get(leavingServersToken), mesh: get(peerMeshToken)}));
+	lifecycle.register(ServerLimitUpdates.create({limits: get(serverLimitsToken), mesh: get(peerMeshToken), clock}));
 	lifecycle.register(QuarantineNews.create({quarantine: get(quarantineToken), mesh: get(peerMeshToken), clock}));
 	lifecycle.register(setRepeating(clock, () => sweepMs, () => {
 		get(serverRegistryToken).tick(clock.nowMs());
--- a/src/daemon/node/compose-feeds.ts
+++ b/src/daemon/node/compose-feeds.ts
@@ -10,7 +10,7 @@
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import {FeedFollower} from '../../deployment/node/feed-follower.js';
 import {peerMeshToken} from '../../peers/node/peer-mesh.js';
-import {ReadingDuty, readingDutyToken} from '../../peers/node/reading-duty.js';
+import {ReaderElection, readerElectionToken} from '../../peers/node/reader-election.js';
 import {roomOf} from '../../routing/common/host-room.js';
 import type {Composition} from './direct-composition.js';
 
@@ -41,17 +41,17 @@
 		}
 	};
 
-	register(readingDutyToken, () => ReadingDuty.create({
+	register(readerElectionToken, () => ReaderElection.create({
 		hostId: settings.hostId,
-		room: roomOf(settings.capacity),
+		capacity: roomOf(settings.capacity),
 		mesh: get(peerMeshToken),
-		newsWithinMs: Math.min(settings.declarationWithinMs, settings.leavingWithinMs),
+		actWithinMs: Math.min(settings.declarationWithinMs, settings.leavingWithinMs),
 		clock,
 		log: logOf('store'),
 	}));
 	const duty = {
-		holdMs: () => get(readingDutyToken).holdMs,
-		mayRest: () => get(readingDutyToken).mayRest(),
+		holdMs: () => get(readerElectionToken).holdMs,
+		mayRest: () => get(readerElectionToken).mayStandBy(),
 	};
 	register(declarationFeedToken, () => lifecycle.register(FeedFollower.create<OperatorRow>({
 		name: 'declaration',
--- a/src/entry/node/fleet-links.ts
+++ b/src/entry/node/fleet-links.ts
@@ -123,7 +123,7 @@
 		const wanted = shareOf(hosts.value, this.options.wire.identity.hostId);
 		const seen = new Set(wanted.map(host => host.hostId));
 		for (const host of wanted) {
-			this.options.members.listed(host.hostId, host.state);
+			this.options.members.applyListedState(host.hostId, host.state);
 			this.ensureLink(host);
 		}
 
@@ -256,7 +256,7 @@
 
 			case 'pong':
 			case 'report': {
-				members.heard(upstreamId, message.state, nowMs);
+				members.received(upstreamId, message.state, nowMs);
 				router.observeLoad(upstreamId, message.load, nowMs);
 				break;
 			}
@@ -267,7 +267,7 @@
 			}
 
 			default: {
-				members.heard(upstreamId, undefined, nowMs);
+				members.received(upstreamId, undefined, nowMs);
 				if ('load' in message) {
 					router.observeLoad(upstreamId, message.load, nowMs);
 				}
@@ -291,7 +291,7 @@
 	private applySettings(): void {
 		const {tree} = this.options.settings;
 		const pools = tree.paths.filter(path => path.startsWith('/pools/')).map(path => path.slice('/pools/'.length));
-		this.options.members.drainedBySettings(pools.flatMap(pool => tree.pool(pool)?.leavingUpstreams ?? []));
+		this.options.members.setDrained(pools.flatMap(pool => tree.pool(pool)?.leavingUpstreams ?? []));
 	}
 
 	private get revision(): number {
--- a/src/membership/common/member-table.test.ts
+++ b/src/membership/common/member-table.test.ts
@@ -19,12 +19,12 @@
 
 t.test('each signal of leaving suffices by itself, and stays in effect for the incarnation', async t => {
 	const table = tableOf(4);
-	table.heard('u0', 'leaving', 10);
-	table.listed('h1', 'leaving');
-	table.drainedBySettings(['u2']);
+	table.received('u0', 'leaving', 10);
+	table.applyListedState('h1', 'leaving');
+	table.setDrained(['u2']);
 	t.strictSame(idsAt(table, 10), ['u3']);
-	table.heard('u0', 'serving', 20);
-	table.listed('h1', 'live');
+	table.received('u0', 'serving', 20);
+	table.applyListedState('h1', 'live');
 	t.strictSame(idsAt(table, 20), ['u3'], 'an upstream that was leaving is not live again in the same incarnation');
 	table.connected(identityOf(0, 'i2'), 30);
 	table.connected(identityOf(1, 'i2'), 30);
@@ -34,7 +34,7 @@
 t.test('a few silent upstreams are left out; if most are silent at once, the entry assumes that the fault is its own', async t => {
 	const table = tableOf(10);
 	for (let number = 0; number < 7; number++) {
-		table.heard(`u${number}`, 'serving', 2000);
+		table.received(`u${number}`, 'serving', 2000);
 	}
 
 	t.equal(idsAt(table, 2500).length, 7);
@@ -51,6 +51,6 @@
 	t.strictSame(idsAt(table, 3).toSorted(), ['u0', 'u1']);
 	t.equal(table.stateOf('nobody', 3), 'gone');
 	table.disconnected('u1', 'i1');
-	table.forget(1000, 5000);
+	table.forgetGone(1000, 5000);
 	t.equal(table.all().length, 1);
 });
--- a/src/membership/common/member-table.ts
+++ b/src/membership/common/member-table.ts
@@ -26,15 +26,15 @@
 	/** Silence after which an upstream receives no new work. */
 	readonly heartbeatTimeoutMs: number;
 	/** If more than this share of a pool is silent at once, this host assumes that the fault is its own and ignores the silence. */
-	readonly distrustShare: number;
+	readonly maxSilentShare: number;
 };
 
-export const defaultMemberOptions: MemberOptions = {heartbeatTimeoutMs: 1500, distrustShare: 0.5};
+export const defaultMemberOptions: MemberOptions = {heartbeatTimeoutMs: 1500, maxSilentShare: 0.5};
 
 type Entry = {
 	readonly member: Member;
 	isConnected: boolean;
-	lastHeardMs: number;
+	lastReceivedMs: number;
 	/** Once set, stays set for the incarnation. */
 	isLeaving: boolean;
 };
@@ -48,8 +48,8 @@
 	private readonly entries = new Map<string, Entry>();
 	private readonly pools = new Map<string, Set<string>>();
 	private readonly leavingHosts = new Set<string>();
-	private drained: ReadonlySet<string> = new Set();
-	private changes = 0;
+	private drainedIds: ReadonlySet<string> = new Set();
+	private changeCount = 0;
 
 	private heartbeatTimeoutMs: number;
 
@@ -59,7 +59,7 @@
 
 	/** Increases whenever an upstream joins, leaves or is lost; silence alone does not change it. */
 	get version(): number {
-		return this.changes;
+		return this.changeCount;
 	}
 
 	/**
@@ -82,11 +82,11 @@
 			return false;
 		}
 
-		this.changes++;
+		this.changeCount++;
 		const known = this.entries.get(upstreamId);
 		if (known?.member.incarnation === incarnation) {
 			known.isConnected = true;
-			known.lastHeardMs = nowMs;
+			known.lastReceivedMs = nowMs;
 			return false;
 		}
 
@@ -100,7 +100,7 @@
 			upstreamId, hostId, pool, hall, incarnation, joinedMs: nowMs,
 		};
 		this.entries.set(upstreamId, {
-			member, isConnected: true, lastHeardMs: nowMs, isLeaving: this.leavingHosts.has(hostId),
+			member, isConnected: true, lastReceivedMs: nowMs, isLeaving: this.leavingHosts.has(hostId),
 		});
 		this.poolSet(pool).add(upstreamId);
 		return true;
@@ -115,7 +115,7 @@
 		const entry = this.entries.get(upstreamId);
 		if (entry?.member.incarnation === incarnation) {
 			entry.isConnected = false;
-			this.changes++;
+			this.changeCount++;
 		}
 	}
 
@@ -125,13 +125,13 @@
 	@param state - whether it accepts new work, if the message reported that.
 	@param nowMs - the current time.
 	*/
-	heard(upstreamId: string, state: ServeState | undefined, nowMs: number): void {
+	received(upstreamId: string, state: ServeState | undefined, nowMs: number): void {
 		const entry = this.entries.get(upstreamId);
 		if (entry) {
-			entry.lastHeardMs = nowMs;
+			entry.lastReceivedMs = nowMs;
 			if (state === serveStates.leaving && !entry.isLeaving) {
 				entry.isLeaving = true;
-				this.changes++;
+				this.changeCount++;
 			}
 		}
 	}
@@ -141,13 +141,13 @@
 	@param hostId - the host that it names.
 	@param state - the state that it reports.
 	*/
-	listed(hostId: string, state: ListedState): void {
+	applyListedState(hostId: string, state: ListedState): void {
 		if (state === listedStates.leaving) {
 			this.leavingHosts.add(hostId);
 			for (const entry of this.entries.values()) {
 				if (entry.member.hostId === hostId && !entry.isLeaving) {
 					entry.isLeaving = true;
-					this.changes++;
+					this.changeCount++;
 				}
 			}
 		} else {
@@ -159,9 +159,9 @@
 	Sets the upstreams that are to receive no work according to the settings.
 	@param upstreamIds - all of these upstreams; they replace the former ones.
 	*/
-	drainedBySettings(upstreamIds: Iterable<string>): void {
-		this.drained = new Set(upstreamIds);
-		this.changes++;
+	setDrained(upstreamIds: Iterable<string>): void {
+		this.drainedIds = new Set(upstreamIds);
+		this.changeCount++;
 	}
 
 	/**
@@ -176,7 +176,7 @@
 			return memberStates.gone;
 		}
 
-		if (entry.isLeaving || this.drained.has(upstreamId)) {
+		if (entry.isLeaving || this.drainedIds.has(upstreamId)) {
 			return memberStates.leaving;
 		}
 
@@ -194,15 +194,15 @@
 		const silent: Member[] = [];
 		for (const upstreamId of this.pools.get(pool) ?? []) {
 			const entry = this.entries.get(upstreamId)!;
-			if (!entry.isConnected || entry.isLeaving || this.drained.has(upstreamId)) {
+			if (!entry.isConnected || entry.isLeaving || this.drainedIds.has(upstreamId)) {
 				continue;
 			}
 
 			(this.isSilent(entry, nowMs) ? silent : live).push(entry.member);
 		}
 
-		const isDoubtful = silent.length > (live.length + silent.length) * this.options.distrustShare;
-		return isDoubtful ? [...live, ...silent] : live;
+		const areTooManySilent = silent.length > (live.length + silent.length) * this.options.maxSilentShare;
+		return areTooManySilent ? [...live, ...silent] : live;
 	}
 
 	/**
@@ -210,9 +210,9 @@
 	@param olderThanMs - time since the last message after which a disconnected upstream is forgotten.
 	@param nowMs - the current time.
 	*/
-	forget(olderThanMs: number, nowMs: number): void {
+	forgetGone(olderThanMs: number, nowMs: number): void {
 		for (const [upstreamId, entry] of this.entries) {
-			if (!entry.isConnected && nowMs - entry.lastHeardMs > olderThanMs) {
+			if (!entry.isConnected && nowMs - entry.lastReceivedMs > olderThanMs) {
 				this.entries.delete(upstreamId);
 				this.pools.get(entry.member.pool)?.delete(upstreamId);
 			}
@@ -225,7 +225,7 @@
 	}
 
 	private isSilent(entry: Entry, nowMs: number): boolean {
-		return nowMs - entry.lastHeardMs > this.heartbeatTimeoutMs;
+		return nowMs - entry.lastReceivedMs > this.heartbeatTimeoutMs;
 	}
 
 	private poolSet(pool: string): Set<string> {
--- a/src/peers/common/dial-plan.test.ts
+++ b/src/peers/common/dial-plan.test.ts
@@ -13,7 +13,7 @@
 	readonly endpoints: readonly string[];
 	dials = 0;
 	/** The hosts that each host is connected to. */
-	readonly met = new Map<string, Set<string>>();
+	readonly connectedTo = new Map<string, Set<string>>();
 	private readonly plans = new Map<string, DialPlan>();
 	private nowMs = 0;
 
@@ -24,8 +24,8 @@
 		}
 	}
 
-	get isWhole(): boolean {
-		return this.endpoints.every(endpoint => this.met.get(endpoint)!.size === this.endpoints.length - 1);
+	get isFullyConnected(): boolean {
+		return this.endpoints.every(endpoint => this.connectedTo.get(endpoint)!.size === this.endpoints.length - 1);
 	}
 
 	start(endpoint: string): void {
@@ -35,27 +35,27 @@
 		}
 
 		this.plans.set(endpoint, plan);
-		for (const others of this.met.values()) {
+		for (const others of this.connectedTo.values()) {
 			others.delete(endpoint);
 		}
 
-		this.met.set(endpoint, new Set());
+		this.connectedTo.set(endpoint, new Set());
 	}
 
-	round(): void {
+	runRound(): void {
 		for (const [endpoint, plan] of this.plans) {
-			const met = this.met.get(endpoint)!;
-			for (const other of plan.due(each => met.has(each), this.nowMs)) {
+			const connected = this.connectedTo.get(endpoint)!;
+			for (const other of plan.due(each => connected.has(each), this.nowMs)) {
 				this.dials++;
-				met.add(other);
-				this.met.get(other)!.add(endpoint);
+				connected.add(other);
+				this.connectedTo.get(other)!.add(endpoint);
 			}
 		}
 
-		for (const [endpoint, met] of this.met) {
-			for (const other of met) {
-				for (const told of met) {
-					this.plans.get(other)!.add(told, false, this.nowMs);
+		for (const [endpoint, connected] of this.connectedTo) {
+			for (const other of connected) {
+				for (const reported of connected) {
+					this.plans.get(other)!.add(reported, false, this.nowMs);
 				}
 
 				this.plans.get(other)!.add(endpoint, false, this.nowMs);
@@ -69,21 +69,21 @@
 for (const count of [8, 68, 370]) {
 	t.test(`${count} hosts that start at once are all connected after two rounds, with one connection per pair`, async t => {
 		const fleet = new Fleet(count);
-		fleet.round();
-		fleet.round();
-		t.ok(fleet.isWhole);
+		fleet.runRound();
+		fleet.runRound();
+		t.ok(fleet.isFullyConnected);
 		t.equal(fleet.dials, count * (count - 1) / 2);
 	});
 }
 
 t.test('a restarted host is connected to all others again, whichever side dials first', async t => {
 	const fleet = new Fleet(12);
-	fleet.round();
-	fleet.round();
+	fleet.runRound();
+	fleet.runRound();
 	fleet.start(fleet.endpoints[7]);
-	fleet.round();
-	fleet.round();
-	t.ok(fleet.isWhole);
+	fleet.runRound();
+	fleet.runRound();
+	t.ok(fleet.isFullyConnected);
 });
 
 t.test('if the first of a pair does not dial, the other does after a delay', async t => {
@@ -123,8 +123,8 @@
 });
 
 /** Returns what a host dials as soon as another host is reported to it. */
-function dueAtOnce(own: string, other: string): string[] {
-	const plan = DialPlan.create(own);
+function dueAtOnce(ownEndpoint: string, other: string): string[] {
+	const plan = DialPlan.create(ownEndpoint);
 	plan.add(other, false, 0);
 	return plan.due(() => false, 0);
 }
@@ -137,13 +137,13 @@
 	const hostCount = 31;
 	const addresses = Array.from({length: hostCount}, (_, index) => `10.0.0.${index}:1`);
 	const plan = DialPlan.create(addresses[0]);
-	let looks = 0;
-	for (let told = 1; told < hostCount; told++) {
-		const news = addresses.filter(address => plan.add(address, false, told));
-		looks += news.length > 0 ? 1 : 0;
+	let searches = 0;
+	for (let report = 1; report < hostCount; report++) {
+		const newAddresses = addresses.filter(address => plan.add(address, false, report));
+		searches += newAddresses.length > 0 ? 1 : 0;
 	}
 
-	t.equal(looks, 1);
+	t.equal(searches, 1);
 	t.equal(plan.add(addresses[5], true, 50), true, 'an address that becomes a seed is new');
 	t.equal(plan.add(addresses[0], true, 50), false, 'the own address is never new');
 });
--- a/src/peers/common/dial-plan.ts
+++ b/src/peers/common/dial-plan.ts
@@ -7,10 +7,10 @@
 import {parseEndpoint} from '../../wire/common/endpoint.js';
 
 /** How long the side of a pair that does not dial first waits for the other: a low-capacity host takes about a second to start. */
-const yieldMs = 1500;
+const secondDialDelayMs = 1500;
 
 /** An address, and since when no host that listens there has been connected. */
-type Known = {readonly isSeed: boolean; unmetSinceMs: number};
+type KnownAddress = {readonly isSeed: boolean; disconnectedSinceMs: number};
 
 /** Tracks the addresses that one host may dial. */
 export class DialPlan {
@@ -18,22 +18,22 @@
 	Creates a plan without addresses.
 	@param ownEndpoint - where the host itself listens; it is never dialed.
 	*/
-	static create(own: string): DialPlan {
-		return new DialPlan(own);
+	static create(ownEndpoint: string): DialPlan {
+		return new DialPlan(ownEndpoint);
 	}
 
-	private readonly known = new Map<string, Known>();
+	private readonly addresses = new Map<string, KnownAddress>();
 
-	private constructor(private readonly own: string) {}
+	private constructor(private readonly ownEndpoint: string) {}
 
 	/** All known addresses, without the host's own. */
 	get all(): string[] {
-		return [...this.known.keys()];
+		return [...this.addresses.keys()];
 	}
 
 	/** Addresses of the seeds, without the host's own. */
 	get seeds(): string[] {
-		return [...this.known].filter(([, {isSeed}]) => isSeed).map(([endpoint]) => endpoint);
+		return [...this.addresses].filter(([, {isSeed}]) => isSeed).map(([endpoint]) => endpoint);
 	}
 
 	/**
@@ -44,13 +44,13 @@
 	@returns whether the address is new, or was not known as a seed.
 	*/
 	add(endpoint: string, isSeed: boolean, nowMs: number): boolean {
-		const known = this.known.get(endpoint);
-		const isNews = endpoint !== this.own && (!known || (isSeed && !known.isSeed)) && parseEndpoint(endpoint) !== undefined;
-		if (isNews) {
-			this.known.set(endpoint, {isSeed, unmetSinceMs: known?.unmetSinceMs ?? nowMs});
+		const known = this.addresses.get(endpoint);
+		const isNew = endpoint !== this.ownEndpoint && (!known || (isSeed && !known.isSeed)) && parseEndpoint(endpoint) !== undefined;
+		if (isNew) {
+			this.addresses.set(endpoint, {isSeed, disconnectedSinceMs: known?.disconnectedSinceMs ?? nowMs});
 		}
 
-		return isNews;
+		return isNew;
 	}
 
 	/**
@@ -58,7 +58,7 @@
 	@param endpoint - the address.
 	*/
 	isSeed(endpoint: string): boolean {
-		return this.known.get(endpoint)?.isSeed === true;
+		return this.addresses.get(endpoint)?.isSeed === true;
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	@param endpoint - the address.
 	*/
 	remove(endpoint: string): void {
-		this.known.delete(endpoint);
+		this.addresses.delete(endpoint);
 	}
 
 	/**
@@ -75,12 +75,12 @@
 	@param isConnected - whether the host that listens at an address is connected, whichever side dialed.
 	@param nowMs - the current time.
 	*/
-	due(isMet: (endpoint: string) => boolean, nowMs: number): string[] {
+	due(isConnected: (endpoint: string) => boolean, nowMs: number): string[] {
 		const due: string[] = [];
-		for (const [endpoint, known] of this.known) {
-			if (isMet(endpoint)) {
-				known.unmetSinceMs = nowMs;
-			} else if (known.isSeed || this.isFirst(endpoint) || nowMs - known.unmetSinceMs >= yieldMs) {
+		for (const [endpoint, known] of this.addresses) {
+			if (isConnected(endpoint)) {
+				known.disconnectedSinceMs = nowMs;
+			} else if (known.isSeed || this.dialsFirst(endpoint) || nowMs - known.disconnectedSinceMs >= secondDialDelayMs) {
 				due.push(endpoint);
 			}
 		}
@@ -89,8 +89,8 @@
 	}
 
 	/** Whether this host is the first of the pair to dial; each host is the first in about half of its pairs. */
-	private isFirst(endpoint: string): boolean {
-		const [low, high] = [this.own, endpoint].toSorted();
-		return (hashText(`${low}\n${high}`) % 2 === 0 ? low : high) === this.own;
+	private dialsFirst(endpoint: string): boolean {
+		const [low, high] = [this.ownEndpoint, endpoint].toSorted();
+		return (hashText(`${low}\n${high}`) % 2 === 0 ? low : high) === this.ownEndpoint;
 	}
 }
--- a/src/peers/common/beat-need.ts
+++ b/src/peers/common/heartbeat-schedule.ts
@@ -6,13 +6,13 @@
 import {isRoomy} from '../../routing/common/host-room.js';
 
 /** Interval between signs of life if one of the two hosts does work for the other. */
-export const beatMs = 500;
+export const defaultHeartbeatIntervalMs = 500;
 /** The same between two hosts that do no work for each other; only the number of such hosts matters to them. */
-const rareBeatMs = 2000;
+const sparseHeartbeatIntervalMs = 2000;
 /** The state in force is sent again after this many intervals: a peer that requested it and got no reply asks again at the next heartbeat. */
-const signsPerTelling = 2;
+const intervalsPerStateRefresh = 2;
 /** A connection on which nothing arrives for this many announced intervals is dead: that is the time of three heartbeats, one of them lost. */
-const silentBeats = 3.2;
+const maxSilentIntervals = 3.2;
 
 /**
 Returns how often two hosts need signs of life from each other. Low-capacity hosts do not batch, read or gather for others, so
@@ -22,8 +22,8 @@
 @param maxCapacity - capacity of the host that has the most.
 @returns the interval in milliseconds.
 */
-export function beatIntervalMs(rooms: readonly [number, number], mostRoom: number): number {
-	return rooms.some(room => isRoomy(room, mostRoom)) ? beatMs : rareBeatMs;
+export function heartbeatIntervalMs(capacities: readonly [number, number], maxCapacity: number): number {
+	return capacities.some(capacity => isRoomy(capacity, maxCapacity)) ? defaultHeartbeatIntervalMs : sparseHeartbeatIntervalMs;
 }
 
 /**
@@ -31,23 +31,23 @@
 @param intervalMs - how often the other side sends something, as it announced; absent if it announces no interval.
 @returns the time in milliseconds.
 */
-export function longestSilenceMs(intervalMs: number | undefined): number {
-	return silentBeats * (intervalMs ?? beatMs);
+export function maxSilenceMs(intervalMs: number | undefined): number {
+	return maxSilentIntervals * (intervalMs ?? defaultHeartbeatIntervalMs);
 }
 
 /** Tracks what was last sent to a peer on one connection. */
-export class BeatNeed {
-	static create(): BeatNeed {
-		return new BeatNeed();
+export class HeartbeatSchedule {
+	static create(): HeartbeatSchedule {
+		return new HeartbeatSchedule();
 	}
 
-	private spokeMs = -Infinity;
-	private toldState = '';
-	private toldMs = -Infinity;
+	private lastSentMs = -Infinity;
+	private lastState = '';
+	private lastHeartbeatMs = -Infinity;
 
 	/** Records that a message was sent. */
-	spoke(nowMs: number): void {
-		this.spokeMs = nowMs;
+	recordSend(nowMs: number): void {
+		this.lastSentMs = nowMs;
 	}
 
 	/**
@@ -55,10 +55,10 @@
 	@param state - the state it carried, as a string to compare.
 	@param nowMs - the current time.
 	*/
-	told(state: string, nowMs: number): void {
-		this.spoke(nowMs);
-		this.toldState = state;
-		this.toldMs = nowMs;
+	recordHeartbeat(state: string, nowMs: number): void {
+		this.recordSend(nowMs);
+		this.lastState = state;
+		this.lastHeartbeatMs = nowMs;
 	}
 
 	/**
@@ -68,6 +68,6 @@
 	@param nowMs - the current time.
 	*/
 	isNeeded(state: string, intervalMs: number, nowMs: number): boolean {
-		return state !== this.toldState || nowMs - this.spokeMs >= intervalMs || nowMs - this.toldMs >= signsPerTelling * intervalMs;
+		return state !== this.lastState || nowMs - this.lastSentMs >= intervalMs || nowMs - this.lastHeartbeatMs >= intervalsPerStateRefresh * intervalMs;
 	}
 }
--- a/src/peers/common/ask-pace.ts
+++ b/src/peers/common/peer-request-pacer.ts
@@ -5,25 +5,25 @@
 */
 
 /** Initial timeout of a request: many times what a reply of typical size takes on a slow link. */
-const firstWaitMs = 400;
+const initialTimeoutMs = 400;
 /** Upper bound of the timeout: a silent peer is considered lost after 1.6 s. */
-const longestWaitMs = 1600;
+const maxTimeoutMs = 1600;
 
 /** Tracks the requests for one kind of update. */
-export class AskPace {
-	static create(): AskPace {
-		return new AskPace();
+export class PeerRequestPacer {
+	static create(): PeerRequestPacer {
+		return new PeerRequestPacer();
 	}
 
-	private asked: {readonly hostId: string; readonly atMs: number} | undefined;
-	private waitMs = firstWaitMs;
+	private pending: {readonly hostId: string; readonly atMs: number} | undefined;
+	private timeoutMs = initialTimeoutMs;
 
 	/**
 	Checks whether a request may be sent to a peer.
 	@param nowMs - the current time.
 	*/
-	mayAsk(nowMs: number): boolean {
-		return this.asked === undefined || nowMs - this.asked.atMs >= this.waitMs;
+	maySend(nowMs: number): boolean {
+		return this.pending === undefined || nowMs - this.pending.atMs >= this.timeoutMs;
 	}
 
 	/**
@@ -31,9 +31,9 @@
 	@param hostId - the peer.
 	@param nowMs - the current time.
 	*/
-	ask(hostId: string, nowMs: number): void {
-		this.waitMs = this.asked === undefined ? firstWaitMs : Math.min(longestWaitMs, this.waitMs * 2);
-		this.asked = {hostId, atMs: nowMs};
+	recordRequest(hostId: string, nowMs: number): void {
+		this.timeoutMs = this.pending === undefined ? initialTimeoutMs : Math.min(maxTimeoutMs, this.timeoutMs * 2);
+		this.pending = {hostId, atMs: nowMs};
 	}
 
 	/**
@@ -42,13 +42,13 @@
 	@param nowMs - the current time.
 	@returns the time since the request in milliseconds; `undefined` if another peer was asked since.
 	*/
-	answered(hostId: string, nowMs: number): number | undefined {
-		if (this.asked?.hostId !== hostId) {
+	recordReply(hostId: string, nowMs: number): number | undefined {
+		if (this.pending?.hostId !== hostId) {
 			return undefined;
 		}
 
-		const tookMs = nowMs - this.asked.atMs;
-		this.asked = undefined;
-		return tookMs;
+		const durationMs = nowMs - this.pending.atMs;
+		this.pending = undefined;
+		return durationMs;
 	}
 }
--- a/src/peers/node/declaration-spread.test.ts
+++ b/src/peers/node/declaration-propagation.test.ts
@@ -21,18 +21,18 @@
 
 /** Hosts of the deployment in which the fault occurred: three that read the store, three more with the same capacity, and low-capacity ones. */
 const readerCount = 3;
-const roomyCount = 6;
+const fastHostCount = 6;
 const hostCount = 21;
 /** Bandwidth of the links: 140 and 7 Mbit/s. */
-const roomyBytesPerMs = 17_500;
-const thinBytesPerMs = 875;
+const fastBytesPerMs = 17_500;
+const slowBytesPerMs = 875;
 const stepMs = 5;
-const beatMs = 500;
+const heartbeatIntervalMs = 500;
 /** A change must be in force this long after its confirmation; half of that is reserved for requests and slow processors. */
-const boundMs = 3000;
+const timeLimitMs = 3000;
 
 /** Messages in transit from one host to another, in order. */
-type Flow = {readonly from: Host; readonly to: Host; readonly frames: Array<{readonly message: Message; leftBytes: number}>};
+type Flow = {readonly from: Host; readonly to: Host; readonly frames: Array<{readonly message: Message; remainingBytes: number}>};
 
 /** A host that does not read the store itself: all it learns comes from its peers. */
 class Host {
@@ -40,9 +40,9 @@
 		return new Host(network, hostId, bytesPerMs);
 	}
 
-	readonly board = DeploymentBoard.create(silentLoggers.for('test'));
+	readonly tracker = DeploymentBoard.create(silentLoggers.for('test'));
 	readonly received = Emitter.create<PeerMessage>();
-	heardBytes = 0;
+	receivedBytes = 0;
 
 	private constructor(private readonly network: Network, readonly hostId: string, readonly bytesPerMs: number) {
 		const log = silentLoggers.for('test');
@@ -50,26 +50,26 @@
 			mesh: {
 				onDidReceive: this.received.event,
 				announce: () => {
-					this.tellAll();
+					this.sendHeartbeats();
 				},
 				send: (to, message) => network.send(this, to, message),
 			},
-			board: this.board,
-			registry: ServerRegistry.create({log, leavingWithinMs: boundMs}),
+			tracker: this.tracker,
+			registry: ServerRegistry.create({log, leavingWithinMs: timeLimitMs}),
 			drains: HallDrains.create(),
-			isListAway: () => false,
+			isListUnavailable: () => false,
 			clock: network.clock,
 			log,
 		});
-		setRepeating(network.clock, () => beatMs, () => {
-			this.tellAll();
+		setRepeating(network.clock, () => heartbeatIntervalMs, () => {
+			this.sendHeartbeats();
 		});
 	}
 
-	private tellAll(): void {
+	private sendHeartbeats(): void {
 		for (const {hostId} of this.network.hosts) {
 			this.network.send(this, hostId, {
-				type: 'peerBeat', endpoint: '', knownEndpoints: [], deploymentVersion: this.board.version, listRevision: 0, isLeaving: false,
+				type: 'peerBeat', endpoint: '', knownEndpoints: [], deploymentVersion: this.tracker.version, listRevision: 0, isLeaving: false,
 			});
 		}
 	}
@@ -87,7 +87,7 @@
 
 	private constructor() {
 		this.hosts = Array.from({length: hostCount}, (_, index) =>
-			Host.create(this, `host-${index}`, index < roomyCount ? roomyBytesPerMs : thinBytesPerMs));
+			Host.create(this, `host-${index}`, index < fastHostCount ? fastBytesPerMs : slowBytesPerMs));
 	}
 
 	send(from: Host, hostId: string, message: Message): boolean {
@@ -99,21 +99,21 @@
 		const key = `${from.hostId} ${hostId}`;
 		const flow = this.flows.get(key) ?? {from, to, frames: []};
 		this.flows.set(key, flow);
-		flow.frames.push({message, leftBytes: encodeFrame(message).byteLength});
+		flow.frames.push({message, remainingBytes: encodeFrame(message).byteLength});
 		return true;
 	}
 
 	/** Advances the clock and transfers bytes. */
-	async pass(durationMs: number): Promise<void> {
+	async advanceTime(durationMs: number): Promise<void> {
 		for (let passedMs = 0; passedMs < durationMs; passedMs += stepMs) {
 			this.clock.advance(stepMs);
-			this.carry();
+			this.transfer();
 			// Repeating timers are armed again asynchronously.
 			await Promise.resolve();
 		}
 	}
 
-	private carry(): void {
+	private transfer(): void {
 		const busy = [...this.flows.values()].filter(({frames}) => frames.length > 0);
 		for (const flow of busy) {
 			const outShare = flow.from.bytesPerMs / busy.filter(({from}) => from === flow.from).length;
@@ -122,15 +122,15 @@
 		}
 	}
 
-	private deliver({from, to, frames}: Flow, mostBytes: number): void {
-		let bytes = mostBytes;
+	private deliver({from, to, frames}: Flow, maxBytes: number): void {
+		let bytes = maxBytes;
 		while (frames.length > 0 && bytes > 0) {
 			const [frame] = frames;
-			const takenBytes = Math.min(bytes, frame.leftBytes);
-			frame.leftBytes -= takenBytes;
-			bytes -= takenBytes;
-			to.heardBytes += takenBytes;
-			if (frame.leftBytes === 0) {
+			const sentBytes = Math.min(bytes, frame.remainingBytes);
+			frame.remainingBytes -= sentBytes;
+			bytes -= sentBytes;
+			to.receivedBytes += sentBytes;
+			if (frame.remainingBytes === 0) {
 				frames.shift();
 				to.received.fire({hostId: from.hostId, message: frame.message});
 			}
@@ -141,15 +141,15 @@
 const random = SeededRandom.create(1);
 
 /** Returns random letters and digits; like real names, they can hardly be compressed. */
-function wordOf(length: number): string {
+function randomWord(length: number): string {
 	return Array.from({length}, () => random.int(36).toString(36)).join('');
 }
 
 function makeRoute(): Route {
 	return {
-		name: `r-${wordOf(7)}`,
+		name: `r-${randomWord(7)}`,
 		hostName: 'site.example',
-		pathPrefix: `/${wordOf(8)}/`,
+		pathPrefix: `/${randomWord(8)}/`,
 		kind: 'repeatable',
 		timeoutMs: 2000,
 		targetMs: 120,
@@ -178,36 +178,36 @@
 
 /** Lets all readers learn of a version from the store at once. */
 function declare(network: Network, deployment: Deployment): void {
-	for (const {board} of network.hosts.slice(0, readerCount)) {
-		board.offer(structuredClone(deployment), 'store');
+	for (const {tracker: tracker} of network.hosts.slice(0, readerCount)) {
+		tracker.offer(structuredClone(deployment), 'store');
 	}
 }
 
 /** Returns how many hosts have each version in force, as `version x hosts`. */
-function inForce({hosts}: Network): string {
-	const versions = [...new Set(hosts.map(({board}) => board.version))].toSorted((left, right) => left - right);
-	return versions.map(version => `${version} x ${hosts.filter(({board}) => board.version === version).length}`).join(', ');
+function versionsInForce({hosts}: Network): string {
+	const versions = [...new Set(hosts.map(({tracker: tracker}) => tracker.version))].toSorted((left, right) => left - right);
+	return versions.map(version => `${version} x ${hosts.filter(({tracker: tracker}) => tracker.version === version).length}`).join(', ');
 }
 
 t.test('a large declaration and the small change after it are in force on hosts with slow links within half of the time limit', async t => {
 	const network = Network.create();
 	const routes = Array.from({length: 2850}, makeRoute);
-	for (const {board} of network.hosts) {
-		board.offer(makeDeployment(14, routes, 15_000), 'store');
+	for (const {tracker: tracker} of network.hosts) {
+		tracker.offer(makeDeployment(14, routes, 15_000), 'store');
 	}
 
-	await network.pass(1000);
+	await network.advanceTime(1000);
 	routes.push(...Array.from({length: 1400}, makeRoute));
 	declare(network, makeDeployment(17, routes, 15_000));
-	await network.pass(boundMs / 2);
-	t.equal(inForce(network), `17 x ${hostCount}`);
-	await network.pass(2000);
-	const thin = network.hosts.at(-1)!;
-	thin.heardBytes = 0;
+	await network.advanceTime(timeLimitMs / 2);
+	t.equal(versionsInForce(network), `17 x ${hostCount}`);
+	await network.advanceTime(2000);
+	const slowHost = network.hosts.at(-1)!;
+	slowHost.receivedBytes = 0;
 	const changed = makeDeployment(19, routes, 12_000);
 	declare(network, changed);
-	await network.pass(boundMs / 2);
-	t.equal(inForce(network), `19 x ${hostCount}`);
-	t.same(thin.board.current?.deployment, changed, 'each host has the same declaration, in the same order');
-	t.ok(thin.heardBytes < 50_000, `${Math.round(thin.heardBytes)} bytes were received for a change of one setting`);
+	await network.advanceTime(timeLimitMs / 2);
+	t.equal(versionsInForce(network), `19 x ${hostCount}`);
+	t.same(slowHost.tracker.current?.deployment, changed, 'each host has the same declaration, in the same order');
+	t.ok(slowHost.receivedBytes < 50_000, `${Math.round(slowHost.receivedBytes)} bytes were received for a change of one setting`);
 });
--- a/src/peers/node/leaving-news.ts
+++ b/src/peers/node/leaving-server-updates.ts
@@ -5,20 +5,20 @@
 import type {PeerMesh} from './peer-mesh.js';
 
 /** Dependencies of `LeavingServerUpdates`. */
-export type LeavingNewsOptions = {
+export type LeavingServerUpdatesOptions = {
 	readonly leaving: Pick<LeavingServers, 'onDidSay' | 'hear' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 };
 
 /** Sends what a response announced to one host to all peers at once, and everything known to a host that has just connected. */
-export class LeavingNews implements Disposable {
-	static create(options: LeavingNewsOptions): LeavingNews {
-		return new LeavingNews(options);
+export class LeavingServerUpdates implements Disposable {
+	static create(options: LeavingServerUpdatesOptions): LeavingServerUpdates {
+		return new LeavingServerUpdates(options);
 	}
 
 	private readonly owned = DisposableStore.create();
 
-	private constructor({leaving, mesh}: LeavingNewsOptions) {
+	private constructor({leaving, mesh}: LeavingServerUpdatesOptions) {
 		this.owned.add(leaving.onDidSay(serverId => {
 			mesh.broadcast({type: 'leavingServers', serverIds: [serverId]});
 		}));
--- a/src/peers/node/packed-json.ts
+++ b/src/peers/node/packed-json.ts
@@ -5,7 +5,7 @@
 import {constants, deflateRawSync, inflateRawSync} from 'node:zlib';
 
 /** Maximum size of the decompressed JSON: many times a declaration of 100,000 routes. */
-const mostBytes = 256 * 1024 * 1024;
+const maxJsonBytes = 256 * 1024 * 1024;
 
 /**
 Serializes a value to compressed JSON.
@@ -22,5 +22,5 @@
 @throws Error if the bytes are not compressed JSON, or the JSON exceeds the maximum size.
 */
 export function unpackJson(packed: Uint8Array): unknown {
-	return JSON.parse(inflateRawSync(packed, {maxOutputLength: mostBytes}).toString());
+	return JSON.parse(inflateRawSync(packed, {maxOutputLength: maxJsonBytes}).toString());
 }
--- a/src/peers/node/peer-dials.test.ts
+++ b/src/peers/node/peer-dialer.test.ts
@@ -5,33 +5,33 @@
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
 import {SeededRandom} from '../../base/common/random.js';
-import {PeerDials} from './peer-dials.js';
+import {PeerDialer} from './peer-dialer.js';
 
-const strangeEndpoints = ['', 'x', 'a:b', '1.2.3.4', '1.2.3.4:', '1.2.3.4:0', '1.2.3.4:99999', '1.2.3.4:-1', '1.2.3.4:1.5', ':::', '[::1]:80', '999.1.1.1:80', '1.2.3.4:5:6'];
+const malformedEndpoints = ['', 'x', 'a:b', '1.2.3.4', '1.2.3.4:', '1.2.3.4:0', '1.2.3.4:99999', '1.2.3.4:-1', '1.2.3.4:1.5', ':::', '[::1]:80', '999.1.1.1:80', '1.2.3.4:5:6'];
 
 t.test('addresses that can\'t be dialed are ignored', async t => {
 	const clock = ManualClock.create();
-	const dials = PeerDials.create({
+	const dialer = PeerDialer.create({
 		wire: {
 			identity: {
 				hostId: 'h', incarnation: 'i', role: 'entry', hall: 'a',
 			}, keys: () => [{keyId: 'k', secret: 's'}], clock, random: SeededRandom.create(1),
 		},
 		clock,
-		connected: () => undefined,
-		metEndpoints: () => new Set(),
+		onConnected: () => undefined,
+		connectedEndpoints: () => new Set(),
 	});
 	t.teardown(() => {
-		dials.dispose();
+		dialer.dispose();
 	});
-	dials.start({address: '127.0.0.1', port: 1});
+	dialer.start({address: '127.0.0.1', port: 1});
 	t.doesNotThrow(() => {
-		dials.addKnown(strangeEndpoints);
+		dialer.addKnown(malformedEndpoints);
 		clock.advance(5000);
-		dials.dialDue();
+		dialer.dialDue();
 		clock.advance(5000);
 	});
-	t.same(dials.known, []);
-	dials.addKnown(['127.0.0.1:2']);
-	t.same(dials.known, ['127.0.0.1:2'], 'others are dialed');
+	t.same(dialer.known, []);
+	dialer.addKnown(['127.0.0.1:2']);
+	t.same(dialer.known, ['127.0.0.1:2'], 'others are dialed');
 });
--- a/src/peers/node/peer-dials.ts
+++ b/src/peers/node/peer-dialer.ts
@@ -8,36 +8,36 @@
 import {DialPlan} from '../common/dial-plan.js';
 
 /** An address at which no host answers for this long is forgotten unless it is a seed. */
-const forgetMs = 15_000;
+const forgetAfterMs = 15_000;
 
 /** Dependencies of `PeerDialer`. */
-export type PeerDialsOptions = {
+export type PeerDialerOptions = {
 	readonly wire: WireClientOptions;
 	readonly clock: Clock;
 	/** Called with a connection that was established. */
-	readonly connected: (connection: WireConnection) => void;
+	readonly onConnected: (connection: WireConnection) => void;
 	/** Endpoints of the connected hosts, whichever side dialed. */
-	readonly metEndpoints: () => ReadonlySet<string>;
+	readonly connectedEndpoints: () => ReadonlySet<string>;
 };
 
 type Dial = {
 	readonly client: WireClient;
 	/** When the connection was last open; if it never was, when the dial started. */
-	openMs: number;
+	lastOpenMs: number;
 	isOpen: boolean;
 };
 
 /** Keeps connecting to the known addresses. */
-export class PeerDials implements Disposable {
-	static create(options: PeerDialsOptions): PeerDials {
-		return new PeerDials(options);
+export class PeerDialer implements Disposable {
+	static create(options: PeerDialerOptions): PeerDialer {
+		return new PeerDialer(options);
 	}
 
 	private readonly dials = new Map<string, Dial>();
 	private plan = DialPlan.create('');
-	private own = '';
+	private ownAddress = '';
 
-	private constructor(private readonly options: PeerDialsOptions) {}
+	private constructor(private readonly options: PeerDialerOptions) {}
 
 	/** Addresses of the seeds; they are never forgotten. */
 	get seeds(): readonly string[] {
@@ -51,16 +51,16 @@
 
 	/** Where this host listens for peers, as reported to them; it is not dialed. */
 	get ownEndpoint(): string {
-		return this.own;
+		return this.ownAddress;
 	}
 
 	/**
 	Sets the address at which this host itself listens.
 	@param endpoint - its address.
 	*/
-	start(own: Endpoint): void {
-		this.own = textOf(own);
-		this.plan = DialPlan.create(this.own);
+	start(endpoint: Endpoint): void {
+		this.ownAddress = endpointText(endpoint);
+		this.plan = DialPlan.create(this.ownAddress);
 	}
 
 	/**
@@ -70,7 +70,7 @@
 	addSeeds(seeds: readonly Endpoint[]): void {
 		const nowMs = this.options.clock.nowMs();
 		for (const seed of seeds) {
-			this.plan.add(textOf(seed), true, nowMs);
+			this.plan.add(endpointText(seed), true, nowMs);
 		}
 
 		this.dialDue();
@@ -82,16 +82,16 @@
 	*/
 	addKnown(endpoints: readonly string[]): void {
 		const nowMs = this.options.clock.nowMs();
-		const news = endpoints.filter(endpoint => this.plan.add(endpoint, false, nowMs));
-		if (news.length > 0) {
+		const newEndpoints = endpoints.filter(endpoint => this.plan.add(endpoint, false, nowMs));
+		if (newEndpoints.length > 0) {
 			this.dialDue();
 		}
 	}
 
 	/** Dials the addresses that are due. */
 	dialDue(): void {
-		const met = this.options.metEndpoints();
-		for (const endpoint of this.plan.due(each => met.has(each), this.options.clock.nowMs())) {
+		const connected = this.options.connectedEndpoints();
+		for (const endpoint of this.plan.due(each => connected.has(each), this.options.clock.nowMs())) {
 			this.dial(endpoint);
 		}
 	}
@@ -100,9 +100,9 @@
 	Forgets addresses at which no host has answered for a long time, except seeds.
 	@param nowMs - the current time.
 	*/
-	forgetSilent(nowMs: number): void {
+	forgetUnreachable(nowMs: number): void {
 		for (const [endpoint, dial] of this.dials) {
-			if (!dial.isOpen && !this.plan.isSeed(endpoint) && nowMs - dial.openMs > forgetMs) {
+			if (!dial.isOpen && !this.plan.isSeed(endpoint) && nowMs - dial.lastOpenMs > forgetAfterMs) {
 				this.dials.delete(endpoint);
 				this.plan.remove(endpoint);
 				dial.client.dispose();
@@ -122,23 +122,23 @@
 			return;
 		}
 
-		const {wire, clock, connected} = this.options;
+		const {wire, clock, onConnected: onConnected} = this.options;
 		const client = WireClient.create(parsed, wire);
 		const dial: Dial = {
-			client, openMs: clock.nowMs(), isOpen: false,
+			client, lastOpenMs: clock.nowMs(), isOpen: false,
 		};
 		this.dials.set(endpoint, dial);
 		client.onDidConnect(connection => {
 			dial.isOpen = true;
 			connection.onDidClose(() => {
 				dial.isOpen = false;
-				dial.openMs = clock.nowMs();
+				dial.lastOpenMs = clock.nowMs();
 			});
-			connected(connection);
+			onConnected(connection);
 		});
 	}
 }
 
-function textOf({address, port}: Endpoint): string {
+function endpointText({address, port}: Endpoint): string {
 	return `${address}:${port}`;
 }
--- a/src/peers/node/peer-mesh.test.ts
+++ b/src/peers/node/peer-mesh.test.ts
@@ -22,7 +22,7 @@
 	},
 	keys,
 });
-const beat: PeerBeat = {
+const heartbeat: PeerBeat = {
 	type: 'peerBeat', endpoint: '', knownEndpoints: [], deploymentVersion: 0, listRevision: 0, isLeaving: false, room: 1,
 };
 
@@ -59,7 +59,7 @@
 }
 
 /** Advances the clock; repeating timers are armed again one turn of the event loop after each run. */
-async function pass(clock: ManualClock, durationMs: number): Promise<void> {
+async function advanceTime(clock: ManualClock, durationMs: number): Promise<void> {
 	for (let passedMs = 0; passedMs < durationMs; passedMs += 100) {
 		clock.advance(100);
 		await turn();
@@ -67,7 +67,7 @@
 }
 
 /** Connects another process to the mesh, as a peer that was restarted or opened a new connection. */
-async function comeTo(t: Test, {clock, mesh, own}: {readonly clock: ManualClock; readonly mesh: PeerMesh; readonly own: Endpoint}, incarnation: string): Promise<WireConnection> {
+async function connectToMesh(t: Test, {clock, mesh, own}: {readonly clock: ManualClock; readonly mesh: PeerMesh; readonly own: Endpoint}, incarnation: string): Promise<WireConnection> {
 	const client = WireClient.create(own, {...wireOf('peer', incarnation), clock, random: SeededRandom.create(2)});
 	t.teardown(() => {
 		client.dispose();
@@ -75,7 +75,7 @@
 	const connected = nextOf(client.onDidConnect);
 	clock.advance(1);
 	const connection = await connected;
-	await say(mesh, connection, {...beat, endpoint: '127.0.0.1:1'});
+	await sendAndReceive(mesh, connection, {...heartbeat, endpoint: '127.0.0.1:1'});
 	return connection;
 }
 
@@ -89,18 +89,18 @@
 }
 
 /** Lets the mesh dial the peer, and the peer send a message that the mesh receives. */
-async function meet({clock, mesh, peer}: {readonly clock: ManualClock; readonly mesh: PeerMesh; readonly peer: WireServer}, message: Message): Promise<WireConnection> {
+async function connectPeer({clock, mesh, peer}: {readonly clock: ManualClock; readonly mesh: PeerMesh; readonly peer: WireServer}, message: Message): Promise<WireConnection> {
 	const connected = nextOf(peer.onDidConnect);
 	clock.advance(100);
 	const connection = await connected;
-	await say(mesh, connection, message);
+	await sendAndReceive(mesh, connection, message);
 	return connection;
 }
 
-async function say(mesh: PeerMesh, connection: WireConnection, message: Message): Promise<PeerMessage> {
-	const heard = nextOf(mesh.onDidReceive);
+async function sendAndReceive(mesh: PeerMesh, connection: WireConnection, message: Message): Promise<PeerMessage> {
+	const received = nextOf(mesh.onDidReceive);
 	connection.send(message);
-	return heard;
+	return received;
 }
 
 t.test('a peer whose connection becomes silent is lost after three heartbeats, and dialed again', async t => {
@@ -109,25 +109,25 @@
 	pair.mesh.onDidLose(hostId => {
 		lost.push(hostId);
 	});
-	await meet(pair, {...beat, endpoint: pair.endpoint});
+	await connectPeer(pair, {...heartbeat, endpoint: pair.endpoint});
 	t.same(pair.mesh.liveHosts, ['peer']);
-	await pass(pair.clock, 1500);
+	await advanceTime(pair.clock, 1500);
 	t.same(lost, []);
 	const connected = nextOf(pair.peer.onDidConnect);
-	await pass(pair.clock, 500);
+	await advanceTime(pair.clock, 500);
 	t.same(lost, ['peer']);
 	t.same(pair.mesh.liveHosts, []);
-	await pass(pair.clock, 100);
-	await say(pair.mesh, await connected, {...beat, endpoint: pair.endpoint});
+	await advanceTime(pair.clock, 100);
+	await sendAndReceive(pair.mesh, await connected, {...heartbeat, endpoint: pair.endpoint});
 	t.same(pair.mesh.liveHosts, ['peer'], 'a new connection works');
 });
 
 t.test('every message of a peer is a sign of life', async t => {
 	const pair = await makePair(t);
-	const connection = await meet(pair, {...beat, endpoint: pair.endpoint});
+	const connection = await connectPeer(pair, {...heartbeat, endpoint: pair.endpoint});
 	for (let round = 0; round < 4; round++) {
-		await pass(pair.clock, 1000);
-		await say(pair.mesh, connection, {type: 'promptsSent', prompts: []});
+		await advanceTime(pair.clock, 1000);
+		await sendAndReceive(pair.mesh, connection, {type: 'promptsSent', prompts: []});
 	}
 
 	t.same(pair.mesh.liveHosts, ['peer']);
@@ -135,10 +135,10 @@
 
 t.test('a peer that announced a longer interval may be silent for longer in proportion', async t => {
 	const pair = await makePair(t);
-	await meet(pair, {...beat, endpoint: pair.endpoint, nextWithinMs: 2000});
-	await pass(pair.clock, 6000);
+	await connectPeer(pair, {...heartbeat, endpoint: pair.endpoint, nextWithinMs: 2000});
+	await advanceTime(pair.clock, 6000);
 	t.same(pair.mesh.liveHosts, ['peer']);
-	await pass(pair.clock, 1000);
+	await advanceTime(pair.clock, 1000);
 	t.same(pair.mesh.liveHosts, []);
 });
 
@@ -152,26 +152,26 @@
 	pair.mesh.onDidLose(hostId => {
 		lost.push(hostId);
 	});
-	await meet(pair, {...beat, endpoint: pair.endpoint});
-	const connection = await comeTo(t, pair, 'another start');
+	await connectPeer(pair, {...heartbeat, endpoint: pair.endpoint});
+	const connection = await connectToMesh(t, pair, 'another start');
 	t.same(lost, ['peer']);
 	t.same(pair.mesh.liveHosts, ['peer']);
-	const heard = nextOf(connection.onDidReceive);
+	const received = nextOf(connection.onDidReceive);
 	t.ok(pair.mesh.send('peer', {type: 'promptsSent', prompts: []}));
-	t.ok(await heard);
+	t.ok(await received);
 });
 
 t.test('messages to a peer are sent on its newest connection: an older one may be dead', async t => {
 	const pair = await makePair(t);
-	const older = await meet(pair, {...beat, endpoint: pair.endpoint});
-	const newest = await comeTo(t, pair, 'i');
-	const way = Promise.race([wayOf('older', older), wayOf('newest', newest)]);
+	const older = await connectPeer(pair, {...heartbeat, endpoint: pair.endpoint});
+	const newest = await connectToMesh(t, pair, 'i');
+	const arrival = Promise.race([nameOnArrival('older', older), nameOnArrival('newest', newest)]);
 	t.ok(pair.mesh.send('peer', {type: 'batchCancel', pool: 'p', workId: 'w'}));
-	t.equal(await way, 'newest');
+	t.equal(await arrival, 'newest');
 });
 
 /** Resolves to the name of the connection once a batch message arrives on it. */
-async function wayOf(name: string, connection: WireConnection): Promise<string> {
+async function nameOnArrival(name: string, connection: WireConnection): Promise<string> {
 	return new Promise(resolve => {
 		connection.onDidReceive(({type}) => {
 			if (type === 'batchCancel') {
@@ -219,14 +219,14 @@
 	mesh.start({address: '127.0.0.1', port: 1}, []);
 	const {connection, heard, received} = makeConnection();
 	connected.fire(connection);
-	received.fire({...beat, endpoint: '127.0.0.1:2'});
+	received.fire({...heartbeat, endpoint: '127.0.0.1:2'});
 	for (let part = 0; part < 6; part++) {
-		await pass(clock, 1000);
+		await advanceTime(clock, 1000);
 		heard.fire();
 	}
 
 	t.same(mesh.liveHosts, ['peer']);
-	await pass(clock, 2500);
+	await advanceTime(clock, 2500);
 	t.same(mesh.liveHosts, [], 'without any received byte it is');
 });
 
@@ -236,8 +236,8 @@
 	pair.mesh.onDidLose(hostId => {
 		lost.push(hostId);
 	});
-	await meet(pair, {...beat, endpoint: pair.endpoint, storeAgeMs: 100});
-	await pass(pair.clock, 200);
+	await connectPeer(pair, {...heartbeat, endpoint: pair.endpoint, storeAgeMs: 100});
+	await advanceTime(pair.clock, 200);
 	pair.clock.sleep(8000);
 	await turn();
 	t.same(lost, []);
--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -12,18 +12,18 @@
 import type {FleetView} from '../../routing/common/fleet-view.js';
 import type {Endpoint, WireServer} from '../../wire/node/wire-server.js';
 import {
-	beatIntervalMs, beatMs, BeatNeed, longestSilenceMs,
-} from '../common/beat-need.js';
-import {FleetMemory} from '../common/fleet-memory.js';
-import {PeerDials} from './peer-dials.js';
+	heartbeatIntervalMs, defaultHeartbeatIntervalMs, HeartbeatSchedule, maxSilenceMs,
+} from '../common/heartbeat-schedule.js';
+import {FleetTracker} from '../common/fleet-tracker.js';
+import {PeerDialer} from './peer-dialer.js';
 
 /** How often peers are sent all addresses that this host knows, in addition to new ones: two hosts may have forgotten each other. */
-const tellAllMs = 5000;
+const fullAnnouncementIntervalMs = 5000;
 /**
 A tick that is this late means that this host itself was frozen: peers may have sent data that it has not read yet, so silence says
 nothing about them.
 */
-const ownPauseMs = 400;
+const hostPauseThresholdMs = 400;
 
 /** The state of a host that it reports to its peers. */
 export type OwnState = Pick<PeerBeat, 'deploymentVersion' | 'listRevision' | 'isLeaving' | 'room' | 'storeAgeMs' | 'hallDrains'>;
@@ -40,8 +40,8 @@
 	readonly ownState: () => OwnState;
 };
 
-type Way = {readonly connection: WireConnection; readonly beatNeed: BeatNeed; heardMs: number};
-type Peer = {readonly hostId: string; readonly ways: Set<Way>; beat: PeerBeat | undefined; beatHeardMs: number};
+type PeerConnection = {readonly connection: WireConnection; readonly heartbeatSchedule: HeartbeatSchedule; lastReceivedMs: number};
+type Peer = {readonly hostId: string; readonly connections: Set<PeerConnection>; lastHeartbeat: PeerBeat | undefined; lastHeartbeatMs: number};
 
 export const peerMeshToken: InjectionToken<PeerMesh> = Symbol('PeerMesh');
 
@@ -53,35 +53,35 @@
 
 	private readonly peers = new Map<string, Peer>();
 	private readonly owned = DisposableStore.create();
-	private readonly dials: PeerDials;
+	private readonly dialer: PeerDialer;
 	/** All hosts of the deployment, connected now or not. */
-	private fleet: FleetMemory;
+	private fleetTracker: FleetTracker;
 	private readonly didReceive = Emitter.create<PeerMessage>();
 	private readonly didChange = Emitter.create<void>();
 	private readonly didLose = Emitter.create<string>();
 	private readonly didConnect = Emitter.create<string>();
 	/** Cached endpoints of the connected peers; cleared when a peer joins or is lost. */
-	private endpoints: ReadonlySet<string> | undefined;
+	private cachedEndpoints: ReadonlySet<string> | undefined;
 	/** Addresses that have been announced to peers. */
-	private toldEndpoints: ReadonlySet<string> = new Set();
-	private toldAllMs = 0;
+	private announcedEndpoints: ReadonlySet<string> = new Set();
+	private lastFullAnnouncementMs = 0;
 	/** Capacity of the peer that has the most, in cores. */
-	private mostRoom = 0;
-	private tickedMs = 0;
+	private maxPeerCapacity = 0;
+	private lastTickMs = 0;
 
 	private constructor(private readonly options: PeerMeshOptions) {
 		const {server, wire, clock} = options;
-		this.fleet = FleetMemory.create('', clock.nowMs());
-		this.dials = this.owned.add(PeerDials.create({
+		this.fleetTracker = FleetTracker.create('', clock.nowMs());
+		this.dialer = this.owned.add(PeerDialer.create({
 			wire,
 			clock,
-			connected: connection => {
-				this.adopt(connection);
+			onConnected: connection => {
+				this.addConnection(connection);
 			},
-			metEndpoints: () => this.knownEndpoints(),
+			connectedEndpoints: () => this.knownEndpoints(),
 		}));
 		this.owned.add(server.onDidConnect(connection => {
-			this.adopt(connection);
+			this.addConnection(connection);
 		}));
 	}
 
@@ -106,12 +106,12 @@
 
 	/** Hosts that accept shared work, without this one. */
 	get liveHosts(): string[] {
-		return [...this.peers.values()].filter(peer => peer.ways.size > 0 && peer.beat?.isLeaving === false).map(peer => peer.hostId);
+		return [...this.peers.values()].filter(peer => peer.connections.size > 0 && peer.lastHeartbeat?.isLeaving === false).map(peer => peer.hostId);
 	}
 
 	/** Capacities for shared work of the live hosts, without this one, in cores; 0 for a host that reports none. */
 	get liveRooms(): ReadonlyMap<string, number> {
-		return new Map(this.liveHosts.map(hostId => [hostId, this.peers.get(hostId)?.beat?.room ?? 0]));
+		return new Map(this.liveHosts.map(hostId => [hostId, this.peers.get(hostId)?.lastHeartbeat?.room ?? 0]));
 	}
 
 	/**
@@ -119,15 +119,15 @@
 	@param nowMs - the current time.
 	*/
 	fleetView(nowMs: number): FleetView {
-		return this.fleet.view(this.dials.seeds, nowMs);
+		return this.fleetTracker.view(this.dialer.seeds, nowMs);
 	}
 
 	/** Time since the last response of the store to each live host that reads it, in milliseconds. */
 	get storeAgesMs(): ReadonlyMap<string, number> {
 		const nowMs = this.options.clock.nowMs();
 		return new Map(this.liveHosts.flatMap(hostId => {
-			const {beat, beatHeardMs} = this.peers.get(hostId)!;
-			return beat?.storeAgeMs === undefined ? [] : [[hostId, beat.storeAgeMs + nowMs - beatHeardMs]];
+			const {lastHeartbeat: lastHeartbeat, lastHeartbeatMs: lastHeartbeatMs} = this.peers.get(hostId)!;
+			return lastHeartbeat?.storeAgeMs === undefined ? [] : [[hostId, lastHeartbeat.storeAgeMs + nowMs - lastHeartbeatMs]];
 		}));
 	}
 
@@ -137,11 +137,11 @@
 	@param seeds - where some of them may listen.
 	*/
 	start(own: Endpoint, seeds: readonly Endpoint[]): void {
-		this.dials.start(own);
-		this.fleet = FleetMemory.create(this.dials.ownEndpoint, this.options.clock.nowMs());
-		this.tickedMs = this.options.clock.nowMs();
+		this.dialer.start(own);
+		this.fleetTracker = FleetTracker.create(this.dialer.ownEndpoint, this.options.clock.nowMs());
+		this.lastTickMs = this.options.clock.nowMs();
 		this.addSeeds(seeds);
-		this.owned.add(setRepeating(this.options.clock, () => beatMs, () => {
+		this.owned.add(setRepeating(this.options.clock, () => defaultHeartbeatIntervalMs, () => {
 			this.tick();
 		}));
 	}
@@ -151,7 +151,7 @@
 	@param seeds - where peers may listen.
 	*/
 	addSeeds(seeds: readonly Endpoint[]): void {
-		this.dials.addSeeds(seeds);
+		this.dialer.addSeeds(seeds);
 	}
 
 	/**
@@ -173,7 +173,7 @@
 
 	/** Sends the state in force on this host to all peers at once. */
 	announce(): void {
-		this.tellState(() => true);
+		this.sendHeartbeats(() => true);
 	}
 
 	dispose(): void {
@@ -183,72 +183,72 @@
 	private tick(): void {
 		const {clock} = this.options;
 		const nowMs = clock.nowMs();
-		const wasPaused = nowMs - this.tickedMs > beatMs + ownPauseMs;
-		this.tickedMs = nowMs;
+		const wasPaused = nowMs - this.lastTickMs > defaultHeartbeatIntervalMs + hostPauseThresholdMs;
+		this.lastTickMs = nowMs;
 		for (const peer of this.peers.values()) {
-			for (const way of peer.ways) {
+			for (const peerConnection of peer.connections) {
 				if (wasPaused) {
-					way.heardMs = nowMs;
-				} else if (nowMs - way.heardMs > longestSilenceMs(peer.beat?.nextWithinMs)) {
-					way.connection.close('the peer sent nothing for too long');
+					peerConnection.lastReceivedMs = nowMs;
+				} else if (nowMs - peerConnection.lastReceivedMs > maxSilenceMs(peer.lastHeartbeat?.nextWithinMs)) {
+					peerConnection.connection.close('the peer sent nothing for too long');
 				}
 			}
 		}
 
-		this.tellState((way, state, intervalMs) => way.beatNeed.isNeeded(state, intervalMs, nowMs));
-		this.dials.dialDue();
-		this.dials.forgetSilent(nowMs);
+		this.sendHeartbeats((way, state, intervalMs) => way.heartbeatSchedule.isNeeded(state, intervalMs, nowMs));
+		this.dialer.dialDue();
+		this.dialer.forgetUnreachable(nowMs);
 	}
 
 	/** Sends the state in force on this host, with the addresses that are new, on the connections that need it. */
-	private tellState(isNeeded: (way: Way, state: string, intervalMs: number) => boolean): void {
+	private sendHeartbeats(isNeeded: (peerConnection: PeerConnection, state: string, intervalMs: number) => boolean): void {
 		const nowMs = this.options.clock.nowMs();
 		const known = this.knownEndpoints();
-		const tellsAll = nowMs - this.toldAllMs >= tellAllMs;
-		const news = tellsAll ? [...known] : [...known].filter(endpoint => !this.toldEndpoints.has(endpoint));
-		this.toldEndpoints = known;
-		this.fleet.seen(known, nowMs);
-		this.toldAllMs = tellsAll ? nowMs : this.toldAllMs;
-		const own = this.options.ownState();
-		const ownState = JSON.stringify(own);
+		const sendsAll = nowMs - this.lastFullAnnouncementMs >= fullAnnouncementIntervalMs;
+		const newEndpoints = sendsAll ? [...known] : [...known].filter(endpoint => !this.announcedEndpoints.has(endpoint));
+		this.announcedEndpoints = known;
+		this.fleetTracker.recordSeen(known, nowMs);
+		this.lastFullAnnouncementMs = sendsAll ? nowMs : this.lastFullAnnouncementMs;
+		const ownState = this.options.ownState();
+		const serializedState = JSON.stringify(ownState);
 		const frames = new Map<number, Uint8Array>();
 		for (const peer of this.peers.values()) {
-			const intervalMs = this.beatIntervalOf(peer, own.room ?? 0);
-			const state = `${intervalMs} ${ownState}`;
-			for (const way of peer.ways) {
+			const intervalMs = this.heartbeatIntervalOf(peer, ownState.room ?? 0);
+			const state = `${intervalMs} ${serializedState}`;
+			for (const peerConnection of peer.connections) {
 				// New addresses go to all peers: one that is left out now would not learn of them for a long time.
-				if (news.length > 0 || isNeeded(way, state, intervalMs)) {
-					const frame = frames.get(intervalMs) ?? encodeFrame(this.makeBeat(news, intervalMs));
+				if (newEndpoints.length > 0 || isNeeded(peerConnection, state, intervalMs)) {
+					const frame = frames.get(intervalMs) ?? encodeFrame(this.makeHeartbeat(newEndpoints, intervalMs));
 					frames.set(intervalMs, frame);
-					way.connection.sendFrame(frame);
-					way.beatNeed.told(state, nowMs);
+					peerConnection.connection.sendFrame(frame);
+					peerConnection.heartbeatSchedule.recordHeartbeat(state, nowMs);
 				}
 			}
 		}
 	}
 
-	private makeBeat(knownEndpoints: string[], nextWithinMs: number): PeerBeat {
+	private makeHeartbeat(knownEndpoints: string[], nextWithinMs: number): PeerBeat {
 		return {
-			type: 'peerBeat', endpoint: this.dials.ownEndpoint, knownEndpoints, nextWithinMs, ...this.options.ownState(),
+			type: 'peerBeat', endpoint: this.dialer.ownEndpoint, knownEndpoints, nextWithinMs, ...this.options.ownState(),
 		};
 	}
 
-	private beatIntervalOf({beat}: Peer, room: number): number {
-		return beat?.room === undefined ? beatMs : beatIntervalMs([room, beat.room], Math.max(room, this.mostRoom));
+	private heartbeatIntervalOf({lastHeartbeat: lastHeartbeat}: Peer, capacity: number): number {
+		return lastHeartbeat?.room === undefined ? defaultHeartbeatIntervalMs : heartbeatIntervalMs([capacity, lastHeartbeat.room], Math.max(capacity, this.maxPeerCapacity));
 	}
 
 	/** Returns the endpoints of the connected peers. */
 	private knownEndpoints(): ReadonlySet<string> {
 		// Malformed addresses are not forwarded.
-		this.endpoints ??= new Set([...this.peers.values()].flatMap(({beat}) => beat && parseEndpoint(beat.endpoint) ? [beat.endpoint] : []));
-		return this.endpoints;
+		this.cachedEndpoints ??= new Set([...this.peers.values()].flatMap(({lastHeartbeat: lastHeartbeat}) => lastHeartbeat && parseEndpoint(lastHeartbeat.endpoint) ? [lastHeartbeat.endpoint] : []));
+		return this.cachedEndpoints;
 	}
 
 	/** Tries the newest connection first: either the peer opened it because an older one is dead, or it works as well as the others. */
-	private sendFrame({ways}: Peer, frame: Uint8Array): boolean {
-		for (const {connection, beatNeed} of [...ways].toReversed()) {
+	private sendFrame({connections: connections}: Peer, frame: Uint8Array): boolean {
+		for (const {connection, heartbeatSchedule: heartbeatSchedule} of [...connections].toReversed()) {
 			if (connection.sendFrame(frame)) {
-				beatNeed.spoke(this.options.clock.nowMs());
+				heartbeatSchedule.recordSend(this.options.clock.nowMs());
 				return true;
 			}
 		}
@@ -256,33 +256,33 @@
 		return false;
 	}
 
-	private adopt(connection: WireConnection): void {
+	private addConnection(connection: WireConnection): void {
 		const identity = connection.peer;
 		if (!identity || identity.hostId === this.options.wire.identity.hostId) {
 			return;
 		}
 
 		const {hostId} = identity;
-		this.leaveFormer(hostId, identity.incarnation);
+		this.closeFormerConnections(hostId, identity.incarnation);
 		const peer = this.peers.get(hostId) ?? {
-			hostId, ways: new Set<Way>(), beat: undefined, beatHeardMs: 0,
+			hostId, connections: new Set<PeerConnection>(), lastHeartbeat: undefined, lastHeartbeatMs: 0,
 		};
-		const way: Way = {connection, beatNeed: BeatNeed.create(), heardMs: this.options.clock.nowMs()};
+		const peerConnection: PeerConnection = {connection, heartbeatSchedule: HeartbeatSchedule.create(), lastReceivedMs: this.options.clock.nowMs()};
 		this.peers.set(hostId, peer);
-		peer.ways.add(way);
-		this.options.log.info('A peer is connected.', {peer: hostId, hall: identity.hall, ways: peer.ways.size});
+		peer.connections.add(peerConnection);
+		this.options.log.info('A peer is connected.', {peer: hostId, hall: identity.hall, ways: peer.connections.size});
 		// Every received byte counts: on a slow or a busy link, a message with thousands of routes takes longer to arrive than
 		// the silence after which a peer is considered lost.
 		connection.onDidHear(() => {
-			way.heardMs = this.options.clock.nowMs();
+			peerConnection.lastReceivedMs = this.options.clock.nowMs();
 		});
 		connection.onDidReceive(message => {
-			this.receive(peer, message);
+			this.handleMessage(peer, message);
 		});
 		connection.onDidClose(reason => {
-			this.lost(peer, way, reason);
+			this.handleClose(peer, peerConnection, reason);
 		});
-		connection.send(this.makeBeat([...this.knownEndpoints()], beatMs));
+		connection.send(this.makeHeartbeat([...this.knownEndpoints()], defaultHeartbeatIntervalMs));
 		this.didConnect.fire(hostId);
 	}
 
@@ -290,19 +290,19 @@
 	Closes the connections to former processes of a restarted host, whatever state they seem to be in: a host that lost power closes none. The work
 	that the host held is gone, and is reported as lost before the new process is added.
 	*/
-	private leaveFormer(hostId: string, incarnation: string): void {
-		for (const {connection} of this.peers.get(hostId)?.ways ?? []) {
+	private closeFormerConnections(hostId: string, incarnation: string): void {
+		for (const {connection} of this.peers.get(hostId)?.connections ?? []) {
 			if (connection.peer?.incarnation !== incarnation) {
 				connection.close('the host was restarted');
 			}
 		}
 	}
 
-	private lost(peer: Peer, way: Way, reason: string): void {
-		peer.ways.delete(way);
-		if (peer.ways.size === 0) {
+	private handleClose(peer: Peer, peerConnection: PeerConnection, reason: string): void {
+		peer.connections.delete(peerConnection);
+		if (peer.connections.size === 0) {
 			this.peers.delete(peer.hostId);
-			this.peersChanged();
+			this.updateDerivedState();
 			this.options.log.warn('A peer is lost.', {peer: peer.hostId, reason});
 			this.didLose.fire(peer.hostId);
 			this.didChange.fire();
@@ -313,27 +313,27 @@
 	Updates what is derived from the state of all peers. Called only after a peer joined, was lost or reported another endpoint or capacity:
 	hosts that start at once receive thousands of heartbeats, few of which change anything.
 	*/
-	private peersChanged(): void {
-		this.endpoints = undefined;
-		this.mostRoom = Math.max(0, ...[...this.peers.values()].map(({beat}) => beat?.room ?? 0));
+	private updateDerivedState(): void {
+		this.cachedEndpoints = undefined;
+		this.maxPeerCapacity = Math.max(0, ...[...this.peers.values()].map(({lastHeartbeat: lastHeartbeat}) => lastHeartbeat?.room ?? 0));
 	}
 
-	private receive(peer: Peer, message: Message): void {
+	private handleMessage(peer: Peer, message: Message): void {
 		if (message.type === 'peerBeat') {
-			const {beat} = peer;
-			const isChanged = beat?.isLeaving !== message.isLeaving;
-			peer.beat = message;
-			if (beat === undefined && !parseEndpoint(message.endpoint)) {
+			const {lastHeartbeat: previous} = peer;
+			const isChanged = previous?.isLeaving !== message.isLeaving;
+			peer.lastHeartbeat = message;
+			if (previous === undefined && !parseEndpoint(message.endpoint)) {
 				this.options.log.warn('A peer reported an address that can\'t be dialed; the address is ignored.', {peer: peer.hostId, endpoint: message.endpoint});
 			}
 
-			if (beat?.endpoint !== message.endpoint || beat.room !== message.room) {
-				this.peersChanged();
+			if (previous?.endpoint !== message.endpoint || previous.room !== message.room) {
+				this.updateDerivedState();
 			}
 
-			peer.beatHeardMs = this.options.clock.nowMs();
-			this.dials.addKnown(message.knownEndpoints);
-			this.fleet.seen([message.endpoint, ...message.knownEndpoints], peer.beatHeardMs);
+			peer.lastHeartbeatMs = this.options.clock.nowMs();
+			this.dialer.addKnown(message.knownEndpoints);
+			this.fleetTracker.recordSeen([message.endpoint, ...message.knownEndpoints], peer.lastHeartbeatMs);
 			if (isChanged) {
 				this.didChange.fire();
 			}
--- a/src/peers/node/reading-duty.test.ts
+++ b/src/peers/node/reader-election.test.ts
@@ -1,22 +1,22 @@
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
 import {silentLoggers} from '../../base/common/logger.js';
-import {ReadingDuty} from './reading-duty.js';
+import {ReaderElection} from './reader-election.js';
 
 const names = Array.from({length: 10}, (_, index) => `host-${index}`);
 
 /** The election of one host; the other hosts are live, and those with an age read the store. */
-function dutyOf(hostId: string, ages: Map<string, number>, clock = ManualClock.create(), hosts = names) {
-	return ReadingDuty.create({
+function electionOf(hostId: string, ages: Map<string, number>, clock = ManualClock.create(), hosts = names) {
+	return ReaderElection.create({
 		hostId,
-		room: 1,
+		capacity: 1,
 		mesh: {
 			get liveRooms() {
 				return new Map(hosts.filter(name => name !== hostId).map(name => [name, 1]));
 			},
 			storeAgesMs: ages,
 		},
-		newsWithinMs: 3000,
+		actWithinMs: 3000,
 		clock,
 		log: silentLoggers.for('test'),
 	});
@@ -24,45 +24,45 @@
 
 t.test('three hosts read for all, the same for every host', async t => {
 	const fresh = new Map([['x', 300], ['y', 900], ['z', 100]]);
-	const readers = names.filter(name => !dutyOf(name, fresh).mayRest());
+	const readers = names.filter(name => !electionOf(name, fresh).mayStandBy());
 	t.equal(readers.length, 3);
-	t.ok(dutyOf(readers[0], fresh).holdMs <= 900, 'and call more often than the updates may be old');
+	t.ok(electionOf(readers[0], fresh).holdMs <= 900, 'and call more often than the updates may be old');
 });
 
 t.test('in a small deployment all read', async t => {
 	const few = names.slice(0, 5);
-	t.ok(few.every(name => !dutyOf(name, new Map([['x', 1], ['y', 1]]), ManualClock.create(), few).mayRest()));
-	t.equal(dutyOf(few[0], new Map(), ManualClock.create(), few).holdMs, 2000);
+	t.ok(few.every(name => !electionOf(name, new Map([['x', 1], ['y', 1]]), ManualClock.create(), few).mayStandBy()));
+	t.equal(electionOf(few[0], new Map(), ManualClock.create(), few).holdMs, 2000);
 });
 
 t.test('a host reads itself while fewer than two readers had a recent response, and for a while after', async t => {
 	const clock = ManualClock.create();
 	const ages = new Map([['x', 300], ['y', 300], ['z', 300]]);
-	const resting = names.find(name => dutyOf(name, ages).mayRest())!;
-	const duty = dutyOf(resting, ages, clock);
-	t.equal(duty.mayRest(), true);
+	const standbyHost = names.find(name => electionOf(name, ages).mayStandBy())!;
+	const election = electionOf(standbyHost, ages, clock);
+	t.equal(election.mayStandBy(), true);
 	ages.set('x', 1900).set('y', 1900);
-	t.equal(duty.mayRest(), false, 'two responses are old');
+	t.equal(election.mayStandBy(), false, 'two responses are old');
 	ages.set('x', 100).set('y', 100);
 	clock.advance(4000);
-	t.equal(duty.mayRest(), false, 'not yet: the store may be slow');
+	t.equal(election.mayStandBy(), false, 'not yet: the store may be slow');
 	clock.advance(1500);
-	t.equal(duty.mayRest(), true);
+	t.equal(election.mayStandBy(), true);
 });
 
 t.test('a host that has just started goes on standby as soon as it knows two readers', async t => {
 	const clock = ManualClock.create();
 	const ages = new Map([['x', 300], ['y', 300], ['z', 300]]);
-	const resting = names.find(name => dutyOf(name, ages).mayRest())!;
+	const standbyHost = names.find(name => electionOf(name, ages).mayStandBy())!;
 	const known = new Map([['x', 300]]);
-	const duty = dutyOf(resting, known, clock);
-	t.equal(duty.mayRest(), false);
+	const election = electionOf(standbyHost, known, clock);
+	t.equal(election.mayStandBy(), false);
 	clock.advance(200);
 	known.set('y', 100);
-	t.equal(duty.mayRest(), true);
+	t.equal(election.mayStandBy(), true);
 	known.delete('y');
-	t.equal(duty.mayRest(), false);
+	t.equal(election.mayStandBy(), false);
 	clock.advance(200);
 	known.set('y', 100);
-	t.equal(duty.mayRest(), false, 'later on a slow store must not make it switch at each call');
+	t.equal(election.mayStandBy(), false, 'later on a slow store must not make it switch at each call');
 });
--- a/src/peers/node/limit-news.test.ts
+++ b/src/peers/node/server-limit-updates.test.ts
@@ -1,15 +1,15 @@
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
 import {Emitter} from '../../base/common/emitter.js';
-import type {LimitNews as News} from '../../deployment/common/server-limits.js';
+import type {LimitNews as Update} from '../../deployment/common/server-limits.js';
 import {MeshStandin} from '../../../test/mesh-standin.js';
-import {LimitNews} from './limit-news.js';
+import {ServerLimitUpdates} from './server-limit-updates.js';
 
-function makeNews(known: News[] = []) {
-	const learned = Emitter.create<News>();
-	const heard: News[] = [];
+function makeUpdates(known: Update[] = []) {
+	const learned = Emitter.create<Update>();
+	const heard: Update[] = [];
 	const mesh = MeshStandin.create();
-	LimitNews.create({
+	ServerLimitUpdates.create({
 		limits: {
 			onDidLearn: learned.event,
 			hear(news) {
@@ -24,8 +24,8 @@
 }
 
 t.test('what is learned goes to all peers, and is applied as it was sent', async t => {
-	const {learned, heard, mesh} = makeNews();
-	const news: News[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
+	const {learned, heard, mesh} = makeUpdates();
+	const news: Update[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
 		serverId: 's', perS: 0.5, namedAgoMs: 700, endedAgoMs: 20,
 	}];
 	for (const each of news) {
@@ -41,11 +41,11 @@
 });
 
 t.test('a host that connects is sent everything that is known, and nothing if nothing is known', async t => {
-	const limits: News[] = Array.from({length: 1200}, (_, index) => ({serverId: `s${index}`, perS: 1, namedAgoMs: 5}));
-	const some = makeNews(limits);
-	some.mesh.connect('new');
-	t.same(some.mesh.sent, [{to: 'new', message: {type: 'serverLimits', limits: limits.slice(200)}}], 'the latest ones, if there are too many');
-	const nothing = makeNews();
-	nothing.mesh.connect('new');
-	t.same(nothing.mesh.sent, []);
+	const limits: Update[] = Array.from({length: 1200}, (_, index) => ({serverId: `s${index}`, perS: 1, namedAgoMs: 5}));
+	const informed = makeUpdates(limits);
+	informed.mesh.connect('new');
+	t.same(informed.mesh.sent, [{to: 'new', message: {type: 'serverLimits', limits: limits.slice(200)}}], 'the latest ones, if there are too many');
+	const uninformed = makeUpdates();
+	uninformed.mesh.connect('new');
+	t.same(uninformed.mesh.sent, []);
 });
--- a/src/peers/node/limit-news.ts
+++ b/src/peers/node/server-limit-updates.ts
@@ -6,23 +6,23 @@
 import type {PeerMesh} from './peer-mesh.js';
 
 /** Dependencies of `ServerLimitUpdates`. */
-export type LimitNewsOptions = {
+export type ServerLimitUpdatesOptions = {
 	readonly limits: Pick<ServerLimits, 'onDidLearn' | 'hear' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 	readonly clock: Clock;
 };
 
 /** Keeps the limits that hosts know consistent: updates go to all peers at once, everything known to a host that has just connected. */
-export class LimitNews implements Disposable {
-	static create(options: LimitNewsOptions): LimitNews {
-		return new LimitNews(options);
+export class ServerLimitUpdates implements Disposable {
+	static create(options: ServerLimitUpdatesOptions): ServerLimitUpdates {
+		return new ServerLimitUpdates(options);
 	}
 
 	private readonly owned = DisposableStore.create();
 
-	private constructor({limits, mesh, clock}: LimitNewsOptions) {
-		this.owned.add(limits.onDidLearn(news => {
-			mesh.broadcast({type: 'serverLimits', limits: [news]});
+	private constructor({limits, mesh, clock}: ServerLimitUpdatesOptions) {
+		this.owned.add(limits.onDidLearn(update => {
+			mesh.broadcast({type: 'serverLimits', limits: [update]});
 		}));
 		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
 			if (message.type === 'serverLimits') {
--- a/src/peers/node/state-exchange.test.ts
+++ b/src/peers/node/state-exchange.test.ts
@@ -14,7 +14,7 @@
 import {StateExchange} from './state-exchange.js';
 
 /** Creates an exchange whose peers send what the test specifies, and records what it requests from them. */
-function exchangeByHand(isListAway: boolean) {
+function makeExchange(isListUnavailable: boolean) {
 	const log = silentLoggers.for('test');
 	const clock = ManualClock.create();
 	const received = Emitter.create<PeerMessage>();
@@ -34,49 +34,49 @@
 				return hostId !== 'gone';
 			},
 		},
-		board: DeploymentBoard.create(log),
+		tracker: DeploymentBoard.create(log),
 		registry,
 		drains: HallDrains.create(),
-		isListAway: () => isListAway,
+		isListUnavailable: () => isListUnavailable,
 		clock,
 		log,
 	});
 	return {
 		clock, asked, sent, registry,
-		tell(hostId: string, deploymentVersion: number, listRevision: number) {
+		sendHeartbeat(hostId: string, deploymentVersion: number, listRevision: number) {
 			received.fire({
 				hostId, message: {
 					type: 'peerBeat', endpoint: '', knownEndpoints: [], deploymentVersion, listRevision, isLeaving: false,
 				},
 			});
 		},
-		ask(hostId: string) {
+		sendRequest(hostId: string) {
 			received.fire({
 				hostId, message: {
 					type: 'stateRequest', wantsDeployment: false, haveVersion: 0, wantsServers: true,
 				},
 			});
 		},
-		reply(hostId: string, servers: ServerList) {
+		sendReply(hostId: string, servers: ServerList) {
 			received.fire({hostId, message: {type: 'stateReply', servers: packJson(servers)}});
 		},
 	};
 }
 
 t.test('an update that all peers announce at once is requested from one, and from another if that one does not reply', async t => {
-	const {clock, asked, tell, reply} = exchangeByHand(true);
+	const {clock, asked, sendHeartbeat: sendHeartbeat, sendReply: sendReply} = makeExchange(true);
 	clock.advance(1000);
-	tell('gone', 5, 0);
-	tell('a', 5, 0);
-	tell('b', 5, 0);
+	sendHeartbeat('gone', 5, 0);
+	sendHeartbeat('a', 5, 0);
+	sendHeartbeat('b', 5, 0);
 	t.same(asked, ['gone declaration', 'a declaration'], 'a peer that can\'t be reached does not count as asked');
-	tell('b', 5, 9);
+	sendHeartbeat('b', 5, 9);
 	t.same(asked.at(-1), 'b servers', 'servers are requested in addition');
 	clock.advance(500);
-	tell('c', 5, 9);
+	sendHeartbeat('c', 5, 9);
 	t.same(asked.at(-1), 'c declaration servers');
-	reply('c', {revision: 9, servers: []});
-	tell('d', 5, 10);
+	sendReply('c', {revision: 9, servers: []});
+	sendHeartbeat('d', 5, 10);
 	t.same(asked.at(-1), 'd servers', 'after a reply the next update is requested at once');
 });
 
@@ -86,20 +86,20 @@
 interrupted requested the list from its peers.
 */
 t.test('a host that stays behind its peers requests their list, also while its own reading seems healthy', async t => {
-	const {clock, asked, registry, tell, reply} = exchangeByHand(false);
+	const {clock, asked, registry, sendHeartbeat: sendHeartbeat, sendReply: sendReply} = makeExchange(false);
 	clock.advance(1000);
-	tell('a', 0, 9);
+	sendHeartbeat('a', 0, 9);
 	clock.advance(200);
-	tell('b', 0, 9);
+	sendHeartbeat('b', 0, 9);
 	t.same(asked, [], 'its own reading is given time first');
 	clock.advance(200);
-	tell('a', 0, 9);
+	sendHeartbeat('a', 0, 9);
 	t.same(asked, ['a servers']);
-	reply('a', {revision: 9, servers: []});
+	sendReply('a', {revision: 9, servers: []});
 	t.equal(registry.revision, 9);
 	clock.advance(500);
-	tell('a', 0, 9);
-	tell('a', 0, 10);
+	sendHeartbeat('a', 0, 9);
+	sendHeartbeat('a', 0, 10);
 	t.same(asked, ['a servers'], 'once it has caught up, its own reading is given time again for the next update');
 });
 
@@ -109,14 +109,14 @@
 twice a second take 5 MB a second.
 */
 t.test('a list of 200 servers is sent in less than 7 KB, built once for all hosts that request it', async t => {
-	const {registry, sent, ask} = exchangeByHand(false);
+	const {registry, sent, sendRequest: sendRequest} = makeExchange(false);
 	const servers = Array.from({length: 200}, (_, index) => ({
 		serverId: `i-${hashText(`server ${index}`).toString(16)}@${1_767_225_600_000 + index}`, instanceId: `i-${hashText(`server ${index}`).toString(16)}`,
 		startedMs: 1_767_225_600_000 + index, pool: `pool-${index % 5}`, address: `10.1.64.${index}`, port: 8080, hall: `hall-${index % 3}`, slots: 64, isLeaving: false, revision: index,
 	}));
 	registry.replaceAll({revision: 300, servers}, 0);
-	ask('a');
-	ask('b');
+	sendRequest('a');
+	sendRequest('b');
 	const [first, second] = sent;
 	t.ok(encodeFrame(first).byteLength < 7000, `${encodeFrame(first).byteLength} bytes`);
 	t.equal('servers' in first && 'servers' in second && first.servers === second.servers, true);
--- a/src/peers/node/state-exchange.ts
+++ b/src/peers/node/state-exchange.ts
@@ -10,28 +10,28 @@
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {readToldServers} from '../../deployment/common/upstream-server.js';
 import type {Message, PackedDeployment} from '../../wire/common/messages.js';
-import {AskPace} from '../common/ask-pace.js';
+import {PeerRequestPacer} from '../common/peer-request-pacer.js';
 import {unpackJson} from './packed-json.js';
 import type {PeerMesh} from './peer-mesh.js';
-import {StateReplies} from './state-replies.js';
+import {StateReplyCache} from './state-reply-cache.js';
 
 /** Changes of the server list are collected for this long before peers are notified, because servers often change together. */
-const gatherMs = 40;
+const collectMs = 40;
 
 /**
 A host whose server list stays older than a peer's for this long requests the peer's list: its own connection to the store may have become
 silent, which the host itself notices only after 2.7 s. Usually both hosts learn of a change within milliseconds.
 */
-const behindMs = 300;
+const maxBehindMs = 300;
 
 /** Dependencies of `StateExchange`. */
 export type StateExchangeOptions = {
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'announce' | 'send'>;
-	readonly board: DeploymentBoard;
+	readonly tracker: DeploymentBoard;
 	readonly registry: ServerRegistry;
 	readonly drains: HallDrains;
 	/** Whether this host knows that its own reading of the server list is interrupted. */
-	readonly isListAway: () => boolean;
+	readonly isListUnavailable: () => boolean;
 	readonly clock: Clock;
 	readonly log: Logger;
 };
@@ -44,73 +44,73 @@
 
 	private readonly owned = DisposableStore.create();
 	/** Runs while changes of the server list are collected. */
-	private gatherTimer: Disposable | undefined;
-	private readonly replies: StateReplies;
-	private readonly deploymentPace = AskPace.create();
-	private readonly serversPace = AskPace.create();
+	private collectTimer: Disposable | undefined;
+	private readonly replyCache: StateReplyCache;
+	private readonly deploymentPacer = PeerRequestPacer.create();
+	private readonly serversPacer = PeerRequestPacer.create();
 	/** The first revision of a peer's list that this host lacked, and when it was reported; kept until this host has caught up. */
-	private lacked: {readonly revision: number; readonly sinceMs: number} | undefined;
+	private firstMissing: {readonly revision: number; readonly sinceMs: number} | undefined;
 
 	private constructor(private readonly options: StateExchangeOptions) {
-		const {mesh, board, registry, drains} = options;
-		this.replies = this.owned.add(StateReplies.create(board, registry));
+		const {mesh, tracker: tracker, registry, drains} = options;
+		this.replyCache = this.owned.add(StateReplyCache.create(tracker, registry));
 		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
-			this.receive(hostId, message);
+			this.handleMessage(hostId, message);
 		}));
-		this.owned.add(board.onDidChange(() => {
+		this.owned.add(tracker.onDidChange(() => {
 			mesh.announce();
 		}));
 		this.owned.add(drains.onDidChange(() => {
 			mesh.announce();
 		}));
 		this.owned.add(registry.onDidChange(() => {
-			this.announceSoon();
+			this.scheduleAnnouncement();
 		}));
 	}
 
 	dispose(): void {
-		this.gatherTimer?.dispose();
+		this.collectTimer?.dispose();
 		this.owned.dispose();
 	}
 
 	/** Schedules a notification of peers: those that do not read the store learn of servers from those that do. */
-	private announceSoon(): void {
-		const {clock, mesh, isListAway} = this.options;
-		if (!isListAway()) {
-			this.gatherTimer ??= clock.setTimer(gatherMs, () => {
-				this.gatherTimer = undefined;
+	private scheduleAnnouncement(): void {
+		const {clock, mesh, isListUnavailable: isListUnavailable} = this.options;
+		if (!isListUnavailable()) {
+			this.collectTimer ??= clock.setTimer(collectMs, () => {
+				this.collectTimer = undefined;
 				mesh.announce();
 			});
 		}
 	}
 
-	private receive(hostId: string, message: Message): void {
-		const {mesh, board, drains, clock} = this.options;
+	private handleMessage(hostId: string, message: Message): void {
+		const {mesh, tracker: tracker, drains, clock} = this.options;
 		switch (message.type) {
 			case 'peerBeat': {
 				const nowMs = clock.nowMs();
 				drains.take(message.hallDrains ?? [], listSources.peer);
-				this.ask(hostId, {
-					wantsDeployment: message.deploymentVersion > board.version && this.deploymentPace.mayAsk(nowMs),
-					wantsServers: this.lacks(message.listRevision) && this.serversPace.mayAsk(nowMs),
+				this.sendRequest(hostId, {
+					wantsDeployment: message.deploymentVersion > tracker.version && this.deploymentPacer.maySend(nowMs),
+					wantsServers: this.shouldRequestList(message.listRevision) && this.serversPacer.maySend(nowMs),
 				});
 
 				break;
 			}
 
 			case 'stateRequest': {
-				const deployment = message.wantsDeployment ? this.replies.deployment(message.haveVersion) : undefined;
+				const deployment = message.wantsDeployment ? this.replyCache.deployment(message.haveVersion) : undefined;
 				mesh.send(hostId, {
 					type: 'stateReply',
 					...(deployment && {deployment}),
-					...(message.wantsServers && {servers: this.replies.servers()}),
+					...(message.wantsServers && {servers: this.replyCache.servers()}),
 				});
 
 				break;
 			}
 
 			case 'stateReply': {
-				this.take(hostId, message.deployment, message.servers);
+				this.applyReply(hostId, message.deployment, message.servers);
 
 				break;
 			}
@@ -119,73 +119,73 @@
 	}
 
 	/** Whether a peer's list is newer and is not expected from this host's own reading. */
-	private lacks(listRevision: number): boolean {
-		const {registry, isListAway, clock} = this.options;
+	private shouldRequestList(listRevision: number): boolean {
+		const {registry, isListUnavailable: isListUnavailable, clock} = this.options;
 		if (listRevision <= registry.revision) {
 			return false;
 		}
 
 		const nowMs = clock.nowMs();
-		if (!this.lacked || this.lacked.revision <= registry.revision) {
-			this.lacked = {revision: listRevision, sinceMs: nowMs};
+		if (!this.firstMissing || this.firstMissing.revision <= registry.revision) {
+			this.firstMissing = {revision: listRevision, sinceMs: nowMs};
 		}
 
-		return isListAway() || nowMs - this.lacked.sinceMs >= behindMs;
+		return isListUnavailable() || nowMs - this.firstMissing.sinceMs >= maxBehindMs;
 	}
 
-	private ask(hostId: string, wants: {readonly wantsDeployment: boolean; readonly wantsServers: boolean}): void {
-		const {mesh, board, clock} = this.options;
-		if ((!wants.wantsDeployment && !wants.wantsServers) || !mesh.send(hostId, {type: 'stateRequest', ...wants, haveVersion: board.version})) {
+	private sendRequest(hostId: string, wants: {readonly wantsDeployment: boolean; readonly wantsServers: boolean}): void {
+		const {mesh, tracker: tracker, clock} = this.options;
+		if ((!wants.wantsDeployment && !wants.wantsServers) || !mesh.send(hostId, {type: 'stateRequest', ...wants, haveVersion: tracker.version})) {
 			return;
 		}
 
 		const nowMs = clock.nowMs();
 		if (wants.wantsDeployment) {
-			this.deploymentPace.ask(hostId, nowMs);
+			this.deploymentPacer.recordRequest(hostId, nowMs);
 		}
 
 		if (wants.wantsServers) {
-			this.serversPace.ask(hostId, nowMs);
+			this.serversPacer.recordRequest(hostId, nowMs);
 		}
 	}
 
-	private take(hostId: string, deployment: PackedDeployment | undefined, servers: Uint8Array | undefined): void {
+	private applyReply(hostId: string, deployment: PackedDeployment | undefined, servers: Uint8Array | undefined): void {
 		try {
 			if (deployment !== undefined) {
-				this.takeDeployment(hostId, deployment);
+				this.applyDeployment(hostId, deployment);
 			}
 
 			if (servers !== undefined) {
-				this.takeServers(hostId, servers);
+				this.applyServers(hostId, servers);
 			}
 		} catch (error) {
 			this.options.log.error('A peer sent a state that can\'t be parsed; the state is ignored.', {peer: hostId, reason: messageOf(error)});
 		}
 	}
 
-	private takeDeployment(hostId: string, {baseVersion, version, patch}: PackedDeployment): void {
-		const {board, clock, log} = this.options;
-		const tookMs = this.deploymentPace.answered(hostId, clock.nowMs());
-		const isNews = version > board.version;
+	private applyDeployment(hostId: string, {baseVersion, version, patch}: PackedDeployment): void {
+		const {tracker: tracker, clock, log} = this.options;
+		const tookMs = this.deploymentPacer.recordReply(hostId, clock.nowMs());
+		const isNew = version > tracker.version;
 		log.info('Received the declaration from a peer.', {
-			peer: hostId, version, baseVersion, sizeBytes: patch.byteLength, isNews, ...(tookMs !== undefined && {tookMs: Math.round(tookMs)}),
+			peer: hostId, version, baseVersion, sizeBytes: patch.byteLength, isNews: isNew, ...(tookMs !== undefined && {tookMs: Math.round(tookMs)}),
 		});
 		// Late replies from peers that were asked before are not decompressed, so they cost nothing more.
-		if (!isNews) {
+		if (!isNew) {
 			return;
 		}
 
-		const made = applyDeploymentPatch(board.current?.deployment, deploymentPatchSchema.parse(unpackJson(patch)));
-		if (made.ok) {
-			board.offer(made.value, 'peer');
+		const result = applyDeploymentPatch(tracker.current?.deployment, deploymentPatchSchema.parse(unpackJson(patch)));
+		if (result.ok) {
+			tracker.offer(result.value, 'peer');
 		} else {
-			log.warn('A declaration patch from a peer does not apply to the version on this host; the declaration will be requested again.', {peer: hostId, reason: made.error.message});
+			log.warn('A declaration patch from a peer does not apply to the version on this host; the declaration will be requested again.', {peer: hostId, reason: result.error.message});
 		}
 	}
 
-	private takeServers(hostId: string, servers: Uint8Array): void {
+	private applyServers(hostId: string, servers: Uint8Array): void {
 		const {registry, clock, log} = this.options;
-		this.serversPace.answered(hostId, clock.nowMs());
+		this.serversPacer.recordReply(hostId, clock.nowMs());
 		const {list, unreadableCount} = readToldServers(unpackJson(servers));
 		if (unreadableCount > 0) {
 			log.error('A peer reported servers that can\'t be parsed; the others are used.', {peer: hostId, revision: list.revision, count: unreadableCount});
--- a/src/peers/node/state-replies.ts
+++ b/src/peers/node/state-reply-cache.ts
@@ -6,22 +6,22 @@
 import {packJson} from './packed-json.js';
 
 /** Caches the replies until the state in force changes. */
-export class StateReplies implements Disposable {
-	static create(board: DeploymentBoard, registry: ServerRegistry): StateReplies {
-		return new StateReplies(board, registry);
+export class StateReplyCache implements Disposable {
+	static create(tracker: DeploymentBoard, registry: ServerRegistry): StateReplyCache {
+		return new StateReplyCache(tracker, registry);
 	}
 
 	private readonly owned = DisposableStore.create();
 	/** By the version that the requesting peer has. */
 	private readonly patches = new Map<number, PackedDeployment>();
-	private list: {readonly revision: number; readonly packed: Uint8Array} | undefined;
+	private packedList: {readonly revision: number; readonly packed: Uint8Array} | undefined;
 
-	private constructor(private readonly board: DeploymentBoard, private readonly registry: ServerRegistry) {
-		this.owned.add(board.onDidChange(() => {
+	private constructor(private readonly tracker: DeploymentBoard, private readonly registry: ServerRegistry) {
+		this.owned.add(tracker.onDidChange(() => {
 			this.patches.clear();
 		}));
 		this.owned.add(registry.onDidChange(() => {
-			this.list = undefined;
+			this.packedList = undefined;
 		}));
 	}
 
@@ -31,12 +31,12 @@
 	@returns the compressed patch; `undefined` if no declaration is in force on this host.
 	*/
 	deployment(version: number): PackedDeployment | undefined {
-		const known = this.patches.get(version);
-		if (known) {
-			return known;
+		const cached = this.patches.get(version);
+		if (cached) {
+			return cached;
 		}
 
-		const patch = this.board.patchFrom(version);
+		const patch = this.tracker.patchFrom(version);
 		if (!patch) {
 			return undefined;
 		}
@@ -49,11 +49,11 @@
 	/** @returns all listed servers as compressed JSON: 200 servers take 40 KB as text and 5 KB compressed. */
 	servers(): Uint8Array {
 		const {revision} = this.registry;
-		if (this.list?.revision !== revision) {
-			this.list = {revision, packed: packJson(this.registry.snapshot())};
+		if (this.packedList?.revision !== revision) {
+			this.packedList = {revision, packed: packJson(this.registry.snapshot())};
 		}
 
-		return this.list.packed;
+		return this.packedList.packed;
 	}
 
 	dispose(): void {
--- a/src/routing/common/send-share.test.ts
+++ b/src/routing/common/send-share.test.ts
@@ -6,7 +6,7 @@
 */
 import fc from 'fast-check';
 import t from 'tap';
-import {FleetMemory} from '../../peers/common/fleet-memory.js';
+import {FleetTracker} from '../../peers/common/fleet-tracker.js';
 import {
 	boundOfCold, boundOfLimit, perSecondOf, type RateBound,
 } from './rate-bound.js';
@@ -24,7 +24,7 @@
 const stepMs = 50;
 const gossipMs = 100;
 
-type Host = {readonly name: string; readonly hall: number; memory: FleetMemory; share: SendShare; upAtMs: number};
+type Host = {readonly name: string; readonly hall: number; memory: FleetTracker; share: SendShare; upAtMs: number};
 
 /** Hosts that are cut off for a time: from all others, or only their hall from the other halls. */
 type Cut = {readonly atMs: number; readonly forMs: number; readonly hall: number; readonly isAlone: boolean};
@@ -88,7 +88,7 @@
 
 	private makeHost(index: number, upAtMs: number): Host {
 		const name = `10.0.0.${index}:1`;
-		const memory = FleetMemory.create(name, upAtMs);
+		const memory = FleetTracker.create(name, upAtMs);
 		const seeds = Array.from({length: hallCount}, (_, hall) => `10.0.0.${hall}:1`);
 		return {
 			name, hall: index % hallCount, memory, share: SendShare.create(nowMs => memory.view(seeds, nowMs)), upAtMs,
@@ -100,7 +100,7 @@
 		const met = new Map(up.map(host => [host, up.filter(other => other !== host && this.isMet(host, other)).map(({name}) => name)]));
 		for (const host of up) {
 			for (const other of up.filter(each => met.get(host)!.includes(each.name))) {
-				host.memory.seen([other.name, ...met.get(other)!], this.nowMs);
+				host.memory.recordSeen([other.name, ...met.get(other)!], this.nowMs);
 			}
 		}
 	}
--- a/src/routing/common/sleep.test.ts
+++ b/src/routing/common/sleep.test.ts
@@ -11,7 +11,7 @@
 import {ServerLimits} from '../../deployment/common/server-limits.js';
 import {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {FirstTries} from '../../direct/common/first-tries.js';
-import {FleetMemory} from '../../peers/common/fleet-memory.js';
+import {FleetTracker} from '../../peers/common/fleet-tracker.js';
 import {EndRecord} from '../../quarantine/common/end-record.js';
 import {boundOfCold} from './rate-bound.js';
 import {directWork, SendBounds} from './send-bounds.js';
@@ -82,8 +82,8 @@
 
 t.test('hosts that were met are remembered through a sleep, and forgotten after a very long one', async t => {
 	const clock = ManualClock.create();
-	const memory = FleetMemory.create('10.0.0.1:1', clock.nowMs());
-	memory.seen(['10.0.0.2:1'], clock.nowMs());
+	const memory = FleetTracker.create('10.0.0.1:1', clock.nowMs());
+	memory.recordSeen(['10.0.0.2:1'], clock.nowMs());
 	clock.sleep(60_000);
 	t.same(memory.view([], clock.nowMs()).hosts, ['10.0.0.1:1', '10.0.0.2:1']);
 	clock.sleep(600_000);
--- a/test/request-world.ts
+++ b/test/request-world.ts
@@ -328,7 +328,7 @@
 		for (const link of this.links) {
 			const {entry, upstream} = link;
 			if (link.isUp && !upstream.isPaused) {
-				entry.members.heard(upstream.upstreamId, undefined, this.nowMs);
+				entry.members.received(upstream.upstreamId, undefined, this.nowMs);
 			} else if (link.isUp && this.nowMs - upstream.pausedMs > silenceMs) {
 				link.disconnect(true, this.nowMs);
 			}
--- a/test/world-entry.ts
+++ b/test/world-entry.ts
@@ -102,7 +102,7 @@
 	/** Takes a message from an upstream's agent. */
 	receive(message: Message, upstreamId: string): void {
 		if (message.type === 'report') {
-			this.members.heard(upstreamId, message.state, this.nowMs);
+			this.members.received(upstreamId, message.state, this.nowMs);
 		} else if (message.type === 'refused' || message.type === 'started' || message.type === 'chunk' || message.type === 'end') {
 			const live = [...this.live.values()].find(({machine}) => machine.dispatchIds.includes(message.dispatchId));
 			if (live) {
