--- a/src/peers/node/declaration-propagation.test.ts
+++ b/src/peers/node/declaration-propagation.test.ts
@@ -178,21 +178,21 @@
 
 /** Lets all readers learn of a version from the store at once. */
 function declare(network: Network, deployment: Deployment): void {
-	for (const {tracker: tracker} of network.hosts.slice(0, readerCount)) {
+	for (const {tracker} of network.hosts.slice(0, readerCount)) {
 		tracker.offer(structuredClone(deployment), 'store');
 	}
 }
 
 /** Returns how many hosts have each version in force, as `version x hosts`. */
 function versionsInForce({hosts}: Network): string {
-	const versions = [...new Set(hosts.map(({tracker: tracker}) => tracker.version))].toSorted((left, right) => left - right);
-	return versions.map(version => `${version} x ${hosts.filter(({tracker: tracker}) => tracker.version === version).length}`).join(', ');
+	const versions = [...new Set(hosts.map(({tracker}) => tracker.version))].toSorted((left, right) => left - right);
+	return versions.map(version => `${version} x ${hosts.filter(({tracker}) => tracker.version === version).length}`).join(', ');
 }
 
 t.test('a large declaration and the small change after it are in force on hosts with slow links within half of the time limit', async t => {
 	const network = Network.create();
 	const routes = Array.from({length: 2850}, makeRoute);
-	for (const {tracker: tracker} of network.hosts) {
+	for (const {tracker} of network.hosts) {
 		tracker.offer(makeDeployment(14, routes, 15_000), 'store');
 	}
 
--- a/src/peers/node/peer-dialer.ts
+++ b/src/peers/node/peer-dialer.ts
@@ -122,7 +122,7 @@
 			return;
 		}
 
-		const {wire, clock, onConnected: onConnected} = this.options;
+		const {wire, clock, onConnected} = this.options;
 		const client = WireClient.create(parsed, wire);
 		const dial: Dial = {
 			client, lastOpenMs: clock.nowMs(), isOpen: false,
--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -126,7 +126,7 @@
 	get storeAgesMs(): ReadonlyMap<string, number> {
 		const nowMs = this.options.clock.nowMs();
 		return new Map(this.liveHosts.flatMap(hostId => {
-			const {lastHeartbeat: lastHeartbeat, lastHeartbeatMs: lastHeartbeatMs} = this.peers.get(hostId)!;
+			const {lastHeartbeat, lastHeartbeatMs} = this.peers.get(hostId)!;
 			return lastHeartbeat?.storeAgeMs === undefined ? [] : [[hostId, lastHeartbeat.storeAgeMs + nowMs - lastHeartbeatMs]];
 		}));
 	}
@@ -233,20 +233,20 @@
 		};
 	}
 
-	private heartbeatIntervalOf({lastHeartbeat: lastHeartbeat}: Peer, capacity: number): number {
+	private heartbeatIntervalOf({lastHeartbeat}: Peer, capacity: number): number {
 		return lastHeartbeat?.room === undefined ? defaultHeartbeatIntervalMs : heartbeatIntervalMs([capacity, lastHeartbeat.room], Math.max(capacity, this.maxPeerCapacity));
 	}
 
 	/** Returns the endpoints of the connected peers. */
 	private knownEndpoints(): ReadonlySet<string> {
 		// Malformed addresses are not forwarded.
-		this.cachedEndpoints ??= new Set([...this.peers.values()].flatMap(({lastHeartbeat: lastHeartbeat}) => lastHeartbeat && parseEndpoint(lastHeartbeat.endpoint) ? [lastHeartbeat.endpoint] : []));
+		this.cachedEndpoints ??= new Set([...this.peers.values()].flatMap(({lastHeartbeat}) => lastHeartbeat && parseEndpoint(lastHeartbeat.endpoint) ? [lastHeartbeat.endpoint] : []));
 		return this.cachedEndpoints;
 	}
 
 	/** Tries the newest connection first: either the peer opened it because an older one is dead, or it works as well as the others. */
-	private sendFrame({connections: connections}: Peer, frame: Uint8Array): boolean {
-		for (const {connection, heartbeatSchedule: heartbeatSchedule} of [...connections].toReversed()) {
+	private sendFrame({connections}: Peer, frame: Uint8Array): boolean {
+		for (const {connection, heartbeatSchedule} of [...connections].toReversed()) {
 			if (connection.sendFrame(frame)) {
 				heartbeatSchedule.recordSend(this.options.clock.nowMs());
 				return true;
@@ -315,7 +315,7 @@
 	*/
 	private updateDerivedState(): void {
 		this.cachedEndpoints = undefined;
-		this.maxPeerCapacity = Math.max(0, ...[...this.peers.values()].map(({lastHeartbeat: lastHeartbeat}) => lastHeartbeat?.room ?? 0));
+		this.maxPeerCapacity = Math.max(0, ...[...this.peers.values()].map(({lastHeartbeat}) => lastHeartbeat?.room ?? 0));
 	}
 
 	private handleMessage(peer: Peer, message: Message): void {
--- a/src/peers/node/reader-election.ts
+++ b/src/peers/node/reader-election.ts
@@ -102,7 +102,7 @@
 
 	/** Whether this host is among those that read for all; every host that sees the same peers elects the same readers. */
 	private get isReader(): boolean {
-		const {hostId, capacity: capacity, mesh} = this.options;
+		const {hostId, capacity, mesh} = this.options;
 		const capacities = new Map([...mesh.liveRooms, [hostId, capacity]]);
 		return rendezvousOrder(readerElectionKey, roomiestHosts(capacities), host => host).slice(0, readerCount).includes(hostId);
 	}
--- a/src/peers/node/state-exchange.test.ts
+++ b/src/peers/node/state-exchange.test.ts
@@ -64,7 +64,7 @@
 }
 
 t.test('an update that all peers announce at once is requested from one, and from another if that one does not reply', async t => {
-	const {clock, asked, sendHeartbeat: sendHeartbeat, sendReply: sendReply} = makeExchange(true);
+	const {clock, asked, sendHeartbeat, sendReply} = makeExchange(true);
 	clock.advance(1000);
 	sendHeartbeat('gone', 5, 0);
 	sendHeartbeat('a', 5, 0);
@@ -86,7 +86,7 @@
 interrupted requested the list from its peers.
 */
 t.test('a host that stays behind its peers requests their list, also while its own reading seems healthy', async t => {
-	const {clock, asked, registry, sendHeartbeat: sendHeartbeat, sendReply: sendReply} = makeExchange(false);
+	const {clock, asked, registry, sendHeartbeat, sendReply} = makeExchange(false);
 	clock.advance(1000);
 	sendHeartbeat('a', 0, 9);
 	clock.advance(200);
@@ -109,7 +109,7 @@
 twice a second take 5 MB a second.
 */
 t.test('a list of 200 servers is sent in less than 7 KB, built once for all hosts that request it', async t => {
-	const {registry, sent, sendRequest: sendRequest} = makeExchange(false);
+	const {registry, sent, sendRequest} = makeExchange(false);
 	const servers = Array.from({length: 200}, (_, index) => ({
 		serverId: `i-${hashText(`server ${index}`).toString(16)}@${1_767_225_600_000 + index}`, instanceId: `i-${hashText(`server ${index}`).toString(16)}`,
 		startedMs: 1_767_225_600_000 + index, pool: `pool-${index % 5}`, address: `10.1.64.${index}`, port: 8080, hall: `hall-${index % 3}`, slots: 64, isLeaving: false, revision: index,
--- a/src/peers/node/state-exchange.ts
+++ b/src/peers/node/state-exchange.ts
@@ -52,7 +52,7 @@
 	private firstMissing: {readonly revision: number; readonly sinceMs: number} | undefined;
 
 	private constructor(private readonly options: StateExchangeOptions) {
-		const {mesh, tracker: tracker, registry, drains} = options;
+		const {mesh, tracker, registry, drains} = options;
 		this.replyCache = this.owned.add(StateReplyCache.create(tracker, registry));
 		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
 			this.handleMessage(hostId, message);
@@ -75,7 +75,7 @@
 
 	/** Schedules a notification of peers: those that do not read the store learn of servers from those that do. */
 	private scheduleAnnouncement(): void {
-		const {clock, mesh, isListUnavailable: isListUnavailable} = this.options;
+		const {clock, mesh, isListUnavailable} = this.options;
 		if (!isListUnavailable()) {
 			this.collectTimer ??= clock.setTimer(collectMs, () => {
 				this.collectTimer = undefined;
@@ -85,7 +85,7 @@
 	}
 
 	private handleMessage(hostId: string, message: Message): void {
-		const {mesh, tracker: tracker, drains, clock} = this.options;
+		const {mesh, tracker, drains, clock} = this.options;
 		switch (message.type) {
 			case 'peerBeat': {
 				const nowMs = clock.nowMs();
@@ -120,7 +120,7 @@
 
 	/** Whether a peer's list is newer and is not expected from this host's own reading. */
 	private shouldRequestList(listRevision: number): boolean {
-		const {registry, isListUnavailable: isListUnavailable, clock} = this.options;
+		const {registry, isListUnavailable, clock} = this.options;
 		if (listRevision <= registry.revision) {
 			return false;
 		}
@@ -134,7 +134,7 @@
 	}
 
 	private sendRequest(hostId: string, wants: {readonly wantsDeployment: boolean; readonly wantsServers: boolean}): void {
-		const {mesh, tracker: tracker, clock} = this.options;
+		const {mesh, tracker, clock} = this.options;
 		if ((!wants.wantsDeployment && !wants.wantsServers) || !mesh.send(hostId, {type: 'stateRequest', ...wants, haveVersion: tracker.version})) {
 			return;
 		}
@@ -164,7 +164,7 @@
 	}
 
 	private applyDeployment(hostId: string, {baseVersion, version, patch}: PackedDeployment): void {
-		const {tracker: tracker, clock, log} = this.options;
+		const {tracker, clock, log} = this.options;
 		const tookMs = this.deploymentPacer.recordReply(hostId, clock.nowMs());
 		const isNew = version > tracker.version;
 		log.info('Received the declaration from a peer.', {
