--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -195,7 +195,7 @@
 			}
 		}
 
-		this.sendHeartbeats((way, state, intervalMs) => way.heartbeatSchedule.isNeeded(state, intervalMs, nowMs));
+		this.sendHeartbeats((peerConnection, state, intervalMs) => peerConnection.heartbeatSchedule.isNeeded(state, intervalMs, nowMs));
 		this.dialer.dialDue();
 		this.dialer.forgetUnreachable(nowMs);
 	}
