--- a/src/entry/node/fleet-links.ts
+++ b/src/entry/node/fleet-links.ts
@@ -124,7 +124,7 @@
 		const assigned = agentsForEntry(hosts.value, this.options.wire.identity.hostId);
 		const assignedIds = new Set(assigned.map(host => host.hostId));
 		for (const host of assigned) {
-			this.options.members.listed(host.hostId, host.state);
+			this.options.members.applyListedState(host.hostId, host.state);
 			this.ensureLink(host);
 		}
 
@@ -257,7 +257,7 @@
 
 			case 'pong':
 			case 'report': {
-				members.heard(upstreamId, message.state, nowMs);
+				members.received(upstreamId, message.state, nowMs);
 				router.observeLoad(upstreamId, message.load, nowMs);
 				break;
 			}
@@ -268,7 +268,7 @@
 			}
 
 			default: {
-				members.heard(upstreamId, undefined, nowMs);
+				members.received(upstreamId, undefined, nowMs);
 				if ('load' in message) {
 					router.observeLoad(upstreamId, message.load, nowMs);
 				}
@@ -292,7 +292,7 @@
 	private applySettings(): void {
 		const {tree} = this.options.settings;
 		const pools = tree.paths.filter(path => path.startsWith('/pools/')).map(path => path.slice('/pools/'.length));
-		this.options.members.drainedBySettings(pools.flatMap(pool => tree.pool(pool)?.leavingUpstreams ?? []));
+		this.options.members.setDrained(pools.flatMap(pool => tree.pool(pool)?.leavingUpstreams ?? []));
 	}
 
 	private get revision(): number {
--- a/src/peers/common/dial-plan.test.ts
+++ b/src/peers/common/dial-plan.test.ts
@@ -1,19 +1,19 @@
 /**
-Pattern: all hosts of a fleet start at once, as after a loss of power, and find each other through three seeds. What a
-start costs grows with the connections each host makes, when its processor is needed most.
+All hosts of a fleet start at once, as after a power failure, and discover each other through three seeds. The cost of a
+start grows with the number of connections that each host makes, at the time when its processor is needed most.
 */
 import t from 'tap';
 import {DialPlan} from './dial-plan.js';
 
-/** Time between the rounds in which hosts tell each other addresses. */
+/** Time between the rounds in which hosts report addresses to each other. */
 const roundMs = 500;
 
-/** Hosts that dial and tell addresses in rounds; a dial is answered within its round. */
+/** Hosts that dial and report addresses in rounds; a dial is answered within its round. */
 class Fleet {
 	readonly endpoints: readonly string[];
 	dials = 0;
-	/** Hosts each host is connected to. */
-	readonly met = new Map<string, Set<string>>();
+	/** The hosts that each host is connected to. */
+	readonly connectedTo = new Map<string, Set<string>>();
 	private readonly plans = new Map<string, DialPlan>();
 	private nowMs = 0;
 
@@ -24,8 +24,8 @@
 		}
 	}
 
-	get isWhole(): boolean {
-		return this.endpoints.every(endpoint => this.met.get(endpoint)!.size === this.endpoints.length - 1);
+	get isFullyConnected(): boolean {
+		return this.endpoints.every(endpoint => this.connectedTo.get(endpoint)!.size === this.endpoints.length - 1);
 	}
 
 	start(endpoint: string): void {
@@ -35,27 +35,27 @@
 		}
 
 		this.plans.set(endpoint, plan);
-		for (const others of this.met.values()) {
+		for (const others of this.connectedTo.values()) {
 			others.delete(endpoint);
 		}
 
-		this.met.set(endpoint, new Set());
+		this.connectedTo.set(endpoint, new Set());
 	}
 
-	round(): void {
+	runRound(): void {
 		for (const [endpoint, plan] of this.plans) {
-			const met = this.met.get(endpoint)!;
-			for (const other of plan.due(each => met.has(each), this.nowMs)) {
+			const connected = this.connectedTo.get(endpoint)!;
+			for (const other of plan.due(each => connected.has(each), this.nowMs)) {
 				this.dials++;
-				met.add(other);
-				this.met.get(other)!.add(endpoint);
+				connected.add(other);
+				this.connectedTo.get(other)!.add(endpoint);
 			}
 		}
 
-		for (const [endpoint, met] of this.met) {
-			for (const other of met) {
-				for (const told of met) {
-					this.plans.get(other)!.add(told, false, this.nowMs);
+		for (const [endpoint, connected] of this.connectedTo) {
+			for (const other of connected) {
+				for (const reported of connected) {
+					this.plans.get(other)!.add(reported, false, this.nowMs);
 				}
 
 				this.plans.get(other)!.add(endpoint, false, this.nowMs);
@@ -67,26 +67,26 @@
 }
 
 for (const count of [8, 68, 370]) {
-	t.test(`${count} hosts that start at once meet in two rounds, with one connection a pair`, async t => {
+	t.test(`${count} hosts that start at once are all connected after two rounds, with one connection per pair`, async t => {
 		const fleet = new Fleet(count);
-		fleet.round();
-		fleet.round();
-		t.ok(fleet.isWhole);
+		fleet.runRound();
+		fleet.runRound();
+		t.ok(fleet.isFullyConnected);
 		t.equal(fleet.dials, count * (count - 1) / 2);
 	});
 }
 
-t.test('a host that starts anew meets all again, whichever side dials first', async t => {
+t.test('a restarted host is connected to all others again, whichever side dials first', async t => {
 	const fleet = new Fleet(12);
-	fleet.round();
-	fleet.round();
+	fleet.runRound();
+	fleet.runRound();
 	fleet.start(fleet.endpoints[7]);
-	fleet.round();
-	fleet.round();
-	t.ok(fleet.isWhole);
+	fleet.runRound();
+	fleet.runRound();
+	t.ok(fleet.isFullyConnected);
 });
 
-t.test('where the first of a pair does not dial, the other does after a while', async t => {
+t.test('if the first of a pair does not dial, the other does after a delay', async t => {
 	const names = ['10.0.0.1:1', '10.0.0.2:1'];
 	const [first, second] = names.toSorted((left, right) => dueAtOnce(right, left).length - dueAtOnce(left, right).length);
 	t.same(dueAtOnce(first, second), [second]);
@@ -97,7 +97,7 @@
 	t.same(plan.due(() => false, 1500), [first]);
 });
 
-t.test('an address that is lost after it was met is given the same while again', async t => {
+t.test('the same delay applies again to an address whose host was connected and is lost', async t => {
 	const names = ['10.0.0.1:1', '10.0.0.2:1'];
 	const second = names.find(name => dueAtOnce(name, names.find(other => other !== name)!).length === 0)!;
 	const first = names.find(name => name !== second)!;
@@ -108,7 +108,7 @@
 	t.same(plan.due(() => false, 61_500), [first]);
 });
 
-t.test('an address that peers told of becomes a seed when the settings name it', async t => {
+t.test('an address that peers reported becomes a seed when the settings name it', async t => {
 	const plan = DialPlan.create('10.0.0.1:1');
 	const others = ['10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1', '10.0.0.5:1'];
 	for (const other of others) {
@@ -119,31 +119,31 @@
 		t.ok(plan.isSeed(other));
 	}
 
-	t.same(plan.due(() => false, 20), others, 'seeds are dialled at once');
+	t.same(plan.due(() => false, 20), others, 'seeds are dialed at once');
 });
 
-/** What a host dials that was just told of another. */
-function dueAtOnce(own: string, other: string): string[] {
-	const plan = DialPlan.create(own);
+/** Returns what a host dials as soon as another host is reported to it. */
+function dueAtOnce(ownEndpoint: string, other: string): string[] {
+	const plan = DialPlan.create(ownEndpoint);
 	plan.add(other, false, 0);
 	return plan.due(() => false, 0);
 }
 
 /*
-Pattern: all hosts start at once and each tells all others whom it has met, several times until all have met. Figures: 31 hosts, 30
-tellings of 30 addresses each; each look for addresses to dial goes through all that are known.
+All hosts start at once, and each reports to all others the hosts that it is connected to, several times until all are connected. With 31
+hosts that makes 30 reports of 30 addresses each, and each search for addresses to dial goes through all known ones.
 */
-t.test('addresses that are told again are no news: a start looks for addresses to dial as often as one is new', async t => {
+t.test('addresses that are reported again are not new: a start searches for addresses to dial only as often as one is new', async t => {
 	const hostCount = 31;
 	const addresses = Array.from({length: hostCount}, (_, index) => `10.0.0.${index}:1`);
 	const plan = DialPlan.create(addresses[0]);
-	let looks = 0;
-	for (let told = 1; told < hostCount; told++) {
-		const news = addresses.filter(address => plan.add(address, false, told));
-		looks += news.length > 0 ? 1 : 0;
+	let searches = 0;
+	for (let report = 1; report < hostCount; report++) {
+		const newAddresses = addresses.filter(address => plan.add(address, false, report));
+		searches += newAddresses.length > 0 ? 1 : 0;
 	}
 
-	t.equal(looks, 1);
-	t.equal(plan.add(addresses[5], true, 50), true, 'that it is a seed is news');
-	t.equal(plan.add(addresses[0], true, 50), false, 'its own is none');
+	t.equal(searches, 1);
+	t.equal(plan.add(addresses[5], true, 50), true, 'an address that becomes a seed is new');
+	t.equal(plan.add(addresses[0], true, 50), false, 'the own address is never new');
 });
--- /dev/null
+++ b/src/peers/common/fleet-tracker.ts
@@ -0,0 +1,78 @@
+/**
+Tracks which hosts a deployment has, as known to one host: those it has been connected to, and those that they have been connected to. A
+host behind a network partition keeps the others, since what all hosts share does not become its own just because it sees no other host.
+*/
+
+import {parseEndpoint} from '../../wire/common/endpoint.js';
+import type {FleetView} from '../../routing/common/fleet-view.js';
+
+/** A host that nobody has seen for this long is forgotten: longer than any partition that is tolerated, shorter than a machine is missing. */
+const hostRetentionMs = 600_000;
+/** A host that has started knows all others this long after it connected to the first, even if all start at once. */
+const discoveryMs = 2000;
+/**
+A host to which a seed was not reported yet may be partitioned from part of the deployment. After this long the seed is assumed to be gone:
+tolerated partitions are shorter, and a seed may be named by outdated settings.
+*/
+const missingSeedTimeoutMs = 30_000;
+
+/** Tracks the hosts by the endpoints where they listen for their peers. */
+export class FleetTracker {
+	/**
+	Creates a tracker that knows no other host.
+	@param ownEndpoint - where this host listens.
+	@param nowMs - the current time.
+	*/
+	static create(ownEndpoint: string, nowMs: number): FleetTracker {
+		return new FleetTracker(ownEndpoint, nowMs);
+	}
+
+	private readonly lastSeenMs = new Map<string, number>();
+	/** All hosts in sorted order; cleared when another host is added or forgotten. */
+	private sortedHosts: readonly string[] | undefined;
+	/** When another host was first recorded. */
+	private firstSeenMs: number | undefined;
+
+	private constructor(private readonly ownEndpoint: string, private readonly startMs: number) {}
+
+	/**
+	Records hosts that are connected, or were reported by one that is.
+	@param endpoints - where they listen.
+	@param nowMs - the current time.
+	*/
+	recordSeen(endpoints: Iterable<string>, nowMs: number): void {
+		const {size} = this.lastSeenMs;
+		for (const endpoint of endpoints) {
+			if (endpoint !== this.ownEndpoint && (this.lastSeenMs.has(endpoint) || parseEndpoint(endpoint))) {
+				this.lastSeenMs.set(endpoint, nowMs);
+				this.firstSeenMs ??= nowMs;
+			}
+		}
+
+		if (this.lastSeenMs.size > size) {
+			this.sortedHosts = undefined;
+		}
+	}
+
+	/**
+	Returns the hosts as they are known.
+	@param seeds - where others may listen, according to the settings.
+	@param nowMs - the current time.
+	*/
+	view(seeds: readonly string[], nowMs: number): FleetView {
+		this.forgetUnseen(nowMs);
+		const areSeedsKnown = nowMs - this.startMs >= missingSeedTimeoutMs || seeds.every(seed => seed === this.ownEndpoint || this.lastSeenMs.has(seed));
+		const isSettled = areSeedsKnown && (this.firstSeenMs === undefined || nowMs - this.firstSeenMs >= discoveryMs);
+		this.sortedHosts ??= [this.ownEndpoint, ...this.lastSeenMs.keys()].toSorted();
+		return {own: this.ownEndpoint, hosts: this.sortedHosts, isSettled};
+	}
+
+	private forgetUnseen(nowMs: number): void {
+		for (const [endpoint, seenMs] of this.lastSeenMs) {
+			if (nowMs - seenMs > hostRetentionMs) {
+				this.lastSeenMs.delete(endpoint);
+				this.sortedHosts = undefined;
+			}
+		}
+	}
+}
