--- a/src/routing/common/chooser.ts
+++ b/src/routing/common/chooser.ts
@@ -1,4 +1,4 @@
-/** Choice of an upstream for one attempt: candidates in, one out, no I/O. */
+/** Choice of an upstream for one attempt from a set of candidates, without I/O. */
 import type {Random} from '../../base/common/random.js';
 import type {UpstreamStats} from './upstream-stats.js';
 
@@ -7,18 +7,18 @@
 	readonly upstreamId: string;
 	readonly hall: string;
 	readonly stats: UpstreamStats;
-	/** When it joined; a new one warms up. */
+	/** When it joined; new upstreams go through a warm-up. */
 	readonly joinedMs: number;
 };
 
-/** Upstreams that may be chosen, found by position and by id. */
+/** Upstreams that may be chosen, accessible by index and by id. */
 export type CandidateSet = {
 	readonly list: readonly Candidate[];
 	get(upstreamId: string): Candidate | undefined;
 };
 
 /**
-Makes a set of a list.
+Creates a candidate set from a list.
 @param list - the candidates.
 */
 export function makeCandidateSet(list: readonly Candidate[]): CandidateSet {
@@ -26,39 +26,39 @@
 	return {list, get: upstreamId => byId.get(upstreamId)};
 }
 
-/** What the attempt needs. */
+/** Requirements of the attempt. */
 export type ChoiceNeed = {
-	/** The entry's own hall. */
+	/** The data hall of the entry. */
 	readonly hall: string;
 	readonly model?: string;
 	readonly adapter?: string;
-	/** Hash of the part of the input that requests share; 0 where nothing is shared. */
+	/** Hash of the part of the input that is shared with other requests; 0 if nothing is shared. */
 	readonly prefixHash: number;
-	/** Time the stage usually takes on an upstream. */
+	/** Typical time of the stage on an upstream. */
 	readonly expectedMs: number;
-	/** Calls an upstream runs at once where it does not say. */
+	/** Concurrent calls to assume for an upstream that does not report its slots. */
 	readonly slots: number;
 };
 
-/** A candidate with its score, lower is better, for explaining a choice. */
+/** A candidate with its score (lower is better), kept to explain a choice. */
 export type ScoredCandidate = {readonly candidate: Candidate; readonly scoreMs: number};
 
-/** A choice, with what was weighed. */
+/** A choice and the scores it is based on. */
 export type Choice = {readonly chosen: Candidate; readonly scored: readonly ScoredCandidate[]};
 
-/** Chooses one of several upstreams. */
+/** A strategy that chooses one of several upstreams. */
 export type UpstreamChooser = {
 	/**
-	Chooses.
-	@param candidates - at least one.
-	@param need - what the attempt needs.
-	@param nowMs - the time.
+	Chooses an upstream.
+	@param candidates - the candidates; at least one.
+	@param need - the requirements of the attempt.
+	@param nowMs - the current time.
 	@returns the choice.
 	*/
 	choose(candidates: CandidateSet, need: ChoiceNeed, nowMs: number): Choice;
 };
 
-/** Baseline: any of them. */
+/** Baseline: a random candidate. */
 export class RandomChooser implements UpstreamChooser {
 	static create(random: Random): RandomChooser {
 		return new RandomChooser(random);
@@ -71,7 +71,7 @@
 	}
 }
 
-/** Baseline: each in turn. */
+/** Baseline: the candidates in turn. */
 export class RoundRobinChooser implements UpstreamChooser {
 	static create(): RoundRobinChooser {
 		return new RoundRobinChooser();
@@ -85,7 +85,7 @@
 	}
 }
 
-/** Baseline: the one with the fewest calls of this entry. */
+/** Baseline: the candidate with the fewest calls in flight from this entry. */
 export class LeastInFlightChooser implements UpstreamChooser {
 	static create(random: Random): LeastInFlightChooser {
 		return new LeastInFlightChooser(random);
--- a/src/routing/common/decayed-histogram.ts
+++ b/src/routing/common/decayed-histogram.ts
@@ -1,8 +1,8 @@
-/** Streaming quantiles that forget: logarithmic buckets whose counts decay. */
+/** Streaming quantiles of recent samples, kept in logarithmic buckets whose counts decay. */
 
 const bucketsPerDoubling = 4;
 const bucketCount = 80;
-/** Counts are halved when they reach this, so the recent past weighs most. */
+/** All counts are halved when their sum reaches this value, so that recent samples weigh most. */
 const halveAt = 400;
 
 /** A histogram of durations from below a millisecond to about a quarter of an hour. */
@@ -14,14 +14,14 @@
 	private readonly counts = new Float64Array(bucketCount);
 	private total = 0;
 
-	/** Samples that still weigh. */
+	/** Total weight of the samples after decay. */
 	get weight(): number {
 		return this.total;
 	}
 
 	/**
 	Adds a sample.
-	@param valueMs - a duration.
+	@param valueMs - the duration in milliseconds.
 	*/
 	record(valueMs: number): void {
 		this.counts[bucketOf(valueMs)]++;
@@ -32,9 +32,9 @@
 	}
 
 	/**
-	Gives the duration below which a share of the samples lies.
-	@param share - in [0, 1].
-	@returns the duration in milliseconds, or nothing where there are no samples.
+	Estimates the duration below which a fraction of the samples lies.
+	@param share - the fraction, in [0, 1].
+	@returns the duration in milliseconds, or undefined if there are no samples.
 	*/
 	quantile(share: number): number | undefined {
 		if (this.total === 0) {
--- a/src/routing/common/engine-loads.ts
+++ b/src/routing/common/engine-loads.ts
@@ -1,26 +1,26 @@
 /**
-What each model engine has still to read and which parts of prompts it keeps, as far as sends tell: this
-host's own and those that peers tell of. An estimate that runs down by itself; nothing is asked of the engines.
+Estimates the pending prefill work of each model engine and the prompt parts in its cache. The estimates are based on
+the sends of this host and those that peers report, and decline with time; the engines are not queried.
 */
 import {hashText} from '../../base/common/hash.js';
 
-/** A part of a prompt; its key covers the parts before it, since a part is kept only behind the same ones. */
+/** A part of a prompt. Its key also covers the preceding parts, since a cached part can only be used after the same parts. */
 export type PromptPart = {readonly key: number; readonly tokens: number};
 
 /**
-How often the time of reading a shared part again counts besides the reading itself: it holds up what is read
-after it, and takes memory from parts that others share. The weight has not been measured by itself.
+Weight of the time for recomputing a part that another engine has cached, in addition to the prefill time itself:
+recomputing delays the prompts queued behind it, and takes memory from other shared parts.
 */
 const rereadFactor = 1.8;
-/** After this long a part counts as kept only by luck, and reading it again is not priced any more. */
+/** Time since its last use after which a part probably is no longer cached; recomputing it then has no extra cost. */
 const keptMs = 60_000;
 const mostParts = 30_000;
-/** Between engines that are alike, all hosts take the same one for a new part: each further place in the order that they share costs this. */
+/** Penalty per position in the engine order that all hosts share, so that all hosts choose the same one of equivalent engines for a new part. */
 const orderStepMs = 3;
 
 /**
-Makes the parts of a prompt.
-@param parts - names and sizes, in order.
+Creates the parts of a prompt with their keys.
+@param parts - the names and sizes of the parts, in order.
 */
 export function makePrompt(parts: ReadonlyArray<{readonly id: string; readonly tokens: number}>): PromptPart[] {
 	let key = 0;
@@ -30,60 +30,60 @@
 	});
 }
 
-/** How fast an engine reads. */
+/** Prefill speed of an engine. */
 export type EngineSpeed = {
-	/** Time a token takes on an engine of usual speed; 0 where it is not known yet. */
+	/** Prefill time per token on an engine of typical speed; 0 if not known yet. */
 	readonly msPerToken: number;
-	/** Of this engine; 1 is usual. */
+	/** Slowness of this engine; 1 is typical. */
 	readonly slowness: number;
 };
 
-/** What a choice needs to know of engines. */
+/** Properties of engines that a choice depends on. */
 export type EngineTraits<T> = {
-	/** Tells how fast an engine is. */
+	/** Returns the speed of an engine. */
 	readonly speedOf: (server: T) => EngineSpeed;
-	/** Tells what taking an engine costs besides, as for bytes that cross to its hall. */
+	/** Returns the additional cost of choosing an engine, for example for bytes that cross to its data hall. */
 	readonly extraMsOf: (server: T) => number;
 };
 
-/** What sending a prompt to an engine would mean. */
+/** The expected effect of sending a prompt to an engine. */
 export type PromptEstimate = {
-	/** Tokens to read until the first token comes, those of earlier prompts included. */
+	/** Tokens to prefill before the first token, including those of earlier prompts. */
 	readonly tokens: number;
-	/** Until the first token, about. */
+	/** Estimated time to the first token. */
 	readonly firstMs: number;
-	/** The same with what reading shared parts again costs. */
+	/** Estimated time to the first token plus the cost of recomputing parts that other engines have cached. */
 	readonly scoreMs: number;
 };
 
-/** A part of a prompt as it is kept now. */
+/** A part of a prompt with its current state in the caches. */
 type PartStanding = {
 	readonly tokens: number;
-	/** When each engine last used it; some may have dropped it since. */
+	/** When each engine last used it; some engines may have evicted it since. */
 	readonly usedMs: ReadonlyMap<string, number>;
-	/** Whether any engine keeps it. */
+	/** Whether any engine is assumed to have it cached. */
 	readonly isKept: boolean;
 };
 
 const nobody: ReadonlyMap<string, number> = new Map();
 
-/** Follows all engines of a deployment. */
+/** Tracks all engines of a deployment. */
 export class EngineLoads {
 	static create(): EngineLoads {
 		return new EngineLoads();
 	}
 
-	/** When each engine will have read what it was sent. */
+	/** When each engine will have finished the prefill of the prompts sent to it. */
 	private readonly busyUntilMs = new Map<string, number>();
-	/** Who keeps a part, and since when it was last used there; the parts used longest ago come first. */
+	/** The engines that have a part cached, with the time of its last use there; least recently used parts come first. */
 	private readonly keepers = new Map<number, Map<string, number>>();
 
 	/**
-	A prompt was sent to an engine, by this host or a peer.
+	Records that this host or a peer sent a prompt to an engine.
 	@param serverId - the engine.
-	@param prompt - its parts.
-	@param speed - of the engine.
-	@param nowMs - the time.
+	@param prompt - the parts of the prompt.
+	@param speed - the speed of the engine.
+	@param nowMs - the current time.
 	*/
 	assign(serverId: string, prompt: readonly PromptPart[], speed: EngineSpeed, nowMs: number): void {
 		const readMs = unreadTokens(serverId, this.lookUp(prompt, nowMs), nowMs) * speed.msPerToken * speed.slowness;
@@ -102,24 +102,24 @@
 	}
 
 	/**
-	Estimates what sending a prompt to an engine would mean.
+	Estimates the effect of sending a prompt to an engine.
 	@param serverId - the engine.
-	@param prompt - its parts.
-	@param speed - of the engine.
-	@param nowMs - the time.
+	@param prompt - the parts of the prompt.
+	@param speed - the speed of the engine.
+	@param nowMs - the current time.
 	*/
 	estimate(serverId: string, prompt: readonly PromptPart[], speed: EngineSpeed, nowMs: number): PromptEstimate {
 		return this.estimateOf(serverId, this.lookUp(prompt, nowMs), speed, nowMs);
 	}
 
 	/**
-	Chooses an engine for a prompt. Who keeps each part is looked up once, not for every engine: a choice costs as much
-	for each further engine, however many keep a part.
-	@param servers - the engines, in the order all hosts give them for this prompt.
-	@param prompt - its parts.
-	@param traits - of the engines.
-	@param nowMs - the time.
-	@returns the best one, or nothing where there are none.
+	Chooses an engine for a prompt. The holders of each part are looked up once, not per engine, so that the cost of a choice per
+	engine does not depend on the number of holders.
+	@param servers - the engines, in the order that all hosts share for this prompt.
+	@param prompt - the parts of the prompt.
+	@param traits - the properties of the engines.
+	@param nowMs - the current time.
+	@returns the best engine, or undefined if there are none.
 	*/
 	best<T extends {readonly upstreamId: string}>(servers: readonly T[], prompt: readonly PromptPart[], traits: EngineTraits<T>, nowMs: number): T | undefined {
 		let best: T | undefined;
@@ -138,7 +138,7 @@
 	}
 
 	/**
-	An engine is gone, and what it kept with it.
+	Removes an engine that no longer exists, together with its cached parts.
 	@param serverId - the engine.
 	*/
 	forget(serverId: string): void {
@@ -179,7 +179,7 @@
 	return false;
 }
 
-/** Everything from the first part on that the engine does not keep. */
+/** Counts the tokens from the first part on that the engine does not have cached; a cached part after a missing one is of no use. */
 function unreadTokens(serverId: string, parts: readonly PartStanding[], nowMs: number): number {
 	let sum = 0;
 	let isMissing = false;
@@ -191,7 +191,7 @@
 	return sum;
 }
 
-/** What another engine keeps and this one would read again. */
+/** Counts the tokens that another engine has cached and this one would compute again. */
 function rereadTokens(serverId: string, parts: readonly PartStanding[], nowMs: number): number {
 	let sum = 0;
 	for (const {tokens, usedMs, isKept} of parts) {
--- a/src/routing/common/fair-queue.ts
+++ b/src/routing/common/fair-queue.ts
@@ -1,32 +1,38 @@
-/** Order of waiting work: classes first, then fair shares of workspaces, then the earliest due. */
+/** Queues of waiting work, ordered by priority rank, then by fair share of the workspaces, then by due time. */
 
-/** What the queue needs to know of an item. */
+/** Properties of an item that determine its position in the queue. */
 export type QueueItem = {
 	readonly workspace: string;
 	readonly weight: number;
-	/** Higher goes first. */
+	/** Priority; higher ranks are served first. */
 	readonly rank: number;
 	readonly dueMs: number;
 };
 
-/** Holds waiting work and gives the next. */
+/** A queue of waiting work. */
 export type WorkQueue<T extends QueueItem> = {
 	readonly size: number;
 	push(item: T): void;
-	/** @returns the next item, taken out, or nothing. */
+	/**
+	Removes the next item.
+	@returns the item, or undefined if the queue is empty.
+	*/
 	pop(): T | undefined;
-	/** Takes an item out wherever it stands. */
+	/**
+	Removes an item at any position.
+	@returns whether it was queued.
+	*/
 	remove(item: T): boolean;
-	/** @returns a copy, so that the queue may be changed while it is gone through. */
+	/** @returns a copy, so that the queue may be modified during iteration. */
 	items(): T[];
 };
 
 type Flow<T> = {readonly items: T[]; startTag: number};
 
 /**
-Start-time fair queueing: each workspace's work advances its own tag by one call
-over its weight, and the lowest tag is served. Within a workspace the highest
-rank goes first, then the earliest due.
+Start-time fair queueing: each call advances the start tag of its workspace by 1 / weight. The workspace whose first
+item has the highest rank is served; among equal ranks, the one with the lowest start tag. Within a workspace, items
+are ordered by rank, then by due time.
 */
 export class FairQueue<T extends QueueItem> implements WorkQueue<T> {
 	static create<T extends QueueItem>(): FairQueue<T> {
@@ -88,7 +94,7 @@
 		return [...this.flows.values()].flatMap(flow => flow.items);
 	}
 
-	/** An idle flow whose tag time has passed has no claim left to remember. */
+	/** Deletes empty flows whose start tag is not ahead of the virtual time: a new flow would start with the same tag. */
 	private dropIdleFlows(): void {
 		for (const [workspace, flow] of this.flows) {
 			if (flow.items.length === 0 && flow.startTag <= this.virtualTime) {
@@ -108,7 +114,7 @@
 	return first.rank === second.rank ? flow.startTag < other.startTag : first.rank > second.rank;
 }
 
-/** Baseline: first come, first served. */
+/** Serves items in order of arrival; the baseline that benchmarks compare with. */
 export class ArrivalQueue<T extends QueueItem> implements WorkQueue<T> {
 	static create<T extends QueueItem>(): ArrivalQueue<T> {
 		return new ArrivalQueue<T>();
--- a/src/routing/common/fleet-view.ts
+++ b/src/routing/common/fleet-view.ts
@@ -1,11 +1,11 @@
-/** The hosts of a deployment as one of them knows them. */
+/** The hosts of a deployment as known to one of them. */
 
-/** The hosts that share what is bounded over the whole deployment. */
+/** The hosts that share bounds on the whole deployment. */
 export type FleetView = {
-	/** This host's own name. */
+	/** The name of this host. */
 	readonly own: string;
-	/** Names of all hosts, this one included; the same object while they are the same. */
+	/** Names of all hosts, including this one; the same array instance while they do not change. */
 	readonly hosts: readonly string[];
-	/** Whether this host knows enough of the others to take a share: it has none to share with, or met them a while ago. */
+	/** Whether this host knows the others well enough to take a share: either there are no others, or it has been in contact with them for a while. */
 	readonly isSettled: boolean;
 };
--- a/src/routing/common/hall-cost.ts
+++ b/src/routing/common/hall-cost.ts
@@ -1,16 +1,16 @@
-/** What it counts for that bytes cross between data halls, where that is weighed against time. */
+/** Cost of traffic between data halls, expressed as a delay so that it can be weighed against time. */
 
 /**
-How long a megabyte that crosses between halls counts for, in milliseconds of delay. Links between halls are shared
-and dear: on the deployments measured, a crossing megabyte costs what a request of the least kind earns in 50 ms.
+Cost of a megabyte that crosses between data halls, in milliseconds of delay. Links between data halls are shared and
+expensive: on the measured deployments, a crossing megabyte costs as much as a request of the lowest kind earns in 50 ms.
 */
 export const crossingMsPerMegabyte = 60;
 const bytesPerMegabyte = 1_000_000;
 
 /**
-Weighs bytes that would cross between halls.
-@param bytes - how many.
-@returns the delay in milliseconds that is as bad.
+Computes the cost of bytes that would cross between data halls.
+@param bytes - the number of bytes.
+@returns the equivalent delay in milliseconds.
 */
 export function crossingCostMs(bytes: number): number {
 	return (bytes / bytesPerMegabyte) * crossingMsPerMegabyte;
--- a/src/routing/common/host-room.ts
+++ b/src/routing/common/host-room.ts
@@ -1,39 +1,39 @@
-/** Which hosts take work for all others: hosts of one deployment may differ in processor and link by many times. */
+/** Selects the hosts that do shared work for all others. The processors and links of the hosts of one deployment may differ by large factors. */
 
-/** Traffic of shared work for each core that it takes, in Mbit/s: a host with a thin link counts as one with few cores. */
+/** Traffic of shared work in Mbit/s per core that it uses. It converts link bandwidth to cores: a host with a slow link counts as one with few cores. */
 const linkMbpsPerCore = 70;
-/** Hosts with less room than this part of the roomiest one's take no shared work. */
+/** Hosts with less than this share of the capacity of the largest host take no shared work. */
 const leastShare = 0.5;
 
-/** What a host may use. */
+/** Resources that a host may use. */
 export type HostCapacity = {
-	/** Cores, as a share or several. */
+	/** Number of cores; may be a fraction. */
 	readonly cores: number;
 	readonly linkMbps: number;
 };
 
 /**
-Gives the room of a host for shared work, to compare with other hosts'.
-@param capacity - what it may use.
-@returns in cores; a thin link counts as few cores.
+Computes the capacity of a host for shared work, for comparison with other hosts.
+@param capacity - the resources of the host.
+@returns the capacity in cores; a slow link counts as few cores.
 */
 export function roomOf({cores, linkMbps}: HostCapacity): number {
 	return Math.min(cores, linkMbps / linkMbpsPerCore);
 }
 
 /**
-Tells whether a host takes shared work.
-@param room - of the host.
-@param mostRoom - of the roomiest one.
+Checks whether a host takes shared work.
+@param room - the capacity of the host.
+@param mostRoom - the capacity of the largest host.
 */
 export function isRoomy(room: number, mostRoom: number): boolean {
 	return room >= mostRoom * leastShare;
 }
 
 /**
-Chooses the hosts that take shared work.
-@param rooms - of each live host, by its id.
-@returns their ids.
+Selects the hosts that take shared work.
+@param rooms - the capacity of each live host, by host id.
+@returns the ids of the selected hosts.
 */
 export function roomiestHosts(rooms: ReadonlyMap<string, number>): string[] {
 	const mostRoom = Math.max(0, ...rooms.values());
--- a/src/routing/common/outlier-detector.ts
+++ b/src/routing/common/outlier-detector.ts
@@ -1,15 +1,15 @@
-/** Takes upstreams out for a while that fail, or are far slower than their peers. */
+/** Ejects upstreams that fail, or are much slower than the other upstreams of their pool, for a limited time. */
 import type {Candidate} from './chooser.js';
 
-/** When an upstream is taken out, and for how long. */
+/** Conditions and duration of an ejection. */
 export type OutlierOptions = {
 	readonly consecutiveFailures: number;
 	readonly errorShare: number;
-	/** Times the median slowness of its peers. */
+	/** An upstream is an outlier if its slowness exceeds the median of its pool by this factor. */
 	readonly slowFactor: number;
 	readonly baseEjectionMs: number;
 	readonly longestEjectionMs: number;
-	/** Most of a pool that may be out at once. */
+	/** Maximum share of a pool that may be ejected at the same time. */
 	readonly mostEjectedShare: number;
 };
 
@@ -21,7 +21,7 @@
 
 type Ejection = {untilMs: number; count: number};
 
-/** Keeps the ejected upstreams of all pools. */
+/** Tracks the ejected upstreams of all pools. */
 export class OutlierDetector {
 	static create(options: OutlierOptions = defaultOutlierOptions): OutlierDetector {
 		return new OutlierDetector(options);
@@ -32,10 +32,10 @@
 	private constructor(private readonly options: OutlierOptions) {}
 
 	/**
-	Leaves out the ejected ones, within the bound on their share.
-	@param candidates - all of a pool.
-	@param nowMs - the time.
-	@returns those that may be chosen; never none where there were some.
+	Filters out ejected candidates, unless more of the pool than the maximum share is ejected.
+	@param candidates - all candidates of a pool.
+	@param nowMs - the current time.
+	@returns the candidates that may be chosen; not empty if there are candidates.
 	*/
 	withoutEjected(candidates: readonly Candidate[], nowMs: number): readonly Candidate[] {
 		if (this.ejections.size === 0) {
@@ -52,12 +52,12 @@
 	}
 
 	/**
-	Looks at an upstream after one of its calls ended.
+	Evaluates an upstream after one of its calls has ended, and ejects it if it is an outlier.
 	@param observed - the upstream.
-	@param peers - all of its pool.
-	@param medianSlowness - of the pool, where enough is known.
-	@param nowMs - the time.
-	@returns whether it is now taken out.
+	@param peers - all upstreams of its pool.
+	@param medianSlowness - the median slowness of the pool, or undefined if too few are known.
+	@param nowMs - the current time.
+	@returns whether the upstream has been ejected by this call.
 	*/
 	observe(observed: Candidate, peers: readonly Candidate[], medianSlowness: number | undefined, nowMs: number): boolean {
 		const {stats, upstreamId} = observed;
@@ -73,7 +73,7 @@
 		const count = (this.ejections.get(upstreamId)?.count ?? 0) + 1;
 		const lengthMs = Math.min(this.options.longestEjectionMs, this.options.baseEjectionMs * (2 ** (count - 1)));
 		this.ejections.set(upstreamId, {untilMs: nowMs + lengthMs, count});
-		// What was measured before counts no longer when it comes back.
+		// Statistics from before the ejection must not count when the upstream returns.
 		stats.errorShare = 0;
 		stats.consecutiveFailures = 0;
 		stats.slowness = undefined;
@@ -91,9 +91,9 @@
 }
 
 /**
-Gives the middle slowness of a pool.
-@param candidates - its upstreams.
-@returns nothing where fewer than three are known.
+Computes the median slowness of a pool.
+@param candidates - the upstreams of the pool.
+@returns the median, or undefined if the slowness of fewer than three upstreams is known.
 */
 export function medianSlownessOf(candidates: readonly Candidate[]): number | undefined {
 	const known = candidates.flatMap(candidate => candidate.stats.slowness ?? []).toSorted((a, b) => a - b);
--- a/src/routing/common/prefix-index.ts
+++ b/src/routing/common/prefix-index.ts
@@ -1,11 +1,11 @@
-/** Which upstream may hold which prompt prefix: a hint that decays, never a truth. */
+/** Tracks which upstreams may have a prompt prefix in their cache. The result is a hint that decays with time, never a certainty. */
 
 const halfLifeMs = 20_000;
 const capacity = 20_000;
 
 type Holder = {readonly upstreamId: string; atMs: number};
 
-/** Remembers where a prefix was last sent. */
+/** Remembers the upstreams that last processed each prefix. */
 export class PrefixIndex {
 	static create(): PrefixIndex {
 		return new PrefixIndex();
@@ -14,10 +14,10 @@
 	private readonly holders = new Map<number, Holder[]>();
 
 	/**
-	An upstream has worked on a prefix, or reported to hold it.
-	@param upstreamId - which.
-	@param prefixHash - the prefix; 0 is none.
-	@param nowMs - the time.
+	Records that an upstream has processed a prefix, or reported that it holds it.
+	@param upstreamId - the upstream.
+	@param prefixHash - the hash of the prefix; 0 if there is none.
+	@param nowMs - the current time.
 	*/
 	observe(upstreamId: string, prefixHash: number, nowMs: number): void {
 		if (prefixHash === 0) {
@@ -25,7 +25,7 @@
 		}
 
 		const others = (this.holders.get(prefixHash) ?? []).filter(holder => holder.upstreamId !== upstreamId);
-		// Insertion order doubles as age: the oldest prefix is dropped first.
+		// The insertion order of the map is the order of age, so the first key is the oldest prefix.
 		this.holders.delete(prefixHash);
 		this.holders.set(prefixHash, [{upstreamId, atMs: nowMs}, ...others].slice(0, 3));
 		if (this.holders.size > capacity) {
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	Forgets an upstream's prefixes, as when its engine was restarted.
-	@param upstreamId - which.
+	Removes all prefixes of an upstream, for example after its engine was restarted.
+	@param upstreamId - the upstream.
 	*/
 	forgetUpstream(upstreamId: string): void {
 		for (const [prefixHash, holders] of this.holders) {
@@ -50,11 +50,11 @@
 	}
 
 	/**
-	Gives the belief that an upstream holds a prefix.
-	@param upstreamId - which.
-	@param prefixHash - the prefix.
-	@param nowMs - the time.
-	@returns from 0 to 1.
+	Estimates how likely it is that an upstream still holds a prefix.
+	@param upstreamId - the upstream.
+	@param prefixHash - the hash of the prefix; 0 if there is none.
+	@param nowMs - the current time.
+	@returns a likelihood from 0 to 1.
 	*/
 	holds(upstreamId: string, prefixHash: number, nowMs: number): number {
 		if (prefixHash === 0) {
@@ -66,9 +66,9 @@
 	}
 
 	/**
-	Finds the upstream that last worked on a prefix.
-	@param prefixHash - the prefix.
-	@returns its id.
+	Finds the upstream that processed a prefix last.
+	@param prefixHash - the hash of the prefix.
+	@returns the id of the upstream, or undefined if none is known.
 	*/
 	likelyHolder(prefixHash: number): string | undefined {
 		return this.holders.get(prefixHash)?.[0].upstreamId;
--- a/src/routing/common/rate-bound.ts
+++ b/src/routing/common/rate-bound.ts
@@ -1,53 +1,55 @@
-/** What an upstream may get from all hosts together within a window, and where such bounds come from. */
+/** Bounds on the rate of requests that all hosts together send to an upstream, and how they are derived. */
 
-/** A bound over all hosts. */
+/** A bound on the requests of all hosts together to one upstream. */
 export type RateBound = {
-	/** Requests within any window, one at least. */
+	/** Maximum number of requests within any window; at least 1. */
 	readonly most: number;
 	readonly windowMs: number;
-	/** Whether the requests are spread over the window: where they all go at its beginning, nobody is served for the rest of it. */
+	/** Whether sends are spread over the window. If all requests went out at its start, no caller would be served for the rest of the window. */
 	readonly isPaced: boolean;
 };
 
-/** Bounds on what a cold upstream gets within a second, as the deployment's settings give them. */
+/** Bounds on the requests per second to a cold upstream, from the deployment's settings. */
 export type ColdBounds = {
-	/** Requests allowed for each that the upstream bears. */
+	/** Requests allowed per request that the upstream tolerates; a factor. */
 	readonly excess: number;
-	/** Requests allowed besides. */
+	/** Requests allowed in addition. */
 	readonly tolerance: number;
 };
 
 const secondMs = 1000;
 
 /**
-Part of a cold upstream's bound that is used. The other half is for hosts that do not know the same hosts: senders that the others
-have forgotten, and those that took their place. Requests also arrive closer together than they were sent.
+Share of a cold upstream's bound that is used. The other half is a reserve for times when hosts disagree on the list of hosts:
+senders that the others have forgotten may still send beside the hosts that replaced them. Requests may also arrive closer together
+than they were sent.
 */
 const coldShare = 0.5;
 
 /**
-What an upstream that names a limit stands for in any 4 s: one and a half times what the limit allows, and 5 requests besides. Never more
-is sent than the limit itself, and no more than half of this, so that two groups of hosts that do not see each other do no harm.
+An upstream that announces a limit tolerates, in any 4 s, one and a half times the requests that the limit allows plus 5 requests.
+Hosts send no more than the limit itself and no more than half of the tolerated number, so that two partitioned groups of hosts do
+not overload it together.
 */
 const limitExcess = 1.5;
 const limitTolerance = 5;
 const toleratedShare = 0.5;
 const limitWindowMs = 4000;
-/** An upstream that names less is asked this often nevertheless: only its answers tell that it takes more again. */
+/** Minimum rate at which requests are sent, even to an upstream that announces less: only its responses show when it accepts more again. */
 const leastPerS = 0.2;
 
 /**
-Gives the bound of a cold upstream.
-@param bearsPerS - requests a second that it bears, as its pool declares.
-@param bounds - as the settings give them.
+Computes the bound for a cold upstream.
+@param bearsPerS - requests per second that it tolerates, as declared for its pool.
+@param bounds - the bounds from the settings.
 */
 export function boundOfCold(bearsPerS: number, {excess, tolerance}: ColdBounds): RateBound {
 	return {most: Math.max(1, Math.floor(coldShare * ((bearsPerS * excess) + tolerance))), windowMs: secondMs, isPaced: false};
 }
 
 /**
-Gives the bound of an upstream that names a limit.
-@param perS - requests a second that it takes from all hosts together.
+Computes the bound for an upstream that announces a limit.
+@param perS - requests per second that it accepts from all hosts together.
 */
 export function boundOfLimit(perS: number): RateBound {
 	const usedPerS = Math.max(leastPerS, perS);
@@ -57,9 +59,9 @@
 }
 
 /**
-Gives the rate that a bound allows.
-@param bound - over all hosts.
-@returns requests a second.
+Computes the rate that a bound allows.
+@param bound - the bound on all hosts together.
+@returns requests per second.
 */
 export function perSecondOf({most, windowMs}: RateBound): number {
 	return most * secondMs / windowMs;
--- a/src/routing/common/reading-speed.ts
+++ b/src/routing/common/reading-speed.ts
@@ -1,19 +1,19 @@
 /**
-How fast the engines of one pool read prompts, learned from the times to first tokens. The declaration doesn't
-tell it, and it differs between deployments: with a speed that is half as high again as the real one, engines
-are sent more than they can read in time.
+Estimates the prefill speed of the engines of one pool from the observed times to the first token. The declaration
+does not contain this speed, and it differs between deployments: with an estimate half as high again as the real
+speed, engines are sent more prompts than they can process in time.
 */
 
-/** Steps of the first corrections; they shrink with the number of samples, so that a few of them find the range. */
+/** Relative step of the first corrections. It is divided by the number of samples, so that a few samples reach the right range. */
 const firstStep = 0.5;
-/** Step of later corrections: some twenty samples on one side follow a change of a half. */
+/** Smallest relative step, used for later corrections: about twenty samples on one side follow a change by one half. */
 const leastStep = 0.02;
-/** Time to the first token besides reading: one step of the engine and the way there and back, until it is measured. */
+/** Time to the first token without prefill (one engine step and the network round trip), assumed until it has been measured. */
 const usualOverheadMs = 30;
-/** Prompts that take less than this share of the rest of the time tell of the rest, longer ones of the reading. */
+/** Prompts whose prefill takes less than this share of the overhead update the overhead; longer ones update the prefill speed. */
 const shortPromptShare = 0.5;
 
-/** Follows the middle of what is seen: engines that are slow or fail, and waits that were not foreseen, move it little. */
+/** Tracks the median of its samples, so that slow or failing engines and unforeseen waits have little effect on it. */
 class Median {
 	private samples = 0;
 
@@ -29,14 +29,14 @@
 		this.current *= seen > this.current ? 1 + step : 1 / (1 + step);
 	}
 
-	/** The first sample is the best guess there is. */
+	/** Sets the estimate to the first sample, which is better than any default. */
 	start(seen: number): void {
 		this.current = seen;
 		this.samples = 1;
 	}
 }
 
-/** Learns the reading speed of one pool's engines. */
+/** Estimates the prefill speed of one pool's engines. */
 export class ReadingSpeed {
 	static create(): ReadingSpeed {
 		return new ReadingSpeed();
@@ -45,20 +45,20 @@
 	private readonly perToken = new Median(0);
 	private readonly overhead = new Median(usualOverheadMs);
 
-	/** Time an engine of usual speed takes to read one token; 0 until a prompt was read. */
+	/** Prefill time per token on an engine of typical speed; 0 until the first prompt has been observed. */
 	get msPerToken(): number {
 		return this.perToken.value;
 	}
 
-	/** Time to the first token besides reading. */
+	/** Time to the first token without prefill. */
 	get overheadMs(): number {
 		return this.overhead.value;
 	}
 
 	/**
-	A first token came.
-	@param tokens - what the engine had to read for it: the prompt's own part, and what was sent there before.
-	@param firstMs - from the send to the token.
+	Records the arrival of a first token.
+	@param tokens - the tokens that the engine had to prefill before it: the uncached part of the prompt, and the prompts queued ahead.
+	@param firstMs - the time from the send to the first token.
 	*/
 	observe(tokens: number, firstMs: number): void {
 		const readMs = firstMs - this.overheadMs;
--- a/src/routing/common/rendezvous.ts
+++ b/src/routing/common/rendezvous.ts
@@ -1,12 +1,12 @@
-/** Rendezvous hashing: every host gives a key the same order of places, and a place that leaves moves only its own keys. */
+/** Rendezvous hashing: all hosts compute the same order of nodes for a key, and removing a node moves only the keys assigned to it. */
 import {hashText} from '../../base/common/hash.js';
 
 /**
-Orders places for a key.
-@param key - what is placed.
-@param places - where it may go.
-@param nameOf - names a place the same on every host.
-@returns the places, the first choice first.
+Orders nodes by their preference for a key.
+@param key - the key to assign.
+@param places - the nodes that it may be assigned to.
+@param nameOf - returns the name of a node, which must be the same on every host.
+@returns the nodes, most preferred first.
 */
 export function rendezvousOrder<T>(key: string, places: readonly T[], nameOf: (place: T) => string): T[] {
 	return places
@@ -16,10 +16,10 @@
 }
 
 /**
-Gives the first choice of a key.
-@param key - what is placed.
-@param places - names of places, the same on every host.
-@returns the place, or nothing where there are none.
+Finds the most preferred node for a key.
+@param key - the key to assign.
+@param places - the names of the nodes, which must be the same on every host.
+@returns the node, or undefined if there are no nodes.
 */
 export function rendezvousOwner(key: string, places: readonly string[]): string | undefined {
 	let owner: string | undefined;
@@ -36,10 +36,11 @@
 }
 
 /**
-Gives the position of one place in the order for a key; the first choice has 0.
-@param key - what is placed.
-@param place - the place.
-@param places - names of all places.
+Computes the position of one node in the order for a key.
+@param key - the key to assign.
+@param place - the name of the node.
+@param places - the names of all nodes.
+@returns the position; 0 for the most preferred node.
 */
 export function rendezvousRank(key: string, place: string, places: readonly string[]): number {
 	const own = weightOf(key, place);
--- a/src/routing/common/retry-budget.ts
+++ b/src/routing/common/retry-budget.ts
@@ -1,16 +1,16 @@
-/** Retries bounded as a share of first attempts, so that trouble is not multiplied. */
+/** Limits retries to a share of first attempts, so that retries do not amplify an overload or an outage. */
 
 const mostTokens = 50;
-/** A quiet workspace may retry as well: this many a second, whatever its share gives. */
+/** Tokens added per second up to the floor, so that a workspace with few requests may retry as well, whatever its share allows. */
 const floorPerSecond = 1;
 const defaultFloorTokens = 5;
 
-/** A bucket that first attempts fill and retries drain. */
+/** A token bucket: first attempts add tokens, retries consume them. */
 export class RetryBudget {
 	/**
-	Makes a budget.
-	@param nowMs - the time.
-	@param floorTokens - retries that time alone allows; 0 for hedges, which a quiet workspace can do without.
+	Creates a budget.
+	@param nowMs - the current time.
+	@param floorTokens - tokens that accrue with time alone; 0 for hedges, which a workspace with few requests can do without.
 	*/
 	static create(nowMs: number, floorTokens = defaultFloorTokens): RetryBudget {
 		return new RetryBudget(nowMs, floorTokens);
@@ -23,17 +23,17 @@
 	}
 
 	/**
-	A first attempt was sent.
-	@param share - retries allowed for each.
+	Records a first attempt.
+	@param share - the number of retries that it allows.
 	*/
 	deposit(share: number): void {
 		this.tokens = Math.min(mostTokens, this.tokens + share);
 	}
 
 	/**
-	Pays for a retry.
-	@param nowMs - the time.
-	@returns whether it may be sent.
+	Takes a token for a retry if there is one.
+	@param nowMs - the current time.
+	@returns whether the retry may be sent.
 	*/
 	tryWithdraw(nowMs: number): boolean {
 		this.refill(nowMs);
@@ -45,7 +45,7 @@
 		return true;
 	}
 
-	/** Time alone fills the bucket up to the floor, not above it. */
+	/** Adds the tokens that accrue with time, which fill the bucket only up to the floor. */
 	private refill(nowMs: number): void {
 		const gained = ((nowMs - this.filledMs) / 1000) * floorPerSecond;
 		this.filledMs = nowMs;
--- a/src/routing/common/score-chooser.ts
+++ b/src/routing/common/score-chooser.ts
@@ -1,21 +1,21 @@
-/** The product's chooser: the lowest predicted time among a few sampled candidates. */
+/** The chooser used in production: picks the candidate with the lowest predicted time from a small sample. */
 import type {Random} from '../../base/common/random.js';
 import type {
 	Candidate, CandidateSet, Choice, ChoiceNeed, ScoredCandidate, UpstreamChooser,
 } from './chooser.js';
 import type {PrefixIndex} from './prefix-index.js';
 
-/** Weights of a score. */
+/** Parameters of the score. */
 export type ScoreOptions = {
-	/** Candidates sampled for each choice; smaller pools are weighed whole. */
+	/** Candidates sampled for each choice; in pools up to this size all candidates are scored. */
 	readonly sampleSize: number;
-	/** Added for an upstream in another hall. */
+	/** Penalty for an upstream in another data hall. */
 	readonly otherHallMs: number;
-	/** Share of the answer time a prefix in the upstream's cache saves. */
+	/** Share of the answer time that a prefix in the upstream's cache saves. */
 	readonly prefixSavingShare: number;
-	/** Added where model or adapter is not loaded, so that it is the last resort. */
+	/** Penalty if the model or adapter is not loaded; large enough to make the upstream a last resort. */
 	readonly notLoadedMs: number;
-	/** Time over which a new upstream's score falls to its own. */
+	/** Time after joining over which the penalty of a new upstream declines to zero. */
 	readonly warmUpMs: number;
 };
 
@@ -23,7 +23,7 @@
 	sampleSize: 5, otherHallMs: 0.5, prefixSavingShare: 0.3, notLoadedMs: 60_000, warmUpMs: 5000,
 };
 
-/** Scores by predicted wait and answer time, less what a cached prefix saves. */
+/** Scores candidates by predicted wait and answer time, less the time that a cached prefix saves. */
 export class ScoreChooser implements UpstreamChooser {
 	static create(random: Random, prefixes: PrefixIndex, options = defaultScoreOptions): ScoreChooser {
 		return new ScoreChooser(random, prefixes, options);
@@ -49,7 +49,7 @@
 		return {chosen: best.candidate, scored};
 	}
 
-	/** A few at random, with the ones that may have the prefix. */
+	/** A random sample that includes the likely holder of the prefix. */
 	private sample(set: CandidateSet, prefixHash: number): Candidate[] {
 		const {sampleSize} = this.options;
 		const {list: candidates} = set;
@@ -78,7 +78,7 @@
 		const answerMs = need.expectedMs * (stats.slowness ?? 1);
 		const outstanding = stats.outstanding(nowMs);
 		const waitMs = stats.waitTurns(need.slots, nowMs) * answerMs;
-		// Below its slots an upstream still slows down a little with each call it batches.
+		// Even with free slots an upstream slows down a little with each call that it batches.
 		const sharedMs = (Math.min(outstanding, slots) / slots) * answerMs * 0.5;
 		const savedMs = this.prefixes.holds(candidate.upstreamId, need.prefixHash, nowMs) * answerMs * this.options.prefixSavingShare;
 		const hallMs = candidate.hall === need.hall ? 0 : this.options.otherHallMs;
--- a/src/routing/common/send-bounds.ts
+++ b/src/routing/common/send-bounds.ts
@@ -1,8 +1,8 @@
 /**
-May this go to that server now, of what all hosts together may send it? Asked by each kind of call where it goes out:
-first sends, repeats, hedges and answers taken up again (by the router), calls of steps and releases of results (by the batches). A server
-that leaves, stands in a drained hall or has asked this host for rest gets nothing; one that is cold gets what its pool declares that it bears; one that names a limit gets what it names;
-where several hold, all do.
+Decides whether this host may send a request to a server now, given the bounds on all hosts together. Every kind of call is checked
+where it is sent: first sends, retries, hedges and resumed answers by the router; step calls and result releases by the batches.
+A server that is leaving, is in a drained data hall or has asked this host for a backoff gets nothing. A cold server gets the rate that
+its pool declares it tolerates, a server that announces a limit gets that limit. If several bounds apply, all of them must hold.
 */
 import type {InjectionToken} from 'tsyringe';
 import type {ServerLimits} from '../../deployment/common/server-limits.js';
@@ -15,42 +15,42 @@
 import type {BoundedWork, SendShare} from './send-share.js';
 
 /**
-A limit of which nobody has heard for this long is looked at with one request, which no sender may be left to make. Hosts do so one
-after the other, the first senders first: whoever is answered tells the others.
+A limit that no response has announced for this long is checked with one trial request, even if the host is not among the senders, as
+none of these may remain. Hosts do so one after the other in the order of senders: the first that is answered notifies the others.
 */
 const quietLimitMs = 15_000;
 const quietWindows = 3;
 const trialStepMs = 1000;
-/** Bounds of the time after which a caller comes back whom no upstream could take; hosts that may send more are tried then too. */
+/** Bounds on the retry delay for a caller whose request no upstream could accept; its retry may reach a host that may send more. */
 const shortestRetryAfterMs = 300;
 const longestRetryAfterMs = 2500;
 
-/** A server as far as its bounds go. */
+/** The properties of a server that its bounds depend on. */
 export type BoundedServer = Pick<UpstreamServer, 'serverId' | 'pool' | 'hall'>;
 
-/** What decides. */
+/** Sources of the bounds. */
 export type SendBoundsOptions = {
 	readonly registry: Pick<ServerRegistry, 'coldLeftMs' | 'takesNew' | 'onDidChange'>;
 	readonly limits: Pick<ServerLimits, 'limitOf' | 'forget'>;
-	/** Servers that want nothing from this host for a while. */
+	/** Servers that have asked this host to send nothing for a while. */
 	readonly rests: Pick<ServerRests, 'leftMs' | 'forget'>;
-	/** This host's part of what all may send. */
+	/** This host's share of the bounds on all hosts together. */
 	readonly share: SendShare;
-	/** For cold servers, over all hosts together; these are not bounded where absent. */
+	/** Bounds on all hosts together for cold servers; if undefined, cold servers are not bounded. */
 	readonly cold: ColdBounds | undefined;
-	/** Gives what a cold server of a pool bears a second. */
+	/** Returns the requests per second that a cold server of a pool tolerates. */
 	readonly bearsPerS: (pool: string) => number;
 };
 
-/** What a server may get just now of one kind of work. */
+/** What may be sent to a server now, for one kind of work. */
 export type Allowance = {
-	/** Requests that this host may send now; Infinity where nothing bounds them. */
+	/** Requests that this host may send now; Infinity if unbounded. */
 	readonly left: number;
-	/** Requests a second of all hosts together; Infinity where nothing bounds them. */
+	/** Requests per second of all hosts together; Infinity if unbounded. */
 	readonly perS: number;
 };
 
-/** Work that any host may send. */
+/** Work that every host may send. */
 export const directWork: BoundedWork = {isSoleSender: false};
 
 const unbounded: Allowance = {left: Infinity, perS: Infinity};
@@ -58,7 +58,7 @@
 
 export const sendBoundsToken: InjectionToken<SendBounds> = Symbol('SendBounds');
 
-/** Answers for one host, and counts what it sends. */
+/** Applies the bounds for one host and counts its sends. */
 export class SendBounds {
 	static create(options: SendBoundsOptions): SendBounds {
 		return new SendBounds(options);
@@ -75,10 +75,10 @@
 	}
 
 	/**
-	Tells what may go to a server now.
-	@param server - which.
-	@param work - what would be sent.
-	@param nowMs - the time.
+	Determines what this host may send to a server now.
+	@param server - the server.
+	@param work - the kind of work to send.
+	@param nowMs - the current time.
 	*/
 	allowance(server: BoundedServer, work: BoundedWork, nowMs: number): Allowance {
 		if (!this.options.registry.takesNew(server) || this.isResting(server, nowMs)) {
@@ -95,19 +95,19 @@
 	}
 
 	/**
-	Tells whether one request may go to a server now.
-	@param server - which.
-	@param work - what would be sent.
-	@param nowMs - the time.
+	Checks whether this host may send at least one request to a server now.
+	@param server - the server.
+	@param work - the kind of work to send.
+	@param nowMs - the current time.
 	*/
 	mayGet(server: BoundedServer, work: BoundedWork, nowMs: number): boolean {
 		return this.allowance(server, work, nowMs).left > 0;
 	}
 
 	/**
-	Something is sent to a server, bounded or not.
-	@param server - which.
-	@param nowMs - the time.
+	Records a send to a server; sends to unbounded servers are not counted.
+	@param server - the server.
+	@param nowMs - the current time.
 	*/
 	sent(server: BoundedServer, nowMs: number): void {
 		if (this.boundsOf(server, nowMs).length > 0) {
@@ -116,43 +116,44 @@
 	}
 
 	/**
-	Tells whether a server is cold, so that warm ones are the better choice.
-	@param server - which.
-	@param nowMs - the time.
+	Checks whether a server is cold, so that warm ones should be preferred.
+	@param server - the server.
+	@param nowMs - the current time.
 	*/
 	isCold({serverId}: BoundedServer, nowMs: number): boolean {
 		return this.options.cold !== undefined && this.options.registry.coldLeftMs(serverId, nowMs) > 0;
 	}
 
 	/**
-	Tells whether a server names a limit.
-	@param server - which.
-	@param nowMs - the time.
+	Checks whether a server announces a limit.
+	@param server - the server.
+	@param nowMs - the current time.
 	*/
 	isLimited({serverId}: BoundedServer, nowMs: number): boolean {
 		return this.options.limits.limitOf(serverId, nowMs) !== undefined;
 	}
 
 	/**
-	Tells whether a server has asked this host for rest.
-	@param server - which.
-	@param nowMs - the time.
+	Checks whether a server has asked this host for a backoff that is not over.
+	@param server - the server.
+	@param nowMs - the current time.
 	*/
 	isResting({serverId}: BoundedServer, nowMs: number): boolean {
 		return this.options.rests.leftMs(serverId, nowMs) > 0;
 	}
 
 	/**
-	Tells when to come back where none of some servers may get more now.
-	@param servers - none of which may get more from this host.
-	@param nowMs - the time.
+	Computes the retry delay for a caller if this host may send nothing more to any of some servers.
+	@param servers - the servers.
+	@param nowMs - the current time.
+	@returns the delay in milliseconds.
 	*/
 	retryAfterMs(servers: readonly BoundedServer[], nowMs: number): number {
 		const soonestMs = Math.min(...servers.map(server => this.freeInMs(server, nowMs)));
 		return Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, soonestMs));
 	}
 
-	/** When a server takes more, about: once it has rested and is warm, or at its next request. */
+	/** Estimates when a server may be sent to again: after its backoff, and once it is warm or its limit allows the next request. */
 	private freeInMs(server: BoundedServer, nowMs: number): number {
 		const restMs = this.options.rests.leftMs(server.serverId, nowMs);
 		if (!this.isLimited(server, nowMs)) {
@@ -160,7 +161,7 @@
 		}
 
 		const bounds = this.boundsOf(server, nowMs);
-		// Where this host sends nothing, another one does.
+		// Without a quota here, other hosts send: assume the average interval of the bound.
 		return Math.max(restMs, ...bounds.map(bound => this.options.share.nextInMs(server.serverId, bound, directWork, nowMs) ?? bound.windowMs / bound.most));
 	}
 
@@ -179,7 +180,7 @@
 		return bounds;
 	}
 
-	/** Whether it is for this host to find out if a limit that nobody repeats still holds. */
+	/** Whether this host must send a trial request, because no response has announced the limit for too long to know that it still holds. */
 	private isTrialDue(server: BoundedServer, nowMs: number): boolean {
 		const limit = this.options.limits.limitOf(server.serverId, nowMs);
 		if (!limit || this.isCold(server, nowMs)) {
--- a/src/routing/common/send-share.ts
+++ b/src/routing/common/send-share.ts
@@ -1,63 +1,64 @@
 /**
-How many requests this host may send to an upstream whose rate is bounded over all hosts: one that is cold and falls over above a rate
-that its pool declares, or one that names a limit itself.
-
-The bound holds over all hosts together, whoever is cut off or has just started, and an upstream that gets little looks best to all of
-them at once. So each such upstream has a few senders, the same on every host, chosen by rendezvous hashing. Each of them may send an equal
-part (the first ones one more, where it does not come out even), and nobody else sends anything. A host can only send what its own callers
-ask for, so that a bound that has a request for each of many hosts has many senders.
-
-Weighed against a fixed part for every host: of 18 requests a second and 31 hosts that is less than one a second each, which either leaves
-the upstream idle or breaks the bound when all send at once. Weighed against parts lent among the hosts that meet: needs messages at the
-moment at which links fail.
+Determines how many requests this host may send to an upstream whose rate is bounded for all hosts together: a cold upstream, which crashes
+above a rate that its pool declares, or an upstream that announces a limit.
+
+The bound must hold for all hosts together, even if some are partitioned or have just started. An upstream with little load is the best
+choice for all hosts at once, so independent decisions would exceed the bound. Each bounded upstream therefore has a few senders, chosen
+by rendezvous hashing so that all hosts agree on them. Each sender may send an equal quota (the first ones one request more if the bound
+is not divisible), and the other hosts send nothing. A host can only send what its own callers request, so a bound with at least one
+request for each of many hosts has many senders.
+
+Alternatives considered: a fixed quota for every host gives less than one request per second each for 18 requests per second and 31 hosts,
+which either leaves the upstream idle or breaks the bound when all send at once. Quotas lent between connected hosts need messages
+at the moment at which links fail.
 */
 import type {FleetView} from './fleet-view.js';
 import type {RateBound} from './rate-bound.js';
 import {rendezvousRank} from './rendezvous.js';
 
-/** What is to be sent to a bounded upstream. */
+/** The kind of work to send to a bounded upstream. */
 export type BoundedWork = {
-	/** Whether this host alone sends work of this kind, as the one that batches a pool for all: the whole bound is its part. */
+	/** Whether only this host sends work of this kind, because it batches a pool for all hosts. Its quota is then the whole bound. */
 	readonly isSoleSender: boolean;
 };
 
-/** Senders of one upstream at least, as far as its bound has a request for each: two may be lost at once. */
+/** Minimum number of senders of an upstream, if its bound has a request for each: two of them may fail at once. */
 const fewestSenders = 3;
 /**
-Requests within a window for each sender, where the bound has as many. Callers come in no order, so that a sender of what is sent at once has
-several; where sends are spread over the window, more senders come closer to what the callers of each ask for.
+Target number of requests per sender and window, if the bound has as many. Requests of callers arrive at random, so a sender of an unpaced
+bound gets several requests. With a paced bound, more senders with one request each match the demand of each host's callers better.
 */
 const usualPart = 3;
 const usualPacedPart = 1;
-/** Parts of a window over which the sends of a paced bound are spread. */
+/** Number of intervals in a window over which the sends of a paced bound are spread. */
 const paceParts = 4;
-/** Sends are remembered for the longest window. */
+/** How long sends are remembered; must cover the longest window. */
 const rememberMs = 10_000;
 
-/** Follows this host's sends to bounded upstreams. */
+/** Tracks this host's sends to bounded upstreams and computes its quotas. */
 export class SendShare {
 	/**
-	Makes one that has sent nothing.
-	@param viewOf - gives the hosts that share the bounds, as known at a time.
+	Creates an instance without recorded sends.
+	@param viewOf - returns the hosts that share the bounds, as known at the given time.
 	*/
 	static create(viewOf: (nowMs: number) => FleetView): SendShare {
 		return new SendShare(viewOf);
 	}
 
-	/** Times of this host's sends of late, by upstream. */
+	/** Times of this host's recent sends, by upstream. */
 	private readonly sentMs = new Map<string, number[]>();
-	/** This host's place in the order of senders of each upstream, for the hosts known now. */
+	/** Cached rank of this host in the sender order of each upstream, valid for the current `hosts`. */
 	private readonly ranks = new Map<string, number>();
 	private hosts: readonly string[] = [];
 
 	private constructor(private readonly viewOf: (nowMs: number) => FleetView) {}
 
 	/**
-	Tells how many requests this host may still send to a bounded upstream now.
+	Computes how many requests this host may still send to a bounded upstream now.
 	@param upstreamId - the upstream.
-	@param bound - over all hosts.
-	@param work - what would be sent.
-	@param nowMs - the time.
+	@param bound - the bound on all hosts together.
+	@param work - the kind of work to send.
+	@param nowMs - the current time.
 	*/
 	left(upstreamId: string, bound: RateBound, work: BoundedWork, nowMs: number): number {
 		const part = this.partOf(upstreamId, bound, work, nowMs);
@@ -71,12 +72,12 @@
 	}
 
 	/**
-	Tells when this host may send again to an upstream to which it may send nothing more now.
+	Computes when this host may send again to a bounded upstream whose quota is used up.
 	@param upstreamId - the upstream.
-	@param bound - over all hosts.
-	@param work - what would be sent.
-	@param nowMs - the time.
-	@returns nothing where its part is none.
+	@param bound - the bound on all hosts together.
+	@param work - the kind of work to send.
+	@param nowMs - the current time.
+	@returns the time to wait in milliseconds, or undefined if this host has no quota.
 	*/
 	nextInMs(upstreamId: string, bound: RateBound, work: BoundedWork, nowMs: number): number | undefined {
 		const part = this.partOf(upstreamId, bound, work, nowMs);
@@ -89,34 +90,35 @@
 	}
 
 	/**
-	Something was sent to a bounded upstream.
+	Records a send to a bounded upstream.
 	@param upstreamId - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	sent(upstreamId: string, nowMs: number): void {
 		this.sentMs.set(upstreamId, [...this.recentOf(upstreamId, rememberMs, nowMs), nowMs]);
 	}
 
 	/**
-	Tells how long ago this host sent something to an upstream while it was bounded.
+	Computes how long ago this host last sent to an upstream while it was bounded.
 	@param upstreamId - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
+	@returns the time in milliseconds; Infinity if no send is recorded.
 	*/
 	sinceSentMs(upstreamId: string, nowMs: number): number {
 		return nowMs - (this.sentMs.get(upstreamId)?.at(-1) ?? -Infinity);
 	}
 
 	/**
-	Tells this host's place in the order in which hosts are senders of an upstream; the first is 0.
+	Computes this host's rank in the sender order of an upstream; the first sender has rank 0.
 	@param upstreamId - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	rankOf(upstreamId: string, nowMs: number): number {
 		return this.rankAmong(upstreamId, this.viewOf(nowMs));
 	}
 
 	/**
-	An upstream is gone.
+	Removes the state of an upstream that no longer exists.
 	@param upstreamId - the upstream.
 	*/
 	forget(upstreamId: string): void {
@@ -139,7 +141,7 @@
 		return rank;
 	}
 
-	/** What this host may send within a window. */
+	/** The number of requests that this host may send within a window. */
 	private partOf(upstreamId: string, {most, isPaced}: RateBound, {isSoleSender}: BoundedWork, nowMs: number): number {
 		const view = this.viewOf(nowMs);
 		const {hosts, isSettled} = view;
@@ -157,7 +159,7 @@
 		return rank < senderCount ? Math.floor(most / senderCount) + (isAmongFirst ? 1 : 0) : 0;
 	}
 
-	/** How long until fewer than so many sends lie within a span. */
+	/** Time until fewer than the given number of sends lie within a time span. */
 	private roomInMs(upstreamId: string, most: number, withinMs: number, nowMs: number): number {
 		const atMs = this.recentOf(upstreamId, withinMs, nowMs).at(-most);
 		return atMs === undefined ? 0 : atMs + withinMs - nowMs;
@@ -172,7 +174,7 @@
 	}
 }
 
-/** How many sends of a part may come together: one and one of few, a quarter of many within a quarter of the window. */
+/** Maximum number of sends in a shorter span. Small quotas are sent one at a time at even intervals; of larger ones, a quarter may be sent within a quarter of the window. */
 function paceOf(part: number, {windowMs, isPaced}: RateBound): {readonly most: number; readonly withinMs: number} {
 	if (!isPaced) {
 		return {most: part, withinMs: windowMs};
--- a/src/routing/common/server-refusals.ts
+++ b/src/routing/common/server-refusals.ts
@@ -1,37 +1,37 @@
 /**
-Which upstreams refuse work, so that it goes to others as long as these take it.
+Tracks which upstreams refuse work, so that it goes to others as long as these accept it.
 
-An upstream that refuses at once has nothing to do, which makes it look best to whatever prefers the least loaded. So it is avoided after each
-refusal, for a time that grows with the part of its calls that it refuses of late. Once that is over one call goes to it, and more only when that is taken. Where
-all of a pool are avoided they are all used: avoiding is a preference, no bound.
+An upstream that refuses immediately is idle, so any chooser that prefers the least loaded upstream would choose it. It is therefore avoided
+after each refusal, for a time that grows with the share of recent calls that it refused. After that time one trial call is sent to it, and
+further calls only if it accepts the trial. If all upstreams of a pool are avoided, all of them are used: avoidance is a preference, not a bound.
 */
 import type {InjectionToken} from 'tsyringe';
 import type {Logger} from '../../base/common/logger.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 
-/** How quickly the refused part follows the calls. */
+/** Weight of the newest call in the refused share. */
 const shareWeight = 0.3;
-/** Avoided for this long per squared part that is refused: little for one that refuses now and then. */
+/** Avoidance time, multiplied by the square of the refused share, so that an occasional refusal has little effect. */
 const avoidMs = 1500;
 const longestAvoidMs = 1000;
 /**
-Both are longer the more hosts find out by themselves, as each of them sends fewer requests and all their trials add up; an upstream is
-tried within four seconds in any case.
+The avoidance time and its maximum grow with the number of hosts: every host finds out by itself, each sends fewer requests, and the trials of all hosts
+add up. The factor is limited so that each host tries an upstream at least every four seconds.
 */
 const fewHosts = 3;
 const mostLonger = 4;
-/** An upstream that does not answer a trial for so long may get another one. */
+/** Time without an answer to a trial call after which another one may be sent. */
 const trialMs = 500;
-/** Refused parts at which the log tells of an upstream, and that it takes work again. */
+/** Refused share above which an upstream is logged as refusing, and share below which it is logged as accepting work again. */
 const toldShare = 0.5;
 const forgottenShare = 0.05;
 
-/** What is known of an upstream that has refused. */
+/** State of an upstream that has refused a call. */
 type Known = {
-	/** Part of its calls that it refused of late. */
+	/** Share of its recent calls that it refused. */
 	share: number;
 	avoidedUntilMs: number;
-	/** Whether its last answer was a refusal. */
+	/** Whether its last answer was a refusal, so that only one trial call at a time may be sent. */
 	isOnTrial: boolean;
 	sentMs: number;
 	isTold: boolean;
@@ -39,36 +39,36 @@
 
 export const serverRefusalsToken: InjectionToken<ServerRefusals> = Symbol('ServerRefusals');
 
-/** Follows the upstreams of one host. */
+/** Tracks the refusals of all upstreams as seen by this host. */
 export class ServerRefusals {
 	/**
-	Makes one to which no upstream has refused anything.
-	@param log - tells which are avoided.
-	@param hostCount - gives how many hosts send to the same upstreams.
+	Creates an instance without recorded refusals.
+	@param log - receives a message when an upstream starts to refuse work and when it accepts work again.
+	@param hostCount - returns the number of hosts that send to the same upstreams.
 	*/
 	static create(log: Logger, hostCount: () => number): ServerRefusals {
 		return new ServerRefusals(log, hostCount);
 	}
 
-	/** By `serverId`; only those that refused of late. */
+	/** By `serverId`; contains only upstreams that refused calls recently. */
 	private readonly known = new Map<string, Known>();
 
 	private constructor(private readonly log: Logger, private readonly hostCount: () => number) {}
 
 	/**
-	Tells whether an upstream is left alone while others take work.
+	Checks whether an upstream should be avoided while others accept work.
 	@param serverId - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	isAvoided(serverId: string, nowMs: number): boolean {
 		return this.openInMs(serverId, nowMs) > 0;
 	}
 
 	/**
-	Tells when an upstream is tried again.
+	Computes when an avoided upstream is tried again.
 	@param serverId - the upstream.
-	@param nowMs - the time.
-	@returns milliseconds; 0 for one that is not avoided.
+	@param nowMs - the current time.
+	@returns the time to wait in milliseconds; 0 if the upstream is not avoided.
 	*/
 	openInMs(serverId: string, nowMs: number): number {
 		const known = this.known.get(serverId);
@@ -81,9 +81,9 @@
 	}
 
 	/**
-	A call is sent.
+	Records that a call is sent.
 	@param serverId - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	sent(serverId: string, nowMs: number): void {
 		const known = this.known.get(serverId);
@@ -93,9 +93,9 @@
 	}
 
 	/**
-	An upstream refused a call, not having run it.
+	Records that an upstream refused a call without running it.
 	@param server - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	refused({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, nowMs: number): void {
 		const known = this.known.get(serverId) ?? {
@@ -109,12 +109,12 @@
 		known.sentMs = -Infinity;
 		if (!known.isTold && known.share >= toldShare) {
 			known.isTold = true;
-			this.log.info('An upstream refuses work; it is avoided while others take it.', {server: serverId, pool, refusedShare: Number(known.share.toFixed(2))});
+			this.log.info('An upstream refuses work; it is avoided while other upstreams accept it.', {server: serverId, pool, refusedShare: Number(known.share.toFixed(2))});
 		}
 	}
 
 	/**
-	An upstream took a call.
+	Records that an upstream accepted a call.
 	@param serverId - the upstream.
 	*/
 	taken(serverId: string): void {
@@ -129,13 +129,13 @@
 		if (known.share < forgottenShare) {
 			this.known.delete(serverId);
 			if (known.isTold) {
-				this.log.info('An upstream that refused takes work again.', {server: serverId});
+				this.log.info('An upstream that refused work accepts it again.', {server: serverId});
 			}
 		}
 	}
 
 	/**
-	An upstream is gone.
+	Removes the state of an upstream that no longer exists.
 	@param serverId - the upstream.
 	*/
 	forget(serverId: string): void {
--- a/src/routing/common/server-signs.ts
+++ b/src/routing/common/server-signs.ts
@@ -1,6 +1,6 @@
-/** Signs of life of one upstream: what was sent and not answered yet, and when it was last heard. */
+/** Liveness of one upstream: the sends that have not been answered yet, and when it last responded. */
 
-/** Follows the unanswered sends to one upstream. */
+/** Tracks the unanswered sends to one upstream and whether the upstream should be avoided. */
 export class ServerSigns {
 	static create(): ServerSigns {
 		return new ServerSigns();
@@ -11,7 +11,7 @@
 	private avoidedUntilMs = -Infinity;
 	private failures = 0;
 
-	/** Sends whose answer has not begun. */
+	/** Number of sends whose answer has not started. */
 	get waiting(): number {
 		return this.unanswered.size;
 	}
@@ -20,7 +20,7 @@
 		this.unanswered.set(id, nowMs);
 	}
 
-	/** An answer began, went on or ended. */
+	/** Records that an answer started, continued or ended. */
 	heard(id: string, nowMs: number): void {
 		this.unanswered.delete(id);
 		this.heardMs = nowMs;
@@ -28,16 +28,16 @@
 		this.avoidedUntilMs = -Infinity;
 	}
 
-	/** A send came to its end without an answer. */
+	/** Removes a send that ended without an answer. */
 	forget(id: string): void {
 		this.unanswered.delete(id);
 	}
 
 	/**
-	No connection came about, or it broke: the upstream is left alone for a while that doubles.
-	@param nowMs - the time.
-	@param firstMs - the first while.
-	@param longestMs - the longest while.
+	Records that a connection could not be established or was lost: the upstream is avoided for a time that doubles with each failure.
+	@param nowMs - the current time.
+	@param firstMs - the duration of the first avoidance.
+	@param longestMs - the maximum duration.
 	*/
 	unreachable(nowMs: number, firstMs: number, longestMs: number): void {
 		if (nowMs >= this.avoidedUntilMs) {
@@ -47,9 +47,9 @@
 	}
 
 	/**
-	It has ended, though the list may not say so yet: it is left alone, but for one that is heard from after all.
-	@param nowMs - the time.
-	@param forMs - until its entry is gone.
+	Records that the upstream has crashed, although the list of servers may still contain it: it is avoided for a time, unless it responds after all.
+	@param nowMs - the current time.
+	@param forMs - the time until its entry is removed from the list.
 	*/
 	ended(nowMs: number, forMs: number): void {
 		this.avoidedUntilMs = nowMs + forMs;
@@ -60,9 +60,9 @@
 	}
 
 	/**
-	Tells for how long an answer has been due while the upstream gave no sign at all.
-	@param nowMs - the time.
-	@returns 0 where nothing is due.
+	Computes for how long an answer has been pending while the upstream has not responded at all.
+	@param nowMs - the current time.
+	@returns the time in milliseconds; 0 if no answer is pending.
 	*/
 	silentMs(nowMs: number): number {
 		const [oldestMs] = this.unanswered.values();
--- a/src/routing/common/stage-estimates.ts
+++ b/src/routing/common/stage-estimates.ts
@@ -1,14 +1,14 @@
-/** How long stages take: streaming quantiles of what was seen, by stage and model. */
+/** Estimates of stage durations: streaming quantiles of the observed durations, by stage and model. */
 import {DecayedHistogram} from './decayed-histogram.js';
 
-/** Share of samples that the optimistic estimate lies above. */
+/** Quantile of the optimistic estimate: this share of the samples lies below it. */
 const optimisticShare = 0.1;
 const typicalShare = 0.5;
 const slowShare = 0.95;
-/** Below this many samples an estimate says nothing. */
+/** Minimum weight of samples; with less there is no estimate. */
 const fewestSamples = 8;
 
-/** Estimates for every stage key seen. */
+/** Duration estimates of all stages observed so far. */
 export class StageEstimates {
 	static create(): StageEstimates {
 		return new StageEstimates();
@@ -17,9 +17,9 @@
 	private readonly histograms = new Map<string, DecayedHistogram>();
 
 	/**
-	A stage was completed.
-	@param key - names stage and model.
-	@param tookMs - from its first dispatch to its end.
+	Records a completed stage.
+	@param key - identifies the stage and the model.
+	@param tookMs - the time from its first dispatch to its end.
 	*/
 	record(key: string, tookMs: number): void {
 		let histogram = this.histograms.get(key);
@@ -32,9 +32,9 @@
 	}
 
 	/**
-	Gives the time that even a lucky run takes.
-	@param keys - the stages still to run.
-	@returns milliseconds; stages without samples count as 0.
+	Estimates the shortest time in which stages can be expected to run one after the other.
+	@param keys - the stages that have not run yet.
+	@returns the time in milliseconds; stages without an estimate count as 0.
 	*/
 	optimisticMs(keys: readonly string[]): number {
 		let sumMs = 0;
@@ -45,12 +45,12 @@
 		return sumMs;
 	}
 
-	/** @returns the middle of what was seen of a stage. */
+	/** @returns the median duration of a stage, or undefined with too few samples. */
 	typicalMs(key: string): number | undefined {
 		return this.quantile(key, typicalShare);
 	}
 
-	/** @returns the time after which an attempt is unusually slow. */
+	/** @returns the duration above which an attempt is unusually slow, or undefined with too few samples. */
 	slowMs(key: string): number | undefined {
 		return this.quantile(key, slowShare);
 	}
--- a/src/routing/common/subset.ts
+++ b/src/routing/common/subset.ts
@@ -1,20 +1,19 @@
 /**
-Which upstreams an entry connects to, where there are too many for all: slices of a
-common order, so that each upstream is in as many entries' slices as any other.
+Selects the upstreams that an entry connects to if there are too many to connect to all. Entries take slices of a
+common order, so that every upstream is in the same number of slices.
 */
 import {hashText} from '../../base/common/hash.js';
 
-/** Something with a stable name. */
+/** A host with a stable id. */
 export type Named = {readonly hostId: string};
 
 /**
-Takes an entry's slice of a pool.
+Selects an entry's slice of a pool.
 @param pool - all hosts of the pool.
-@param position - the entry's place among all entries, from 0.
-@param size - hosts wanted; a smaller pool is taken whole.
-@returns the slice. Entries in one round share a common order and take slices that do
-not overlap; each round has an order of its own, by hash, so that a host that comes or
-goes moves few others.
+@param position - the index of the entry among all entries, from 0.
+@param size - the number of hosts to select; a pool that is not larger is returned completely.
+@returns the slice. The entries of one round share an order and take slices that do not overlap. Each round has its own
+order, given by a hash, so that adding or removing a host changes few other assignments.
 */
 export function subsetOf<T extends Named>(pool: readonly T[], position: number, size: number): T[] {
 	if (pool.length <= size) {
@@ -27,6 +26,6 @@
 		.map(host => ({host, key: hashText(host.hostId, round)}))
 		.toSorted((a, b) => a.key - b.key || (a.host.hostId < b.host.hostId ? -1 : 1));
 	const start = (position % slices) * size;
-	// The last slice is filled up from the front, so that no entry has fewer.
+	// The last slice wraps around to the start, so that every entry has the same number of hosts.
 	return Array.from({length: size}, (_, offset) => ordered[(start + offset) % ordered.length].host);
 }
--- a/src/routing/common/upstream-stats.ts
+++ b/src/routing/common/upstream-stats.ts
@@ -1,40 +1,40 @@
-/** What an entry knows of one upstream: its own work there, aged reports, answer times, errors. */
+/** Statistics that an entry keeps on one upstream: its own calls there, the last load report, answer times and errors. */
 import type {UpstreamLoad} from '../../wire/common/messages.js';
 
 const smoothing = 0.2;
 const reportHalfLifeMs = 1000;
 
-/** Learns from replies first and from reports second. */
+/** Tracks the load, speed and errors of one upstream. Replies to this entry weigh more than load reports, which age. */
 export class UpstreamStats {
 	static create(): UpstreamStats {
 		return new UpstreamStats();
 	}
 
-	/** Calls of this entry that have not ended. */
+	/** Calls of this entry that are still running. */
 	inFlight = 0;
 	/**
-	Smoothed answer time against what the same stage takes elsewhere: 1 is usual.
-	Plain times would make an upstream look slow that happened to get long work.
+	Smoothed ratio of the answer time to the typical time of the same stage on all upstreams; 1 is typical.
+	Absolute times would make an upstream look slow because it happened to receive long-running work.
 	*/
 	slowness: number | undefined;
-	/** Smoothed share of calls that failed. */
+	/** Smoothed share of calls that failed, from 0 to 1. */
 	errorShare = 0;
 	/** Failures since the last success. */
 	consecutiveFailures = 0;
 	private report: UpstreamLoad | undefined;
 	private reportAtMs = 0;
-	/** This entry's own work when the report came. */
+	/** Value of `inFlight` when the report arrived. */
 	private inFlightAtReport = 0;
 
-	/** What the upstream carries, as last reported. */
+	/** The last reported load of the upstream. */
 	get load(): UpstreamLoad | undefined {
 		return this.report;
 	}
 
 	/**
-	A report or a reply told the load.
-	@param load - as told.
-	@param nowMs - the time.
+	Records a load that a report or a reply contained.
+	@param load - the reported load.
+	@param nowMs - the current time.
 	*/
 	observeLoad(load: UpstreamLoad, nowMs: number): void {
 		this.report = load;
@@ -43,9 +43,9 @@
 	}
 
 	/**
-	A call ended.
-	@param runMs - its time on the upstream.
-	@param usualMs - what the same stage usually takes.
+	Records the end of a call: its outcome and, if it succeeded, its time.
+	@param runMs - the run time on the upstream.
+	@param usualMs - the typical run time of the same stage.
 	@param isFailure - whether the upstream failed.
 	*/
 	observeEnd(runMs: number, usualMs: number, isFailure: boolean): void {
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	A call ended well or badly.
+	Records whether a call failed, without its time.
 	@param isFailure - whether the upstream failed.
 	*/
 	observeOutcome(isFailure: boolean): void {
@@ -65,9 +65,9 @@
 	}
 
 	/**
-	A call took its time, whether it has ended or not.
-	@param tookMs - what is compared: its whole time, or that to its first token.
-	@param usualMs - the same as it usually is.
+	Records a duration of a call, which may still be running.
+	@param tookMs - the duration to compare: the total time, or the time to the first token.
+	@param usualMs - the typical value of the same duration.
 	*/
 	observeTime(tookMs: number, usualMs: number): void {
 		const ratio = tookMs / Math.max(1, usualMs);
@@ -75,10 +75,10 @@
 	}
 
 	/**
-	Estimates how many answer times a call sent now would wait.
-	@param usualSlots - calls run at once where the upstream does not say.
-	@param nowMs - the time.
-	@returns 0 while a slot is free.
+	Estimates how long a call sent now would wait, in units of the answer time.
+	@param usualSlots - concurrent calls to assume if the upstream does not report its slots.
+	@param nowMs - the current time.
+	@returns the wait as a multiple of the answer time; 0 while a slot is free.
 	*/
 	waitTurns(usualSlots: number, nowMs: number): number {
 		const slots = Math.max(1, this.report?.slots ?? usualSlots);
@@ -86,10 +86,10 @@
 	}
 
 	/**
-	Estimates the calls at the upstream now: the report's, as far as it still holds,
-	moved on by what this entry did since; never less than its own.
-	@param nowMs - the time.
-	@returns calls running or waiting.
+	Estimates the number of calls at the upstream: the reported number, discounted by the age of the report,
+	corrected by what this entry has sent and completed since. Never less than this entry's own calls.
+	@param nowMs - the current time.
+	@returns the number of running and queued calls.
 	*/
 	outstanding(nowMs: number): number {
 		if (!this.report) {
--- a/src/routing/common/windowed-budget.ts
+++ b/src/routing/common/windowed-budget.ts
@@ -1,27 +1,27 @@
-/** Repeats bounded over a sliding window, as a share of first sends and a slack that all hosts divide among them. */
+/** Limits repeated sends (retries and hedges) in a sliding window to a share of the first sends plus a slack that is divided among all hosts. */
 
-/** Bounds on repeats, as the deployment's settings give them. */
+/** Bounds on repeated sends, from the deployment's settings. */
 export type RepeatBounds = {
-	/** Repeats allowed for each first send. */
+	/** Repeats allowed per first send. */
 	readonly ratio: number;
-	/** Repeats allowed in each window besides, over all hosts together. */
+	/** Additional repeats allowed in each window for all hosts together. */
 	readonly slack: number;
 	readonly windowMs: number;
 };
 
-/** The window is counted in this many steps; the oldest is dropped whole. */
+/** Number of buckets in which a window is counted; an expired bucket is dropped as a whole. */
 const stepsPerWindow = 20;
-/** Part of the bounds that is used: hosts count at different moments, and a send counts where it arrives. */
+/** Share of the bounds that is used. The margin covers that the windows of hosts are not aligned and that the bounds apply to sends when they arrive. */
 const usedShare = 0.85;
 
 type Step = {readonly atMs: number; firsts: number; repeats: number; hosts: number};
 
-/** Counts first sends and repeats of one pool on this host. */
+/** Counts the first sends and repeats to one pool on this host. */
 export class WindowedBudget {
 	/**
-	Makes a budget.
-	@param bounds - for all hosts together.
-	@param hostCount - gives how many hosts share the slack now.
+	Creates a budget.
+	@param bounds - the bounds on all hosts together.
+	@param hostCount - returns the number of hosts that share the slack now.
 	*/
 	static create(bounds: RepeatBounds, hostCount: () => number): WindowedBudget {
 		return new WindowedBudget(bounds, hostCount);
@@ -32,25 +32,25 @@
 	private constructor(private readonly bounds: RepeatBounds, private readonly hostCount: () => number) {}
 
 	/**
-	Something was sent for the first time.
-	@param nowMs - the time.
-	@param count - how many.
+	Records first sends.
+	@param nowMs - the current time.
+	@param count - the number of sends.
 	*/
 	countFirst(nowMs: number, count = 1): void {
 		this.stepAt(nowMs).firsts += count;
 	}
 
 	/**
-	Pays for a repeat.
-	@param nowMs - the time.
-	@param count - how many are sent at once.
+	Takes repeats from the budget if it has enough.
+	@param nowMs - the current time.
+	@param count - the number of repeats to send together.
 	@returns whether they may be sent.
 	*/
 	tryWithdraw(nowMs: number, count = 1): boolean {
 		const current = this.stepAt(nowMs);
 		let firsts = 0;
 		let repeats = 0;
-		// Hosts that are cut off or have left may have used their part of the window.
+		// Hosts that are partitioned or have left may have used their part of the slack within this window.
 		let hosts = 1;
 		for (const step of this.steps) {
 			firsts += step.firsts;
--- a/src/routing/common/workspace-limiter.ts
+++ b/src/routing/common/workspace-limiter.ts
@@ -1,20 +1,20 @@
-/** Limits of one workspace at one entry: requests in flight and requests a second. */
+/** Limits the requests of one workspace at one entry: requests in flight and requests per second. */
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 
-/** Limits, as inherited in the settings. */
+/** Limits that apply to a workspace after inheritance in the settings. */
 export type Limits = {
 	readonly maxInFlight: number;
-	/** 0 sets no limit. */
+	/** 0 means no limit. */
 	readonly requestsPerSecond: number;
 	readonly burst: number;
 };
 
-/** Why a request is not let in, and when to come back. */
+/** Why a request was refused, and after what time to retry. */
 export type LimitRefusal = {readonly code: 'tooManyInFlight' | 'rateExceeded'; readonly retryAfterMs: number};
 
 const inFlightRetryMs = 200;
 
-/** Counts a workspace's requests. */
+/** Counts the requests of a workspace against its limits. */
 export class WorkspaceLimiter {
 	static create(nowMs: number): WorkspaceLimiter {
 		return new WorkspaceLimiter(nowMs);
@@ -26,9 +26,9 @@
 	private constructor(private filledMs: number) {}
 
 	/**
-	Lets a request in, or not; one let in must be let out again.
-	@param limits - limits in force.
-	@param nowMs - the time.
+	Admits a request or refuses it. An admitted request must be released when it ends.
+	@param limits - the limits in force.
+	@param nowMs - the current time.
 	*/
 	tryEnter(limits: Limits, nowMs: number): Outcome<undefined, LimitRefusal> {
 		if (this.inFlight >= limits.maxInFlight) {
@@ -50,7 +50,7 @@
 		return ok(undefined);
 	}
 
-	/** A request that was let in has ended. */
+	/** Releases an admitted request that has ended. */
 	leave(): void {
 		this.inFlight--;
 	}
