--- a/src/routing/common/engine-loads.test.ts
+++ b/src/routing/common/engine-loads.test.ts
@@ -2,12 +2,12 @@
 import {EngineLoads, makePrompt} from './engine-loads.js';
 
 const engines = ['e1', 'e2', 'e3'].map(upstreamId => ({upstreamId}));
-/** 61 tokens a millisecond. */
+/** 61 tokens per millisecond. */
 const speed = {msPerToken: 1 / 61, slowness: 1};
 const usual = {speedOf: () => speed, extraMsOf: () => 0};
 const promptOf = (shared: string, own: string) => makePrompt([{id: shared, tokens: 6100}, {id: own, tokens: 610}]);
 
-t.test('the engine that keeps a shared part is taken again, also on another host that was told', async t => {
+t.test('an engine that has cached a shared part is chosen again, also by another host that was notified', async t => {
 	const loads = EngineLoads.create();
 	const other = EngineLoads.create();
 	const first = loads.best(engines, promptOf('s', 'a'), usual, 0)!;
@@ -21,7 +21,7 @@
 	t.equal(loads.estimate(first.upstreamId, again, speed, 500).firstMs, 610 * speed.msPerToken);
 });
 
-t.test('what an engine has still to read counts, and runs down', async t => {
+t.test('pending prefill work counts, and declines with time', async t => {
 	const loads = EngineLoads.create();
 	loads.assign('e1', promptOf('s', 'a'), speed, 0);
 	t.equal(loads.estimate('e1', promptOf('t', 'b'), speed, 0).firstMs, 220);
@@ -29,13 +29,13 @@
 	t.not(loads.best(engines, promptOf('t', 'b'), usual, 0)!.upstreamId, 'e1');
 });
 
-t.test('a part is kept only behind the same parts', async t => {
+t.test('a cached part is usable only after the same preceding parts', async t => {
 	const loads = EngineLoads.create();
 	loads.assign('e1', makePrompt([{id: 'x', tokens: 610}, {id: 'y', tokens: 610}]), speed, 0);
 	t.equal(loads.estimate('e1', makePrompt([{id: 'z', tokens: 610}, {id: 'y', tokens: 610}]), speed, 1000).firstMs, 20);
 });
 
-t.test('a long queue at the keeper is left for reading again elsewhere; a slow engine is left out', async t => {
+t.test('an engine with a long queue is not chosen even if it has cached the part; a slow engine is not chosen', async t => {
 	const loads = EngineLoads.create();
 	loads.assign('e1', promptOf('s', 'a'), speed, 0);
 	for (let index = 0; index < 20; index++) {
@@ -50,14 +50,14 @@
 	t.equal(slow!.upstreamId, 'e3');
 });
 
-t.test('an engine that is gone keeps nothing', async t => {
+t.test('a removed engine has no cached parts', async t => {
 	const loads = EngineLoads.create();
 	loads.assign('e1', promptOf('s', 'a'), speed, 0);
 	loads.forget('e1');
 	t.equal(loads.estimate('e1', promptOf('s', 'b'), speed, 0).firstMs, 110);
 });
 
-t.test('bytes that would cross to an engine count against what it keeps and has to read', async t => {
+t.test('the cost of crossing bytes is weighed against the prefill that a cache saves', async t => {
 	const loads = EngineLoads.create();
 	const small = makePrompt([{id: 's', tokens: 60}, {id: 'a', tokens: 61}]);
 	loads.assign('e1', small, speed, 0);
@@ -65,8 +65,8 @@
 		...usual,
 		extraMsOf: ({upstreamId}: {readonly upstreamId: string}) => upstreamId === near ? 0 : costMs,
 	});
-	t.equal(loads.best(engines, small, usual, 500)!.upstreamId, 'e1', 'it keeps the prompt');
-	t.equal(loads.best(engines, small, farFrom('e3', 90), 500)!.upstreamId, 'e3', 'much would cross');
+	t.equal(loads.best(engines, small, usual, 500)!.upstreamId, 'e1', 'it has cached the prompt');
+	t.equal(loads.best(engines, small, farFrom('e3', 90), 500)!.upstreamId, 'e3', 'many bytes would cross');
 	loads.assign('e1', promptOf('big', 'a'), speed, 0);
-	t.equal(loads.best(engines, promptOf('big', 'b'), farFrom('e3', 90), 500)!.upstreamId, 'e1', 'more would be read again');
+	t.equal(loads.best(engines, promptOf('big', 'b'), farFrom('e3', 90), 500)!.upstreamId, 'e1', 'more would be recomputed');
 });
--- a/src/routing/common/reading-speed.test.ts
+++ b/src/routing/common/reading-speed.test.ts
@@ -8,16 +8,16 @@
 	}
 };
 
-t.test('the speed of engines is learned from nothing, whatever it is', async t => {
+t.test('the prefill speed is learned without an initial value', async t => {
 	for (const msPerToken of [0.005, 0.0164, 0.031, 0.2]) {
 		const reading = ReadingSpeed.create();
-		t.equal(reading.msPerToken, 0, 'nothing is assumed');
+		t.equal(reading.msPerToken, 0, 'no initial value is assumed');
 		learn(reading, msPerToken, 60);
 		t.ok(Math.abs(reading.msPerToken - msPerToken) < msPerToken * 0.15, `${reading.msPerToken} of ${msPerToken}`);
 	}
 });
 
-t.test('a slow engine among sound ones moves it little; a change of all is followed', async t => {
+t.test('one slow engine has little effect on the estimate; a change of all engines is followed', async t => {
 	const reading = ReadingSpeed.create();
 	learn(reading, 0.02, 60);
 	for (let index = 0; index < 100; index++) {
@@ -29,7 +29,7 @@
 	t.ok(reading.msPerToken > 0.034, `${reading.msPerToken}`);
 });
 
-t.test('short prompts tell what a first token takes besides reading', async t => {
+t.test('short prompts update the overhead of a first token', async t => {
 	const reading = ReadingSpeed.create();
 	learn(reading, 0.02, 60);
 	for (let index = 0; index < 200; index++) {
--- a/src/routing/common/routing.test.ts
+++ b/src/routing/common/routing.test.ts
@@ -15,7 +15,7 @@
 	hall: 'a', model: 'm', prefixHash: 0, expectedMs: 100, slots: 4,
 };
 
-t.test('the least busy, the fastest and the one with the model are chosen', async t => {
+t.test('the least busy and the fastest upstream and the one with the model loaded are chosen', async t => {
 	const chooser = ScoreChooser.create(SeededRandom.create(1), PrefixIndex.create());
 	const choose = (candidates: Candidate[]) => chooser.choose(makeCandidateSet(candidates), need, 1000).chosen.upstreamId;
 	const busy = candidatesOf(3);
@@ -35,7 +35,7 @@
 	t.equal(choose(loaded), 'u1');
 });
 
-t.test('an old report fades, the entry\'s own work does not', async t => {
+t.test('an old report loses weight, the entry\'s own calls do not', async t => {
 	const stats = UpstreamStats.create();
 	stats.observeLoad({
 		running: 8, queued: 8, slots: 8, serviceMs: 10, models: [],
@@ -46,7 +46,7 @@
 	t.ok(stats.outstanding(10_000) >= 3);
 });
 
-t.test('outliers are left out for a while, within the bound on their share', async t => {
+t.test('outliers are ejected for a time, up to the maximum share of the pool', async t => {
 	const candidates = candidatesOf(6);
 	const outliers = OutlierDetector.create();
 	for (const candidate of candidates.slice(0, 4)) {
@@ -57,12 +57,12 @@
 		outliers.observe(candidate, candidates, medianSlownessOf(candidates), 0);
 	}
 
-	t.equal(outliers.withoutEjected(candidates, 1).length, 4, 'two of six, though four failed');
-	t.equal(outliers.withoutEjected(candidates, 60_000).length, 6, 'and they come back');
+	t.equal(outliers.withoutEjected(candidates, 1).length, 4, 'two of six are ejected, although four failed');
+	t.equal(outliers.withoutEjected(candidates, 60_000).length, 6, 'ejections end');
 	t.equal(OutlierDetector.create().withoutEjected([], 0).length, 0);
 });
 
-t.test('retries are a share of first attempts, with a floor for the quiet', async t => {
+t.test('retries are limited to a share of first attempts, with a floor for workspaces with few requests', async t => {
 	const budget = RetryBudget.create(0);
 	const spend = (nowMs: number) => {
 		let count = 0;
@@ -79,11 +79,11 @@
 	}
 
 	t.ok(Math.abs(spend(0) - 10) <= 1);
-	t.equal(spend(3000), 3, 'one a second');
+	t.equal(spend(3000), 3, 'one per second');
 	t.equal(RetryBudget.create(0, 0).tryWithdraw(60_000), false, 'hedges have no floor');
 });
 
-t.test('a workspace is held to its limits, and told when to come back', async t => {
+t.test('a workspace is kept within its limits, and refusals give a retry delay', async t => {
 	const limiter = WorkspaceLimiter.create(0);
 	const limits = {maxInFlight: 2, requestsPerSecond: 10, burst: 3};
 	t.equal(limiter.tryEnter(limits, 0).ok, true);
--- a/src/routing/common/send-bounds.test.ts
+++ b/src/routing/common/send-bounds.test.ts
@@ -33,14 +33,14 @@
 	};
 }
 
-t.test('a server gets what each of its bounds allows; one in a drained hall gets nothing', async t => {
+t.test('a server gets the minimum of its bounds; a server in a drained data hall gets nothing', async t => {
 	const {state, bounds, left, sendAll} = makeBounds();
 	t.equal(left(0), Infinity);
 	bounds.sent(server, 0);
 	state.coldLeftMs = 900;
-	t.equal(left(0), 5, 'half of what a cold one bears');
+	t.equal(left(0), 5, 'half of the bound of a cold server');
 	state.limit = {perS: 1, quietMs: 0};
-	t.equal(left(0), 1, 'one a second');
+	t.equal(left(0), 1, 'one per second');
 	t.equal(bounds.allowance(server, anyWork, 0).perS, 1);
 	sendAll(0);
 	state.coldLeftMs = 0;
@@ -50,7 +50,7 @@
 	t.equal(left(4000), 0);
 });
 
-t.test('a server that rests gets nothing of any kind, trials of its limit included; who can\'t be served is told when it is over', async t => {
+t.test('a server in backoff gets no requests, not even trials of its limit; the retry delay is the remaining backoff', async t => {
 	const {state, bounds, left} = makeBounds();
 	state.restMs = 700;
 	t.equal(left(0), 0);
@@ -62,7 +62,7 @@
 	t.ok(left(60_000) > 0);
 });
 
-t.test('who can\'t be served is told when there is room: at the next send, or once a server is warm', async t => {
+t.test('the retry delay ends when the next send is allowed, or once a server is warm', async t => {
 	const {state, bounds, sendAll} = makeBounds();
 	state.coldLeftMs = 900;
 	sendAll(0);
@@ -71,14 +71,14 @@
 	limited.state.limit = {perS: 1, quietMs: 0};
 	limited.sendAll(0);
 	t.equal(limited.bounds.retryAfterMs([server], 400), 600);
-	t.equal(limited.bounds.retryAfterMs([server], 990), 300, 'no sooner than it could be of use');
+	t.equal(limited.bounds.retryAfterMs([server], 990), 300, 'not below the minimum delay');
 });
 
-t.test('a limit that nobody repeats is looked at by one host after the other', async t => {
+t.test('a limit that is no longer announced is tried by one host after the other', async t => {
 	const hosts = Array.from({length: 8}, (_, index) => `h${index}`);
 	const trialMs = hosts.map(own => {
 		const {state, left} = makeBounds(hosts, own);
-		// A host that knows of nobody whether the others still send.
+		// A host that does not know whether any other host still sends.
 		state.isSettled = false;
 		let quietMs = 0;
 		do {
@@ -91,7 +91,7 @@
 	t.same(trialMs, hosts.map((_, index) => 15_000 + (index * 1000)));
 });
 
-t.test('a trial that is not answered is not made again at once', async t => {
+t.test('an unanswered trial is not repeated immediately', async t => {
 	const {state, bounds, left} = makeBounds();
 	state.isSettled = false;
 	state.limit = {perS: 1, quietMs: 20_000};
--- a/src/routing/common/send-share.test.ts
+++ b/src/routing/common/send-share.test.ts
@@ -1,8 +1,8 @@
 /**
-Pattern: an upstream that is cold, or names a limit, and looks idle, so that every host would send to it all it has, while hosts come, go,
-are cut off from each other in groups, and all start anew. Figures: 31 hosts in three halls with a seed in each; a cold upstream bears 9.1 requests
-a second, 1.5 times that and 5 besides allowed; of a limit one and a half times what it allows in 4 s, and 5 besides; cuts of up to 12 s.
-Hosts tell each other whom they know every 100 ms.
+Guards against hosts that together exceed the bound of an upstream. A cold or limited upstream looks idle, so that every host would send it all
+its requests, while hosts join, leave, are partitioned in groups, or all restart. Setup: 31 hosts in three data halls with one seed each. A cold
+upstream tolerates 9.1 requests per second, and 1.5 times that plus 5 are allowed; with a limit, one and a half times what it allows in 4 s plus 5
+are allowed. Partitions last up to 12 s. Hosts exchange the names of known hosts every 100 ms.
 */
 import fc from 'fast-check';
 import t from 'tap';
@@ -26,7 +26,7 @@
 
 type Host = {readonly name: string; readonly hall: number; memory: FleetMemory; share: SendShare; upAtMs: number};
 
-/** Hosts that are cut off for a time: from all others, or only their hall from the other halls. */
+/** A temporary network partition: hosts of a data hall are isolated from all other hosts, or only from the other data halls. */
 type Cut = {readonly atMs: number; readonly forMs: number; readonly hall: number; readonly isAlone: boolean};
 type Restart = {readonly atMs: number; readonly hosts: readonly number[]; readonly spreadMs: number};
 
@@ -47,7 +47,7 @@
 
 	private constructor(private readonly bound: RateBound) {}
 
-	/** Hosts lose all they knew. */
+	/** Restarts hosts without their state. */
 	restart({hosts, spreadMs}: Restart): void {
 		for (const [turn, index] of hosts.entries()) {
 			if (index < this.hosts.length) {
@@ -71,7 +71,7 @@
 		}
 	}
 
-	/** Most sends within any span. */
+	/** Maximum number of sends within any time span of this length. */
 	mostWithin(spanMs: number): number {
 		let most = 0;
 		let first = 0;
@@ -145,21 +145,21 @@
 	return fleet;
 }
 
-t.test('all hosts together send less than a cold upstream bears, whoever is cut off, comes or starts anew', async t => {
+t.test('all hosts together stay within the bound of a cold upstream during partitions, joins and restarts', async t => {
 	fc.assert(fc.property(changesArbitrary, changes => {
 		const most = play(changes, coldBound).mostWithin(secondMs);
 		t.ok(most <= mostPerS, `${most} of ${changes[0]} hosts`);
 	}), {seed: 1, numRuns: 40});
 });
 
-t.test('all hosts together send no more than a limit allows, whoever is cut off, comes or starts anew', async t => {
+t.test('all hosts together stay within the bound of a limit during partitions, joins and restarts', async t => {
 	fc.assert(fc.property(changesArbitrary, fc.constantFrom(0, 0.2, 0.7, 1, 2, 4, 25), (changes, perS) => {
 		const most = play(changes, boundOfLimit(perS)).mostWithin(limitSpanMs);
 		t.ok(most <= mostOfLimit(perS), `${most} of ${changes[0]} hosts at a limit of ${perS}`);
 	}), {seed: 2, numRuns: 15});
 });
 
-t.test('a cold upstream gets its part, however many hosts there are', async t => {
+t.test('a cold upstream receives the requests it may get for any number of hosts', async t => {
 	for (const hostCount of [1, 2, 3, 31]) {
 		const fleet = Fleet.create(hostCount, []);
 		fleet.run(hostCount < hallCount ? 40_000 : 10_000, []);
@@ -167,7 +167,7 @@
 	}
 });
 
-t.test('a limited upstream gets three quarters of what it names at least, however many hosts there are, and is not left idle for most of the time', async t => {
+t.test('a limited upstream receives at least 70 % of its limit for any number of hosts, without idle gaps longer than a window', async t => {
 	for (const hostCount of [3, 8, 31, 200]) {
 		for (const perS of hostCount > 31 ? [1, 25] : [0.2, 0.5, 1, 2, 4, 25]) {
 			const hosts = Array.from({length: hostCount}, (_, index) => `10.0.0.${index}:1`);
@@ -189,7 +189,7 @@
 	}
 });
 
-t.test('a host that alone sends work of a kind has the whole bound, in even steps', async t => {
+t.test('a sole sender has the whole bound, spread over the window', async t => {
 	const bound = boundOfLimit(2);
 	const hosts = Array.from({length: 31}, (_, index) => `h${index}`);
 	const soleWork = {isSoleSender: true};
@@ -208,18 +208,18 @@
 	}
 
 	const stranger = SendShare.create(() => ({own: 'h1', hosts, isSettled: false}));
-	t.equal(stranger.left('s', bound, soleWork, 0), 0, 'none has it that does not know the others');
+	t.equal(stranger.left('s', bound, soleWork, 0), 0, 'a host that is not settled has no quota');
 });
 
-t.test('a limit below one request in a window is one in a longer window', async t => {
+t.test('a limit of less than one request per window is one request in a longer window', async t => {
 	t.equal(boundOfLimit(0.2).most, 1);
 	t.equal(boundOfLimit(0.2).windowMs, 5000);
 	t.same(boundOfLimit(0), boundOfLimit(0.2));
 	t.same(boundOfLimit(1), {most: 4, windowMs: 4000, isPaced: true});
-	t.equal(perSecondOf(boundOfLimit(4)), 3.5, 'half of what is stood for');
+	t.equal(perSecondOf(boundOfLimit(4)), 3.5, 'half of the tolerated requests');
 });
 
-t.test('the next send is due once the oldest of the window has left it', async t => {
+t.test('the next send is due when the oldest send leaves the window', async t => {
 	const share = SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: true}));
 	const bound = {most: 2, windowMs: 1000, isPaced: false};
 	share.sent('s', 0);
@@ -229,7 +229,7 @@
 	const paced = {most: 2, windowMs: 1000, isPaced: true};
 	t.equal(share.nextInMs('t', paced, anyWork, 400), 0);
 	share.sent('t', 400);
-	t.equal(share.nextInMs('t', paced, anyWork, 400), 500, 'half of the window for one of two');
+	t.equal(share.nextInMs('t', paced, anyWork, 400), 500, 'half of the window for each of two');
 	const stranger = SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: false}));
 	t.equal(stranger.nextInMs('s', bound, anyWork, 400), undefined);
 });
--- a/src/routing/common/send-share.ts
+++ b/src/routing/common/send-share.ts
@@ -1,5 +1,5 @@
 /**
-Determines how many requests this host may send to an upstream whose rate is bounded for all hosts together: a cold upstream, which crashes
+Determines how many requests this host may send to an upstream whose rate is bounded for all hosts together: a cold upstream, which fails
 above a rate that its pool declares, or an upstream that announces a limit.
 
 The bound must hold for all hosts together, even if some are partitioned or have just started. An upstream with little load is the best
--- a/src/routing/common/server-refusals.test.ts
+++ b/src/routing/common/server-refusals.test.ts
@@ -5,7 +5,7 @@
 const server = {serverId: 's', pool: 'p'};
 const makeRefusals = (hostCount = 1) => ServerRefusals.create(silentLoggers.for('test'), () => hostCount);
 
-/** Sends calls whenever the upstream is not avoided, for some seconds; tells when. */
+/** Sends a call whenever the upstream is not avoided, and returns the send times. */
 function play(refusals: ServerRefusals, isRefused: (index: number) => boolean, fromMs: number, toMs: number): number[] {
 	const sentMs: number[] = [];
 	for (let nowMs = fromMs; nowMs < toMs; nowMs += 10) {
@@ -26,37 +26,37 @@
 	return sentMs;
 }
 
-t.test('an upstream that refuses all is tried once a second after the first second', async t => {
+t.test('an upstream that refuses all calls is tried once per second after the first second', async t => {
 	const sentMs = play(makeRefusals(), () => true, 0, 10_000);
 	const later = sentMs.filter(atMs => atMs > 1000).length;
 	t.ok(later <= 10, `${later} in 9 s`);
-	t.ok(later >= 8, 'but it is tried');
+	t.ok(later >= 8, 'it is tried nevertheless');
 });
 
-t.test('among many hosts each one tries it less often, but within four seconds', async t => {
+t.test('with many hosts each host tries an upstream less often, but within four seconds', async t => {
 	const sentMs = play(makeRefusals(31), () => true, 0, 41_000).filter(atMs => atMs > 1000);
 	t.ok(sentMs.length >= 10 && sentMs.length <= 13, `${sentMs.length} in 40 s`);
-	t.ok(play(makeRefusals(3), () => true, 0, 10_000).length > 8, 'few hosts try it once a second');
+	t.ok(play(makeRefusals(3), () => true, 0, 10_000).length > 8, 'with few hosts each tries it once per second');
 });
 
-t.test('how long one is avoided grows with the part that it refuses', async t => {
+t.test('the avoidance time grows with the refused share', async t => {
 	const [seldom, half, all] = [10, 2, 1].map(each => play(makeRefusals(), index => index % each === 0, 0, 10_000).length);
-	t.ok(seldom > 300, `${seldom} of 1000 where one in ten is refused`);
-	t.ok(half < seldom / 4, `${half} where half is refused`);
-	t.ok(all < half, `${all} where all is refused`);
+	t.ok(seldom > 300, `${seldom} of 1000 with one in ten refused`);
+	t.ok(half < seldom / 4, `${half} with half refused`);
+	t.ok(all < half, `${all} with all refused`);
 });
 
-t.test('one that takes work again gets its usual part at once, and counts as sound soon', async t => {
+t.test('an upstream that accepts work again gets its full share immediately, and its refusals are forgotten soon', async t => {
 	const refusals = makeRefusals();
 	play(refusals, () => true, 0, 5000);
 	const sentMs = play(refusals, () => false, 5000, 7000);
 	t.ok(sentMs[0] <= 6000);
-	t.equal(sentMs.length, ((7000 - sentMs[0]) / 10), 'nothing is held back after the first that is taken');
+	t.equal(sentMs.length, ((7000 - sentMs[0]) / 10), 'no call is held back after the first accepted one');
 	refusals.refused(server, 7000);
 	t.ok(refusals.openInMs('s', 7000) < 200);
 });
 
-t.test('a trial is one call until it is answered, or for a while', async t => {
+t.test('only one trial call is sent until it is answered or times out', async t => {
 	const refusals = makeRefusals();
 	refusals.refused(server, 0);
 	const openMs = refusals.openInMs('s', 0);
--- a/src/routing/common/sleep.test.ts
+++ b/src/routing/common/sleep.test.ts
@@ -1,6 +1,6 @@
 /**
-What a host remembers for a time is as old as the world says after a sleep: the clock that all of it is asked with counts the time slept.
-Each part here is asked just before a sleep and just after waking, without a timer having run.
+Guards against state that expires too late because the machine was suspended. The clock that is used for all timed state includes the time
+of a suspend. Each component is queried just before a suspend and just after the resume, without a timer having run.
 */
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
@@ -19,18 +19,18 @@
 import {ServerSigns} from './server-signs.js';
 import {WindowedBudget} from './windowed-budget.js';
 
-t.test('a budget of repeats: what was sent before a sleep longer than its window allows and costs nothing more', async t => {
+t.test('a retry budget ignores first sends and repeats from before a suspend that is longer than its window', async t => {
 	const clock = ManualClock.create();
 	const budget = WindowedBudget.create({ratio: 0.2, slack: 2, windowMs: 10_000}, () => 1);
 	budget.countFirst(clock.nowMs(), 1000);
 	t.ok(budget.tryWithdraw(clock.nowMs(), 100));
 	t.notOk(budget.tryWithdraw(clock.nowMs(), 100));
 	clock.sleep(11_000);
-	t.notOk(budget.tryWithdraw(clock.nowMs(), 100), 'the first sends are as old as the repeats');
+	t.notOk(budget.tryWithdraw(clock.nowMs(), 100), 'the first sends have expired like the repeats');
 	t.ok(budget.tryWithdraw(clock.nowMs(), 1));
 });
 
-t.test('an upstream that was left alone is not for longer than it was meant', async t => {
+t.test('the avoidance of an upstream is not prolonged by a suspend', async t => {
 	const clock = ManualClock.create();
 	const signs = ServerSigns.create();
 	signs.unreachable(clock.nowMs(), 400, 4000);
@@ -39,7 +39,7 @@
 	t.notOk(signs.isAvoided(clock.nowMs()));
 });
 
-t.test('a bar of a content ends while the host sleeps', async t => {
+t.test('a quarantine of a content expires during a suspend', async t => {
 	const clock = ManualClock.create();
 	const record = EndRecord.create(1);
 	const contentId = 'c'.repeat(32);
@@ -50,7 +50,7 @@
 	t.ok(record.barredUntilMs(contentId, clock.nowMs()) <= clock.nowMs());
 });
 
-t.test('a server that was cold is warm once it has had the time', async t => {
+t.test('a cold server warms up during a suspend', async t => {
 	const clock = ManualClock.create();
 	const registry = ServerRegistry.create({log: silentLoggers.for('test'), leavingWithinMs: 2000});
 	registry.replaceAll({
@@ -65,7 +65,7 @@
 	t.equal(registry.coldLeftMs('s', clock.nowMs()), 0);
 });
 
-t.test('sends to a cold upstream are as long ago as the world says', async t => {
+t.test('sends to a cold upstream expire during a suspend', async t => {
 	const clock = ManualClock.create();
 	const share = SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: true}));
 	const bound = boundOfCold(4, {excess: 1.5, tolerance: 5});
@@ -80,7 +80,7 @@
 	t.equal(left(), 5);
 });
 
-t.test('hosts that were met are remembered through a sleep, and forgotten after a very long one', async t => {
+t.test('known hosts are remembered through a suspend, and forgotten after a very long one', async t => {
 	const clock = ManualClock.create();
 	const memory = FleetMemory.create('10.0.0.1:1', clock.nowMs());
 	memory.seen(['10.0.0.2:1'], clock.nowMs());
@@ -90,7 +90,7 @@
 	t.same(memory.view([], clock.nowMs()).hosts, ['10.0.0.1:1']);
 });
 
-t.test('limits of callers that were seen before a long sleep say nothing of those after it', async t => {
+t.test('time limits of callers from before a long suspend are not compared with those after it', async t => {
 	const clock = ManualClock.create();
 	const tries = FirstTries.create();
 	for (let index = 0; index < 10; index++) {
@@ -106,7 +106,7 @@
 	t.equal(tries.sinceFirstTryMs('r', 9000, 4000, clock.nowMs()), 0);
 });
 
-t.test('a limit that was named before a sleep is looked at once more, and an end that fell into the sleep has taken effect', async t => {
+t.test('a limit announced before a suspend is tried again, and a limit whose end fell into the suspend no longer applies', async t => {
 	const clock = ManualClock.create();
 	const limits = ServerLimits.create({random: SeededRandom.create(1), log: silentLoggers.for('test'), metrics: noMetrics});
 	const server = {serverId: 's', pool: 'p', hall: 'a'};
@@ -127,7 +127,7 @@
 	t.equal(limits.limitOf('s', clock.nowMs()), undefined);
 });
 
-t.test('a rest that was asked for before a sleep goes on while the host sleeps, and is over on waking if its time is', async t => {
+t.test('a backoff continues during a suspend, and is over on resume if its time has passed', async t => {
 	const clock = ManualClock.create();
 	const rests = ServerRests.create({log: silentLoggers.for('test'), metrics: noMetrics});
 	rests.answered({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
--- a/src/routing/common/windowed-budget.test.ts
+++ b/src/routing/common/windowed-budget.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {WindowedBudget} from './windowed-budget.js';
 
-t.test('repeats stay within a share of first sends and of the slack, in any window', async t => {
+t.test('repeats are limited to a share of first sends plus a part of the slack in any window', async t => {
 	let hosts = 5;
 	const budget = WindowedBudget.create({ratio: 0.2, slack: 50, windowMs: 10_000}, () => hosts);
 	const draw = (nowMs: number) => {
@@ -13,16 +13,16 @@
 		return drawn;
 	};
 
-	t.equal(draw(0), 8, 'the slack of one in five hosts, with a margin');
+	t.equal(draw(0), 8, 'the slack of one of five hosts, less the margin');
 	budget.countFirst(1000, 100);
-	t.equal(draw(1000), 17, 'a fifth of the first sends besides');
+	t.equal(draw(1000), 17, 'plus a fifth of the first sends');
 	t.equal(draw(9000), 0);
 	hosts = 1;
-	t.equal(draw(9000), 0, 'alone, but the others may have used their parts of the window');
-	t.equal(draw(21_000), 42, 'alone for a window it has all of the slack');
+	t.equal(draw(9000), 0, 'alone, but the others may have used their parts of the slack');
+	t.equal(draw(21_000), 42, 'the whole slack after a window alone');
 });
 
-t.test('hosts that were there within the window still count: they may have used their part', async t => {
+t.test('hosts that left within the window still count, since they may have used their part', async t => {
 	let hosts = 4;
 	const budget = WindowedBudget.create({ratio: 0, slack: 40, windowMs: 10_000}, () => hosts);
 	budget.countFirst(0);
@@ -32,6 +32,6 @@
 		paid++;
 	}
 
-	t.equal(paid, 8, 'a quarter, less the margin');
-	t.ok(budget.tryWithdraw(20_000), 'alone for a whole window: all of it');
+	t.equal(paid, 8, 'a quarter of the slack, less the margin');
+	t.ok(budget.tryWithdraw(20_000), 'the whole slack after a window alone');
 });
