--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -11,7 +11,7 @@
 import {
 	LeastInFlightChooser, RandomChooser, RoundRobinChooser, type UpstreamChooser,
 } from '../src/routing/common/chooser.js';
-import {ArrivalQueue} from '../src/routing/common/fair-queue.js';
+import {FifoQueue} from '../src/routing/common/fair-queue.js';
 
 /** A policy by name, and how it is put into a daemon. */
 export type Policy = {readonly name: string; readonly adjust?: (parts: DependencyContainer) => void};
@@ -21,7 +21,7 @@
 	return {
 		name,
 		adjust(parts) {
-			parts.register(gateToken, {useFactory: instanceCachingFactory(() => GateMachine.create(defaultLimits, ArrivalQueue.create()))});
+			parts.register(gateToken, {useFactory: instanceCachingFactory(() => GateMachine.create(defaultLimits, FifoQueue.create()))});
 			parts.register(routerToken, {
 				useFactory: instanceCachingFactory(() => FleetRouter.create({
 					hall: parts.resolve(identityToken).hall,
--- a/src/daemon/common/direct-settings.ts
+++ b/src/daemon/common/direct-settings.ts
@@ -1,6 +1,6 @@
 /** Settings of a host whose entry calls upstreams itself; the adapter of a platform makes them of what that platform gives. */
 import type {Endpoint} from '../../wire/common/endpoint.js';
-import type {HostCapacity} from '../../routing/common/host-room.js';
+import type {HostResources} from '../../routing/common/host-capacity.js';
 import type {ColdBounds} from '../../routing/common/rate-bound.js';
 import type {RepeatBounds} from '../../routing/common/windowed-budget.js';
 
@@ -26,7 +26,7 @@
 	/** Within this time after the store took it a server that leaves must get no more. */
 	readonly leavingWithinMs: number;
 	/** What this host may use. */
-	readonly capacity: HostCapacity;
+	readonly capacity: HostResources;
 	/** Where figures are served; nowhere if absent. */
 	readonly metrics?: Endpoint;
 	/** Shared by all hosts of a deployment. */
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -36,7 +36,7 @@
 import {QuarantineNews} from '../../quarantine/node/quarantine-news.js';
 import {RequestRunner} from '../../request/node/request-runner.js';
 import {EngineLoads} from '../../routing/common/engine-loads.js';
-import {roomOf} from '../../routing/common/host-room.js';
+import {sharedCapacityOf} from '../../routing/common/host-capacity.js';
 import {PrefixIndex} from '../../routing/common/prefix-index.js';
 import {sendBoundsToken} from '../../routing/common/send-bounds.js';
 import {serverRefusalsToken} from '../../routing/common/server-refusals.js';
@@ -106,7 +106,7 @@
 			deploymentVersion: get(deploymentBoardToken).version,
 			listRevision: get(serverRegistryToken).revision,
 			isLeaving: isLeaving(),
-			room: roomOf(settings.capacity),
+			room: sharedCapacityOf(settings.capacity),
 			storeAgeMs: storeAgeMs(get),
 			...(get(hallDrainsToken).told.length > 0 && {hallDrains: [...get(hallDrainsToken).told]}),
 		}),
@@ -146,7 +146,7 @@
 	}));
 	register(promptNewsToken, () => lifecycle.register(PromptNews.create({
 		hostId: settings.hostId,
-		room: roomOf(settings.capacity),
+		room: sharedCapacityOf(settings.capacity),
 		mesh: get(peerMeshToken),
 		heard(serverId, parts) {
 			get(routerToken).promptSent(serverId, parts, clock.nowMs());
@@ -174,7 +174,7 @@
 function registerPreparation({settings, ports, lifecycle, clock, metrics, logOf, register, get, isLeaving, hostCount}: Composition): void {
 	register(batchDeskToken, () => lifecycle.register(BatchDesk.create({
 		hostId: settings.hostId,
-		room: roomOf(settings.capacity),
+		room: sharedCapacityOf(settings.capacity),
 		mesh: get(peerMeshToken),
 		clock,
 		log: logOf('batches'),
--- a/src/daemon/node/compose-feeds.ts
+++ b/src/daemon/node/compose-feeds.ts
@@ -11,7 +11,7 @@
 import {FeedFollower} from '../../deployment/node/feed-follower.js';
 import {peerMeshToken} from '../../peers/node/peer-mesh.js';
 import {ReadingDuty, readingDutyToken} from '../../peers/node/reading-duty.js';
-import {roomOf} from '../../routing/common/host-room.js';
+import {sharedCapacityOf} from '../../routing/common/host-capacity.js';
 import type {Composition} from './direct-composition.js';
 
 export const declarationFeedToken: InjectionToken<FeedFollower<OperatorRow>> = Symbol('DeclarationFeed');
@@ -43,7 +43,7 @@
 
 	register(readingDutyToken, () => ReadingDuty.create({
 		hostId: settings.hostId,
-		room: roomOf(settings.capacity),
+		room: sharedCapacityOf(settings.capacity),
 		mesh: get(peerMeshToken),
 		newsWithinMs: Math.min(settings.declarationWithinMs, settings.leavingWithinMs),
 		clock,
--- a/src/daemon/node/compose-state.ts
+++ b/src/daemon/node/compose-state.ts
@@ -33,9 +33,9 @@
 	register(sendBoundsToken, () => SendBounds.create({
 		registry: get(serverRegistryToken),
 		limits: get(serverLimitsToken),
-		rests: get(serverRestsToken),
+		backoffs: get(serverRestsToken),
 		share: SendShare.create(nowMs => get(peerMeshToken).fleetView(nowMs)),
 		cold: settings.cold,
-		bearsPerS: pool => get(deploymentBoardToken).current?.pool(pool)?.cold?.bearsPerS ?? 0,
+		toleratedPerS: pool => get(deploymentBoardToken).current?.pool(pool)?.cold?.bearsPerS ?? 0,
 	}));
 }
--- a/src/direct/common/bounded-pool.test.ts
+++ b/src/direct/common/bounded-pool.test.ts
@@ -27,17 +27,17 @@
 		const bounds = SendBounds.create({
 			registry: {coldLeftMs: () => 0, takesNew: () => true, onDidChange: () => ({dispose: () => undefined})},
 			limits: {limitOf: () => ({perS: limitPerS, quietMs: 0}), forget: () => undefined},
-			rests: {leftMs: () => 0, forget: () => undefined},
-			share: SendShare.create(() => ({own, hosts, isSettled: true})),
+			backoffs: {leftMs: () => 0, forget: () => undefined},
+			share: SendShare.create(() => ({ownName: own, hosts, isSettled: true})),
 			cold: undefined,
-			bearsPerS: () => 0,
+			toleratedPerS: () => 0,
 		});
 		const admission = BoundedAdmission.create(PoolAvailability.create({registry: {usable: () => servers, isPoolClosed: () => false}, bounds}));
 		return {
 			/** Whether a request is taken; it is sent at once then. */
 			take(rank: number, nowMs: number): boolean {
 				const isAdmitted = admission.admit(pool, rank, nowMs) === undefined;
-				const server = isAdmitted ? servers.find(each => bounds.mayGet(each, anyWork, nowMs)) : undefined;
+				const server = isAdmitted ? servers.find(each => bounds.maySend(each, anyWork, nowMs)) : undefined;
 				if (server) {
 					bounds.sent(server, nowMs);
 				}
--- a/src/direct/common/direct-router.test.ts
+++ b/src/direct/common/direct-router.test.ts
@@ -49,10 +49,10 @@
 			bounds: SendBounds.create({
 				registry: servers,
 				limits: {limitOf: () => undefined, forget: () => undefined},
-				rests: {leftMs: () => 0, forget: () => undefined},
-				share: SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: true})),
+				backoffs: {leftMs: () => 0, forget: () => undefined},
+				share: SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: true})),
 				cold,
-				bearsPerS: () => 4,
+				toleratedPerS: () => 4,
 			}),
 		}),
 	});
--- a/src/direct/common/direct-router.ts
+++ b/src/direct/common/direct-router.ts
@@ -12,7 +12,7 @@
 import {medianSlownessOf, OutlierDetector, type OutlierOptions} from '../../routing/common/outlier-detector.js';
 import type {PromptPart} from '../../routing/common/engine-loads.js';
 import type {ServerRefusals} from '../../routing/common/server-refusals.js';
-import {ServerSigns} from '../../routing/common/server-signs.js';
+import {ServerLiveness} from '../../routing/common/server-liveness.js';
 import {StageEstimates} from '../../routing/common/stage-estimates.js';
 import {UpstreamStats} from '../../routing/common/upstream-stats.js';
 import {WindowedBudget, type RepeatBounds} from '../../routing/common/windowed-budget.js';
@@ -35,7 +35,7 @@
 const hedgeSlowFactor = 1.3;
 /** An error is often the request's own, so more of them are needed than by default. */
 const outlierOptions: OutlierOptions = {
-	consecutiveFailures: 6, errorShare: 0.5, slowFactor: 3, baseEjectionMs: 1500, longestEjectionMs: 6000, mostEjectedShare: 0.5,
+	consecutiveFailures: 6, errorShare: 0.5, slowFactor: 3, baseEjectionMs: 1500, maxEjectionMs: 6000, maxEjectedShare: 0.5,
 };
 
 /** Ends of attempts that say nothing about the upstream. */
@@ -63,7 +63,7 @@
 /** Where a request will most likely run, and how soon its first token comes once it is sent. */
 export type LikelyPlace = {readonly hall: string; readonly firstMs: number};
 
-type Known = {readonly candidate: Candidate; readonly signs: ServerSigns};
+type Known = {readonly candidate: Candidate; readonly signs: ServerLiveness};
 
 /** Chooses servers for one host. */
 export class DirectRouter implements RequestRouter {
@@ -118,7 +118,7 @@
 	}
 
 	retryAfterMs({pool}: StagePlan, nowMs: number): number | undefined {
-		const openInMs = this.options.registry.usable(pool).map(({serverId}) => this.options.refusals.openInMs(serverId, nowMs));
+		const openInMs = this.options.registry.usable(pool).map(({serverId}) => this.options.refusals.retryInMs(serverId, nowMs));
 		const soonestMs = Math.min(...openInMs);
 		return soonestMs > 0 && soonestMs < Infinity ? soonestMs : undefined;
 	}
@@ -166,14 +166,14 @@
 		}
 
 		if (kind === 'first') {
-			this.budgetOf(stage.pool).countFirst(nowMs);
+			this.budgetOf(stage.pool).countFirstSends(nowMs);
 		}
 	}
 
 	didBegin(stage: StagePlan, attempt: Attempt, nowMs: number): void {
 		const {upstreamId, dispatchId, sentAtMs} = attempt.options;
 		const known = this.known.get(upstreamId);
-		this.options.refusals.taken(upstreamId);
+		this.options.refusals.accepted(upstreamId);
 		if (known) {
 			this.options.engines.began(dispatchId, stage.pool, known.candidate, nowMs - sentAtMs);
 		}
@@ -209,7 +209,7 @@
 		}
 
 		if (attempt.reason === 'notSent' || attempt.reason === 'unreachable') {
-			signs.unreachable(nowMs, unreachableMs, longestUnreachableMs);
+			signs.connectionFailed(nowMs, unreachableMs, longestUnreachableMs);
 			return;
 		}
 
@@ -224,7 +224,7 @@
 		}
 
 		if (attempt.state !== attemptStates.notRun) {
-			this.options.refusals.taken(upstreamId);
+			this.options.refusals.accepted(upstreamId);
 			candidate.stats.observeOutcome(isFailure);
 			if (!isFailure && !stage.prompt) {
 				candidate.stats.observeTime(tookMs, this.answerTimes.typicalMs(stage.key) ?? defaultAnswerMs);
@@ -265,7 +265,7 @@
 	@param nowMs - the time.
 	*/
 	serverEnded(serverId: string, nowMs: number): void {
-		this.knownOf(serverId, nowMs)?.signs.ended(nowMs, endedMs);
+		this.knownOf(serverId, nowMs)?.signs.crashed(nowMs, endedMs);
 	}
 
 	/**
@@ -275,7 +275,7 @@
 	@param nowMs - the time.
 	*/
 	heard(serverId: string, dispatchId: string, nowMs: number): void {
-		this.known.get(serverId)?.signs.heard(dispatchId, nowMs);
+		this.known.get(serverId)?.signs.received(dispatchId, nowMs);
 	}
 
 	/** Servers of the pool that may be chosen: those that may get something now, sound ones first, cold ones only where none of them is warm. */
@@ -313,7 +313,7 @@
 				candidate: {
 					upstreamId: server.serverId, hall: server.hall, stats: UpstreamStats.create(), joinedMs: nowMs,
 				},
-				signs: ServerSigns.create(),
+				signs: ServerLiveness.create(),
 			};
 			this.known.set(server.serverId, known);
 		}
--- a/src/direct/common/engine-chooser.ts
+++ b/src/direct/common/engine-chooser.ts
@@ -2,7 +2,7 @@
 import type {Candidate} from '../../routing/common/chooser.js';
 import type {EngineLoads, EngineSpeed, PromptPart} from '../../routing/common/engine-loads.js';
 import {crossingCostMs} from '../../routing/common/hall-cost.js';
-import {ReadingSpeed} from '../../routing/common/reading-speed.js';
+import {PrefillSpeed} from '../../routing/common/prefill-speed.js';
 import {rendezvousOrder} from '../../routing/common/rendezvous.js';
 
 /** A prompt, and what its engine fetches besides. */
@@ -20,7 +20,7 @@
 	}
 
 	/** How fast the engines of each pool read. */
-	private readonly readings = new Map<string, ReadingSpeed>();
+	private readonly readings = new Map<string, PrefillSpeed>();
 	/** Tokens that an engine had to read for an attempt until its first token, as reckoned when it was sent. */
 	private readonly sentTokens = new Map<string, number>();
 
@@ -55,7 +55,7 @@
 	@param nowMs - the time.
 	*/
 	firstTokenMs({pool, prompt}: PromptNeed, engine: Candidate, nowMs: number): number {
-		return this.loads.estimate(engine.upstreamId, prompt, this.speedOf(pool, engine), nowMs).firstMs + this.readingOf(pool).overheadMs;
+		return this.loads.estimate(engine.upstreamId, prompt, this.speedOf(pool, engine), nowMs).firstTokenMs + this.readingOf(pool).overheadMs;
 	}
 
 	/**
@@ -113,10 +113,10 @@
 		return {msPerToken: this.readingOf(pool).msPerToken, slowness: stats.slowness ?? 1};
 	}
 
-	private readingOf(pool: string): ReadingSpeed {
+	private readingOf(pool: string): PrefillSpeed {
 		let reading = this.readings.get(pool);
 		if (!reading) {
-			reading = ReadingSpeed.create();
+			reading = PrefillSpeed.create();
 			this.readings.set(pool, reading);
 		}
 
--- a/src/direct/common/news-buffer.ts
+++ b/src/direct/common/news-buffer.ts
@@ -4,7 +4,7 @@
 hears 20, however many hosts there are. What is told so is up to a twentieth of a second older: short against the time
 in which an engine reads a long prompt.
 */
-import {roomiestHosts} from '../../routing/common/host-room.js';
+import {highCapacityHosts} from '../../routing/common/host-capacity.js';
 import {rendezvousOwner} from '../../routing/common/rendezvous.js';
 import type {PromptsSentMessage} from '../../wire/common/messages.js';
 
@@ -28,7 +28,7 @@
 @returns nothing where there are so few hosts that each tells all itself.
 */
 export function newsRelayOf(rooms: ReadonlyMap<string, number>): string | undefined {
-	return rooms.size < fewestHosts ? undefined : rendezvousOwner(dutyKey, roomiestHosts(rooms));
+	return rooms.size < fewestHosts ? undefined : rendezvousOwner(dutyKey, highCapacityHosts(rooms));
 }
 
 /** Gathers news by the host that they come from. */
--- a/src/direct/common/pool-availability.ts
+++ b/src/direct/common/pool-availability.ts
@@ -30,7 +30,7 @@
 	*/
 	open(candidates: readonly Candidate[], stage: StagePlan, nowMs: number): readonly Candidate[] {
 		const {bounds} = this.options;
-		const open = candidates.filter(candidate => bounds.mayGet(serverOf(candidate, stage), directWork, nowMs));
+		const open = candidates.filter(candidate => bounds.maySend(serverOf(candidate, stage), directWork, nowMs));
 		const warm = open.filter(candidate => !bounds.isCold(serverOf(candidate, stage), nowMs));
 		return warm.length > 0 ? warm : open;
 	}
@@ -117,7 +117,7 @@
 			return 'get what their limits allow';
 		}
 
-		return upstreams.some(upstream => bounds.isResting(upstream, nowMs)) ? 'have asked for rest' : 'are cold and bear no more for now';
+		return upstreams.some(upstream => bounds.isInBackoff(upstream, nowMs)) ? 'have asked for rest' : 'are cold and bear no more for now';
 	}
 
 	/** Why a pool bears no more from this host; a request whose steps are done waits for the next send instead. */
--- a/src/direct/common/refusing-pool.test.ts
+++ b/src/direct/common/refusing-pool.test.ts
@@ -48,10 +48,10 @@
 	const bounds = SendBounds.create({
 		registry,
 		limits: {limitOf: () => undefined, forget: () => undefined},
-		rests: {leftMs: () => 0, forget: () => undefined},
-		share: SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: true})),
+		backoffs: {leftMs: () => 0, forget: () => undefined},
+		share: SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: true})),
 		cold: undefined,
-		bearsPerS: () => 0,
+		toleratedPerS: () => 0,
 	});
 	return DirectRouter.create({
 		hall: 'x',
--- a/src/entry/common/fleet-router.ts
+++ b/src/entry/common/fleet-router.ts
@@ -218,7 +218,7 @@
 		}
 
 		const typicalMs = this.runTimes.typicalMs(stage.key) ?? 0;
-		const waits = this.viewOf(stage.pool, nowMs).usable.list.map(({stats}) => stats.waitTurns(stage.slots, nowMs) * typicalMs);
+		const waits = this.viewOf(stage.pool, nowMs).usable.list.map(({stats}) => stats.waitInServiceTimes(stage.slots, nowMs) * typicalMs);
 		const waitMs = waits.length === 0 ? 0 : Math.min(...waits);
 		this.waits.set(stage.pool, {waitMs, atMs: nowMs});
 		return waitMs;
--- a/src/entry/node/callers-api.ts
+++ b/src/entry/node/callers-api.ts
@@ -153,7 +153,7 @@
 
 	private run(response: ServerResponse, plan: RequestPlan, parsed: Parsed, key: string | undefined): void {
 		const limiter = this.limiterOf(plan.workspace);
-		const entered = limiter.tryEnter(plan.policy, this.options.clock.nowMs());
+		const entered = limiter.tryAdmit(plan.policy, this.options.clock.nowMs());
 		if (!entered.ok) {
 			const {code, retryAfterMs} = entered.error;
 			sendProblem(response, problemOf(code, 'this workspace sends more than its limits allow', {
@@ -188,7 +188,7 @@
 			deliver: async (units, data) => writer.deliver(units, data),
 			finish: result => {
 				ended = result;
-				limiter.leave();
+				limiter.release();
 				if (!isTaken) {
 					this.options.accounting.record(plan, result);
 					const answer = writer.finish(result);
--- a/src/peers/common/beat-need.ts
+++ b/src/peers/common/beat-need.ts
@@ -3,7 +3,7 @@
 has in force has changed, or where it was last told a while ago. Every message counts as a sign of life, and hosts under
 load say something to each other several times a second; beats beside that were most of what they said.
 */
-import {isRoomy} from '../../routing/common/host-room.js';
+import {isHighCapacity} from '../../routing/common/host-capacity.js';
 
 /** A sign of life is due after this long, where one of the two does work for the other. */
 export const beatMs = 500;
@@ -22,7 +22,7 @@
 @param mostRoom - of the roomiest host there is.
 */
 export function beatIntervalMs(rooms: readonly [number, number], mostRoom: number): number {
-	return rooms.some(room => isRoomy(room, mostRoom)) ? beatMs : rareBeatMs;
+	return rooms.some(room => isHighCapacity(room, mostRoom)) ? beatMs : rareBeatMs;
 }
 
 /**
--- a/src/peers/common/fleet-memory.ts
+++ b/src/peers/common/fleet-memory.ts
@@ -64,7 +64,7 @@
 		const hasHeardOfSeeds = nowMs - this.startMs >= goneSeedMs || seeds.every(seed => seed === this.own || this.seenMs.has(seed));
 		const isSettled = hasHeardOfSeeds && (this.metMs === undefined || nowMs - this.metMs >= settleMs);
 		this.hosts ??= [this.own, ...this.seenMs.keys()].toSorted();
-		return {own: this.own, hosts: this.hosts, isSettled};
+		return {ownName: this.own, hosts: this.hosts, isSettled};
 	}
 
 	private forgetUnseen(nowMs: number): void {
--- a/src/peers/node/reading-duty.ts
+++ b/src/peers/node/reading-duty.ts
@@ -6,7 +6,7 @@
 import type {InjectionToken} from 'tsyringe';
 import type {Clock} from '../../base/common/clock.js';
 import type {Logger} from '../../base/common/logger.js';
-import {roomiestHosts} from '../../routing/common/host-room.js';
+import {highCapacityHosts} from '../../routing/common/host-capacity.js';
 import {rendezvousOrder} from '../../routing/common/rendezvous.js';
 import type {PeerMesh} from './peer-mesh.js';
 
@@ -104,6 +104,6 @@
 	private get isReader(): boolean {
 		const {hostId, room, mesh} = this.options;
 		const rooms = new Map([...mesh.liveRooms, [hostId, room]]);
-		return rendezvousOrder(dutyKey, roomiestHosts(rooms), host => host).slice(0, readerCount).includes(hostId);
+		return rendezvousOrder(dutyKey, highCapacityHosts(rooms), host => host).slice(0, readerCount).includes(hostId);
 	}
 }
--- a/src/preparation/node/batch-desk.ts
+++ b/src/preparation/node/batch-desk.ts
@@ -7,7 +7,7 @@
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import type {Logger} from '../../base/common/logger.js';
 import type {PeerMesh} from '../../peers/node/peer-mesh.js';
-import {roomiestHosts} from '../../routing/common/host-room.js';
+import {highCapacityHosts} from '../../routing/common/host-capacity.js';
 import {rendezvousOwner} from '../../routing/common/rendezvous.js';
 import type {BatchEndsMessage, BatchWaitsMessage, Message} from '../../wire/common/messages.js';
 import type {PieceEnd} from '../common/batch-call.js';
@@ -193,7 +193,7 @@
 		const {hostId, room, mesh, isLeaving} = this.options;
 		const rooms = mesh.liveRooms;
 		const batchesItself = !isLeaving() || rooms.size === 0;
-		return rendezvousOwner(pool, roomiestHosts(batchesItself ? new Map([...rooms, [hostId, room]]) : rooms)) ?? hostId;
+		return rendezvousOwner(pool, highCapacityHosts(batchesItself ? new Map([...rooms, [hostId, room]]) : rooms)) ?? hostId;
 	}
 
 	/** Hands pieces to the host that batches their pool, or takes them here where that one can't be reached. */
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -103,7 +103,7 @@
 	add(work: BatchWork): void {
 		const nowMs = this.options.clock.nowMs();
 		this.machine.add(work, nowMs);
-		this.options.budget.countFirst(nowMs, work.pieces.length);
+		this.options.budget.countFirstSends(nowMs, work.pieces.length);
 		this.pump();
 	}
 
--- a/src/routing/common/decayed-histogram.ts
+++ b/src/routing/common/decayed-histogram.ts
@@ -3,7 +3,7 @@
 const bucketsPerDoubling = 4;
 const bucketCount = 80;
 /** All counts are halved when their sum reaches this value, so that recent samples weigh most. */
-const halveAt = 400;
+const halvingWeight = 400;
 
 /** A histogram of durations from below a millisecond to about a quarter of an hour. */
 export class DecayedHistogram {
@@ -26,25 +26,25 @@
 	record(valueMs: number): void {
 		this.counts[bucketOf(valueMs)]++;
 		this.total++;
-		if (this.total >= halveAt) {
+		if (this.total >= halvingWeight) {
 			this.halve();
 		}
 	}
 
 	/**
 	Estimates the duration below which a fraction of the samples lies.
-	@param share - the fraction, in [0, 1].
+	@param fraction - the fraction, in [0, 1].
 	@returns the duration in milliseconds, or undefined if there are no samples.
 	*/
-	quantile(share: number): number | undefined {
+	quantile(fraction: number): number | undefined {
 		if (this.total === 0) {
 			return undefined;
 		}
 
-		let left = share * this.total;
+		let remaining = fraction * this.total;
 		for (let bucket = 0; bucket < bucketCount; bucket++) {
-			left -= this.counts[bucket];
-			if (left <= 0 && this.counts[bucket] > 0) {
+			remaining -= this.counts[bucket];
+			if (remaining <= 0 && this.counts[bucket] > 0) {
 				return valueOf(bucket);
 			}
 		}
--- a/src/routing/common/engine-loads.test.ts
+++ b/src/routing/common/engine-loads.test.ts
@@ -4,35 +4,35 @@
 const engines = ['e1', 'e2', 'e3'].map(upstreamId => ({upstreamId}));
 /** 61 tokens per millisecond. */
 const speed = {msPerToken: 1 / 61, slowness: 1};
-const usual = {speedOf: () => speed, extraMsOf: () => 0};
+const typical = {speedOf: () => speed, extraMsOf: () => 0};
 const promptOf = (shared: string, own: string) => makePrompt([{id: shared, tokens: 6100}, {id: own, tokens: 610}]);
 
 t.test('an engine that has cached a shared part is chosen again, also by another host that was notified', async t => {
 	const loads = EngineLoads.create();
 	const other = EngineLoads.create();
-	const first = loads.best(engines, promptOf('s', 'a'), usual, 0)!;
+	const first = loads.best(engines, promptOf('s', 'a'), typical, 0)!;
 	for (const each of [loads, other]) {
 		each.assign(first.upstreamId, promptOf('s', 'a'), speed, 0);
 	}
 
 	const again = promptOf('s', 'b');
-	t.equal(loads.best(engines, again, usual, 500), first);
-	t.equal(other.best(engines, again, usual, 500), first);
-	t.equal(loads.estimate(first.upstreamId, again, speed, 500).firstMs, 610 * speed.msPerToken);
+	t.equal(loads.best(engines, again, typical, 500), first);
+	t.equal(other.best(engines, again, typical, 500), first);
+	t.equal(loads.estimate(first.upstreamId, again, speed, 500).firstTokenMs, 610 * speed.msPerToken);
 });
 
 t.test('pending prefill work counts, and declines with time', async t => {
 	const loads = EngineLoads.create();
 	loads.assign('e1', promptOf('s', 'a'), speed, 0);
-	t.equal(loads.estimate('e1', promptOf('t', 'b'), speed, 0).firstMs, 220);
-	t.equal(loads.estimate('e1', promptOf('t', 'b'), speed, 60).firstMs, 160);
-	t.not(loads.best(engines, promptOf('t', 'b'), usual, 0)!.upstreamId, 'e1');
+	t.equal(loads.estimate('e1', promptOf('t', 'b'), speed, 0).firstTokenMs, 220);
+	t.equal(loads.estimate('e1', promptOf('t', 'b'), speed, 60).firstTokenMs, 160);
+	t.not(loads.best(engines, promptOf('t', 'b'), typical, 0)!.upstreamId, 'e1');
 });
 
 t.test('a cached part is usable only after the same preceding parts', async t => {
 	const loads = EngineLoads.create();
 	loads.assign('e1', makePrompt([{id: 'x', tokens: 610}, {id: 'y', tokens: 610}]), speed, 0);
-	t.equal(loads.estimate('e1', makePrompt([{id: 'z', tokens: 610}, {id: 'y', tokens: 610}]), speed, 1000).firstMs, 20);
+	t.equal(loads.estimate('e1', makePrompt([{id: 'z', tokens: 610}, {id: 'y', tokens: 610}]), speed, 1000).firstTokenMs, 20);
 });
 
 t.test('an engine with a long queue is not chosen even if it has cached the part; a slow engine is not chosen', async t => {
@@ -42,9 +42,9 @@
 		loads.assign('e1', promptOf(`other${index}`, 'a'), speed, 0);
 	}
 
-	t.not(loads.best(engines, promptOf('s', 'b'), usual, 0)!.upstreamId, 'e1');
+	t.not(loads.best(engines, promptOf('s', 'b'), typical, 0)!.upstreamId, 'e1');
 	const slow = loads.best(engines, promptOf('new', 'b'), {
-		...usual,
+		...typical,
 		speedOf: ({upstreamId}) => ({...speed, slowness: upstreamId === 'e3' ? 1 : 9}),
 	}, 5000);
 	t.equal(slow!.upstreamId, 'e3');
@@ -54,7 +54,7 @@
 	const loads = EngineLoads.create();
 	loads.assign('e1', promptOf('s', 'a'), speed, 0);
 	loads.forget('e1');
-	t.equal(loads.estimate('e1', promptOf('s', 'b'), speed, 0).firstMs, 110);
+	t.equal(loads.estimate('e1', promptOf('s', 'b'), speed, 0).firstTokenMs, 110);
 });
 
 t.test('the cost of crossing bytes is weighed against the prefill that a cache saves', async t => {
@@ -62,10 +62,10 @@
 	const small = makePrompt([{id: 's', tokens: 60}, {id: 'a', tokens: 61}]);
 	loads.assign('e1', small, speed, 0);
 	const farFrom = (near: string, costMs: number) => ({
-		...usual,
+		...typical,
 		extraMsOf: ({upstreamId}: {readonly upstreamId: string}) => upstreamId === near ? 0 : costMs,
 	});
-	t.equal(loads.best(engines, small, usual, 500)!.upstreamId, 'e1', 'it has cached the prompt');
+	t.equal(loads.best(engines, small, typical, 500)!.upstreamId, 'e1', 'it has cached the prompt');
 	t.equal(loads.best(engines, small, farFrom('e3', 90), 500)!.upstreamId, 'e3', 'many bytes would cross');
 	loads.assign('e1', promptOf('big', 'a'), speed, 0);
 	t.equal(loads.best(engines, promptOf('big', 'b'), farFrom('e3', 90), 500)!.upstreamId, 'e1', 'more would be recomputed');
--- a/src/routing/common/engine-loads.ts
+++ b/src/routing/common/engine-loads.ts
@@ -11,12 +11,12 @@
 Weight of the time for recomputing a part that another engine has cached, in addition to the prefill time itself:
 recomputing delays the prompts queued behind it, and takes memory from other shared parts.
 */
-const rereadFactor = 1.8;
+const recomputeFactor = 1.8;
 /** Time since its last use after which a part probably is no longer cached; recomputing it then has no extra cost. */
-const keptMs = 60_000;
-const mostParts = 30_000;
+const cacheRetentionMs = 60_000;
+const maxParts = 30_000;
 /** Penalty per position in the engine order that all hosts share, so that all hosts choose the same one of equivalent engines for a new part. */
-const orderStepMs = 3;
+const orderPenaltyMs = 3;
 
 /**
 Creates the parts of a prompt with their keys.
@@ -51,13 +51,13 @@
 	/** Tokens to prefill before the first token, including those of earlier prompts. */
 	readonly tokens: number;
 	/** Estimated time to the first token. */
-	readonly firstMs: number;
+	readonly firstTokenMs: number;
 	/** Estimated time to the first token plus the cost of recomputing parts that other engines have cached. */
 	readonly scoreMs: number;
 };
 
 /** A part of a prompt with its current state in the caches. */
-type PartStanding = {
+type CachedPart = {
 	readonly tokens: number;
 	/** When each engine last used it; some engines may have evicted it since. */
 	readonly usedMs: ReadonlyMap<string, number>;
@@ -65,7 +65,7 @@
 	readonly isKept: boolean;
 };
 
-const nobody: ReadonlyMap<string, number> = new Map();
+const noHolders: ReadonlyMap<string, number> = new Map();
 
 /** Tracks all engines of a deployment. */
 export class EngineLoads {
@@ -76,7 +76,7 @@
 	/** When each engine will have finished the prefill of the prompts sent to it. */
 	private readonly busyUntilMs = new Map<string, number>();
 	/** The engines that have a part cached, with the time of its last use there; least recently used parts come first. */
-	private readonly keepers = new Map<number, Map<string, number>>();
+	private readonly holders = new Map<number, Map<string, number>>();
 
 	/**
 	Records that this host or a peer sent a prompt to an engine.
@@ -86,18 +86,18 @@
 	@param nowMs - the current time.
 	*/
 	assign(serverId: string, prompt: readonly PromptPart[], speed: EngineSpeed, nowMs: number): void {
-		const readMs = unreadTokens(serverId, this.lookUp(prompt, nowMs), nowMs) * speed.msPerToken * speed.slowness;
-		this.busyUntilMs.set(serverId, Math.max(nowMs, this.busyUntilMs.get(serverId) ?? 0) + readMs);
+		const prefillMs = uncachedTokens(serverId, this.lookUp(prompt, nowMs), nowMs) * speed.msPerToken * speed.slowness;
+		this.busyUntilMs.set(serverId, Math.max(nowMs, this.busyUntilMs.get(serverId) ?? 0) + prefillMs);
 		for (const {key} of prompt) {
-			const keepers = this.keepers.get(key) ?? new Map<string, number>();
-			keepers.set(serverId, nowMs);
-			this.keepers.delete(key);
-			this.keepers.set(key, keepers);
+			const holders = this.holders.get(key) ?? new Map<string, number>();
+			holders.set(serverId, nowMs);
+			this.holders.delete(key);
+			this.holders.set(key, holders);
 		}
 
-		while (this.keepers.size > mostParts) {
-			const [oldest] = this.keepers.keys();
-			this.keepers.delete(oldest);
+		while (this.holders.size > maxParts) {
+			const [oldest] = this.holders.keys();
+			this.holders.delete(oldest);
 		}
 	}
 
@@ -126,8 +126,8 @@
 		let bestMs = Infinity;
 		const parts = this.lookUp(prompt, nowMs);
 		for (const [index, server] of servers.entries()) {
-			const {scoreMs: readingMs} = this.estimateOf(server.upstreamId, parts, traits.speedOf(server), nowMs);
-			const scoreMs = readingMs + traits.extraMsOf(server) + (index * orderStepMs);
+			const {scoreMs: promptScoreMs} = this.estimateOf(server.upstreamId, parts, traits.speedOf(server), nowMs);
+			const scoreMs = promptScoreMs + traits.extraMsOf(server) + (index * orderPenaltyMs);
 			if (scoreMs < bestMs) {
 				bestMs = scoreMs;
 				best = server;
@@ -143,30 +143,30 @@
 	*/
 	forget(serverId: string): void {
 		this.busyUntilMs.delete(serverId);
-		for (const keepers of this.keepers.values()) {
-			keepers.delete(serverId);
+		for (const holders of this.holders.values()) {
+			holders.delete(serverId);
 		}
 	}
 
-	private lookUp(prompt: readonly PromptPart[], nowMs: number): PartStanding[] {
+	private lookUp(prompt: readonly PromptPart[], nowMs: number): CachedPart[] {
 		return prompt.map(({key, tokens}) => {
-			const usedMs = this.keepers.get(key) ?? nobody;
+			const usedMs = this.holders.get(key) ?? noHolders;
 			return {tokens, usedMs, isKept: hasFresh(usedMs, nowMs)};
 		});
 	}
 
-	private estimateOf(serverId: string, parts: readonly PartStanding[], {msPerToken, slowness}: EngineSpeed, nowMs: number): PromptEstimate {
-		const unread = unreadTokens(serverId, parts, nowMs);
+	private estimateOf(serverId: string, parts: readonly CachedPart[], {msPerToken, slowness}: EngineSpeed, nowMs: number): PromptEstimate {
+		const uncached = uncachedTokens(serverId, parts, nowMs);
 		const waitMs = Math.max(0, (this.busyUntilMs.get(serverId) ?? 0) - nowMs);
 		const waitTokens = msPerToken === 0 ? 0 : waitMs / (msPerToken * slowness);
-		const firstMs = waitMs + (unread * msPerToken * slowness);
-		const rereadMs = rereadTokens(serverId, parts, nowMs) * msPerToken * rereadFactor;
-		return {tokens: waitTokens + unread, firstMs, scoreMs: firstMs + rereadMs};
+		const firstTokenMs = waitMs + (uncached * msPerToken * slowness);
+		const recomputeMs = recomputedTokens(serverId, parts, nowMs) * msPerToken * recomputeFactor;
+		return {tokens: waitTokens + uncached, firstTokenMs, scoreMs: firstTokenMs + recomputeMs};
 	}
 }
 
 function isFresh(usedMs: number | undefined, nowMs: number): boolean {
-	return usedMs !== undefined && nowMs - usedMs < keptMs;
+	return usedMs !== undefined && nowMs - usedMs < cacheRetentionMs;
 }
 
 function hasFresh(usedMs: ReadonlyMap<string, number>, nowMs: number): boolean {
@@ -180,7 +180,7 @@
 }
 
 /** Counts the tokens from the first part on that the engine does not have cached; a cached part after a missing one is of no use. */
-function unreadTokens(serverId: string, parts: readonly PartStanding[], nowMs: number): number {
+function uncachedTokens(serverId: string, parts: readonly CachedPart[], nowMs: number): number {
 	let sum = 0;
 	let isMissing = false;
 	for (const {tokens, usedMs} of parts) {
@@ -192,7 +192,7 @@
 }
 
 /** Counts the tokens that another engine has cached and this one would compute again. */
-function rereadTokens(serverId: string, parts: readonly PartStanding[], nowMs: number): number {
+function recomputedTokens(serverId: string, parts: readonly CachedPart[], nowMs: number): number {
 	let sum = 0;
 	for (const {tokens, usedMs, isKept} of parts) {
 		sum += isKept && !isFresh(usedMs.get(serverId), nowMs) ? tokens : 0;
--- a/src/routing/common/fair-queue.ts
+++ b/src/routing/common/fair-queue.ts
@@ -115,9 +115,9 @@
 }
 
 /** Serves items in order of arrival; the baseline that benchmarks compare with. */
-export class ArrivalQueue<T extends QueueItem> implements WorkQueue<T> {
-	static create<T extends QueueItem>(): ArrivalQueue<T> {
-		return new ArrivalQueue<T>();
+export class FifoQueue<T extends QueueItem> implements WorkQueue<T> {
+	static create<T extends QueueItem>(): FifoQueue<T> {
+		return new FifoQueue<T>();
 	}
 
 	private readonly waiting: T[] = [];
--- a/src/routing/common/fleet-view.ts
+++ b/src/routing/common/fleet-view.ts
@@ -3,7 +3,7 @@
 /** The hosts that share bounds on the whole deployment. */
 export type FleetView = {
 	/** The name of this host. */
-	readonly own: string;
+	readonly ownName: string;
 	/** Names of all hosts, including this one; the same array instance while they do not change. */
 	readonly hosts: readonly string[];
 	/** Whether this host knows the others well enough to take a share: either there are no others, or it has been in contact with them for a while. */
--- a/src/routing/common/host-room.ts
+++ b/src/routing/common/host-capacity.ts
@@ -3,10 +3,10 @@
 /** Traffic of shared work in Mbit/s per core that it uses. It converts link bandwidth to cores: a host with a slow link counts as one with few cores. */
 const linkMbpsPerCore = 70;
 /** Hosts with less than this share of the capacity of the largest host take no shared work. */
-const leastShare = 0.5;
+const minCapacityShare = 0.5;
 
 /** Resources that a host may use. */
-export type HostCapacity = {
+export type HostResources = {
 	/** Number of cores; may be a fraction. */
 	readonly cores: number;
 	readonly linkMbps: number;
@@ -17,25 +17,25 @@
 @param capacity - the resources of the host.
 @returns the capacity in cores; a slow link counts as few cores.
 */
-export function roomOf({cores, linkMbps}: HostCapacity): number {
+export function sharedCapacityOf({cores, linkMbps}: HostResources): number {
 	return Math.min(cores, linkMbps / linkMbpsPerCore);
 }
 
 /**
 Checks whether a host takes shared work.
-@param room - the capacity of the host.
-@param mostRoom - the capacity of the largest host.
+@param capacity - the capacity of the host.
+@param maxCapacity - the capacity of the largest host.
 */
-export function isRoomy(room: number, mostRoom: number): boolean {
-	return room >= mostRoom * leastShare;
+export function isHighCapacity(capacity: number, maxCapacity: number): boolean {
+	return capacity >= maxCapacity * minCapacityShare;
 }
 
 /**
 Selects the hosts that take shared work.
-@param rooms - the capacity of each live host, by host id.
+@param capacities - the capacity of each live host, by host id.
 @returns the ids of the selected hosts.
 */
-export function roomiestHosts(rooms: ReadonlyMap<string, number>): string[] {
-	const mostRoom = Math.max(0, ...rooms.values());
-	return [...rooms].filter(([, room]) => isRoomy(room, mostRoom)).map(([hostId]) => hostId);
+export function highCapacityHosts(capacities: ReadonlyMap<string, number>): string[] {
+	const maxCapacity = Math.max(0, ...capacities.values());
+	return [...capacities].filter(([, capacity]) => isHighCapacity(capacity, maxCapacity)).map(([hostId]) => hostId);
 }
--- a/src/routing/common/outlier-detector.ts
+++ b/src/routing/common/outlier-detector.ts
@@ -8,16 +8,16 @@
 	/** An upstream is an outlier if its slowness exceeds the median of its pool by this factor. */
 	readonly slowFactor: number;
 	readonly baseEjectionMs: number;
-	readonly longestEjectionMs: number;
+	readonly maxEjectionMs: number;
 	/** Maximum share of a pool that may be ejected at the same time. */
-	readonly mostEjectedShare: number;
+	readonly maxEjectedShare: number;
 };
 
 export const defaultOutlierOptions: OutlierOptions = {
-	consecutiveFailures: 3, errorShare: 0.6, slowFactor: 4, baseEjectionMs: 2000, longestEjectionMs: 30_000, mostEjectedShare: 0.34,
+	consecutiveFailures: 3, errorShare: 0.6, slowFactor: 4, baseEjectionMs: 2000, maxEjectionMs: 30_000, maxEjectedShare: 0.34,
 };
 
-const fewestKnown = 3;
+const minKnownUpstreams = 3;
 
 type Ejection = {untilMs: number; count: number};
 
@@ -43,8 +43,8 @@
 		}
 
 		const kept = candidates.filter(candidate => !this.isEjected(candidate.upstreamId, nowMs));
-		const fewest = Math.ceil(candidates.length * (1 - this.options.mostEjectedShare));
-		return kept.length >= Math.max(1, fewest) ? kept : candidates;
+		const minKept = Math.ceil(candidates.length * (1 - this.options.maxEjectedShare));
+		return kept.length >= Math.max(1, minKept) ? kept : candidates;
 	}
 
 	isEjected(upstreamId: string, nowMs: number): boolean {
@@ -66,13 +66,13 @@
 		}
 
 		const ejected = peers.filter(peer => this.isEjected(peer.upstreamId, nowMs)).length;
-		if (ejected + 1 > peers.length * this.options.mostEjectedShare) {
+		if (ejected + 1 > peers.length * this.options.maxEjectedShare) {
 			return false;
 		}
 
 		const count = (this.ejections.get(upstreamId)?.count ?? 0) + 1;
-		const lengthMs = Math.min(this.options.longestEjectionMs, this.options.baseEjectionMs * (2 ** (count - 1)));
-		this.ejections.set(upstreamId, {untilMs: nowMs + lengthMs, count});
+		const durationMs = Math.min(this.options.maxEjectionMs, this.options.baseEjectionMs * (2 ** (count - 1)));
+		this.ejections.set(upstreamId, {untilMs: nowMs + durationMs, count});
 		// Statistics from before the ejection must not count when the upstream returns.
 		stats.errorShare = 0;
 		stats.consecutiveFailures = 0;
@@ -97,5 +97,5 @@
 */
 export function medianSlownessOf(candidates: readonly Candidate[]): number | undefined {
 	const known = candidates.flatMap(candidate => candidate.stats.slowness ?? []).toSorted((a, b) => a - b);
-	return known.length < fewestKnown ? undefined : known[Math.floor((known.length - 1) / 2)];
+	return known.length < minKnownUpstreams ? undefined : known[Math.floor((known.length - 1) / 2)];
 }
--- a/src/routing/common/reading-speed.ts
+++ b/src/routing/common/prefill-speed.ts
@@ -5,16 +5,16 @@
 */
 
 /** Relative step of the first corrections. It is divided by the number of samples, so that a few samples reach the right range. */
-const firstStep = 0.5;
+const maxStep = 0.5;
 /** Smallest relative step, used for later corrections: about twenty samples on one side follow a change by one half. */
-const leastStep = 0.02;
+const minStep = 0.02;
 /** Time to the first token without prefill (one engine step and the network round trip), assumed until it has been measured. */
-const usualOverheadMs = 30;
+const initialOverheadMs = 30;
 /** Prompts whose prefill takes less than this share of the overhead update the overhead; longer ones update the prefill speed. */
 const shortPromptShare = 0.5;
 
 /** Tracks the median of its samples, so that slow or failing engines and unforeseen waits have little effect on it. */
-class Median {
+class MedianEstimate {
 	private samples = 0;
 
 	constructor(private current: number) {}
@@ -23,27 +23,27 @@
 		return this.current;
 	}
 
-	observe(seen: number): void {
+	observe(sample: number): void {
 		this.samples++;
-		const step = Math.min(Math.max(leastStep, firstStep / this.samples), Math.abs((seen / this.current) - 1));
-		this.current *= seen > this.current ? 1 + step : 1 / (1 + step);
+		const step = Math.min(Math.max(minStep, maxStep / this.samples), Math.abs((sample / this.current) - 1));
+		this.current *= sample > this.current ? 1 + step : 1 / (1 + step);
 	}
 
 	/** Sets the estimate to the first sample, which is better than any default. */
-	start(seen: number): void {
-		this.current = seen;
+	start(sample: number): void {
+		this.current = sample;
 		this.samples = 1;
 	}
 }
 
 /** Estimates the prefill speed of one pool's engines. */
-export class ReadingSpeed {
-	static create(): ReadingSpeed {
-		return new ReadingSpeed();
+export class PrefillSpeed {
+	static create(): PrefillSpeed {
+		return new PrefillSpeed();
 	}
 
-	private readonly perToken = new Median(0);
-	private readonly overhead = new Median(usualOverheadMs);
+	private readonly perToken = new MedianEstimate(0);
+	private readonly overhead = new MedianEstimate(initialOverheadMs);
 
 	/** Prefill time per token on an engine of typical speed; 0 until the first prompt has been observed. */
 	get msPerToken(): number {
@@ -58,14 +58,14 @@
 	/**
 	Records the arrival of a first token.
 	@param tokens - the tokens that the engine had to prefill before it: the uncached part of the prompt, and the prompts queued ahead.
-	@param firstMs - the time from the send to the first token.
+	@param firstTokenMs - the time from the send to the first token.
 	*/
-	observe(tokens: number, firstMs: number): void {
-		const readMs = firstMs - this.overheadMs;
+	observe(tokens: number, firstTokenMs: number): void {
+		const prefillMs = firstTokenMs - this.overheadMs;
 		if (tokens * this.msPerToken < this.overheadMs * shortPromptShare && this.msPerToken > 0) {
-			this.overhead.observe(Math.max(1, firstMs - (tokens * this.msPerToken)));
-		} else if (tokens > 0 && readMs > 0) {
-			this.learn(readMs / tokens);
+			this.overhead.observe(Math.max(1, firstTokenMs - (tokens * this.msPerToken)));
+		} else if (tokens > 0 && prefillMs > 0) {
+			this.learn(prefillMs / tokens);
 		}
 	}
 
--- a/src/routing/common/prefix-index.ts
+++ b/src/routing/common/prefix-index.ts
@@ -1,7 +1,7 @@
 /** Tracks which upstreams may have a prompt prefix in their cache. The result is a hint that decays with time, never a certainty. */
 
 const halfLifeMs = 20_000;
-const capacity = 20_000;
+const maxPrefixes = 20_000;
 
 type Holder = {readonly upstreamId: string; atMs: number};
 
@@ -28,7 +28,7 @@
 		// The insertion order of the map is the order of age, so the first key is the oldest prefix.
 		this.holders.delete(prefixHash);
 		this.holders.set(prefixHash, [{upstreamId, atMs: nowMs}, ...others].slice(0, 3));
-		if (this.holders.size > capacity) {
+		if (this.holders.size > maxPrefixes) {
 			const [oldest] = this.holders.keys();
 			this.holders.delete(oldest);
 		}
@@ -40,11 +40,11 @@
 	*/
 	forgetUpstream(upstreamId: string): void {
 		for (const [prefixHash, holders] of this.holders) {
-			const left = holders.filter(holder => holder.upstreamId !== upstreamId);
-			if (left.length === 0) {
+			const remaining = holders.filter(holder => holder.upstreamId !== upstreamId);
+			if (remaining.length === 0) {
 				this.holders.delete(prefixHash);
 			} else {
-				this.holders.set(prefixHash, left);
+				this.holders.set(prefixHash, remaining);
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 	@param nowMs - the current time.
 	@returns a likelihood from 0 to 1.
 	*/
-	holds(upstreamId: string, prefixHash: number, nowMs: number): number {
+	holdLikelihood(upstreamId: string, prefixHash: number, nowMs: number): number {
 		if (prefixHash === 0) {
 			return 0;
 		}
--- a/src/routing/common/rate-bound.ts
+++ b/src/routing/common/rate-bound.ts
@@ -24,7 +24,7 @@
 senders that the others have forgotten may still send beside the hosts that replaced them. Requests may also arrive closer together
 than they were sent.
 */
-const coldShare = 0.5;
+const coldUsedShare = 0.5;
 
 /**
 An upstream that announces a limit tolerates, in any 4 s, one and a half times the requests that the limit allows plus 5 requests.
@@ -33,28 +33,28 @@
 */
 const limitExcess = 1.5;
 const limitTolerance = 5;
-const toleratedShare = 0.5;
+const limitUsedShare = 0.5;
 const limitWindowMs = 4000;
 /** Minimum rate at which requests are sent, even to an upstream that announces less: only its responses show when it accepts more again. */
-const leastPerS = 0.2;
+const minPerS = 0.2;
 
 /**
 Computes the bound for a cold upstream.
-@param bearsPerS - requests per second that it tolerates, as declared for its pool.
+@param toleratedPerS - requests per second that it tolerates, as declared for its pool.
 @param bounds - the bounds from the settings.
 */
-export function boundOfCold(bearsPerS: number, {excess, tolerance}: ColdBounds): RateBound {
-	return {most: Math.max(1, Math.floor(coldShare * ((bearsPerS * excess) + tolerance))), windowMs: secondMs, isPaced: false};
+export function coldUpstreamBound(toleratedPerS: number, {excess, tolerance}: ColdBounds): RateBound {
+	return {most: Math.max(1, Math.floor(coldUsedShare * ((toleratedPerS * excess) + tolerance))), windowMs: secondMs, isPaced: false};
 }
 
 /**
 Computes the bound for an upstream that announces a limit.
 @param perS - requests per second that it accepts from all hosts together.
 */
-export function boundOfLimit(perS: number): RateBound {
-	const usedPerS = Math.max(leastPerS, perS);
+export function limitBound(perS: number): RateBound {
+	const usedPerS = Math.max(minPerS, perS);
 	const allowed = usedPerS * limitWindowMs / secondMs;
-	const most = Math.floor(Math.min(allowed, toleratedShare * ((limitExcess * allowed) + limitTolerance)));
+	const most = Math.floor(Math.min(allowed, limitUsedShare * ((limitExcess * allowed) + limitTolerance)));
 	return most >= 1 ? {most, windowMs: limitWindowMs, isPaced: true} : {most: 1, windowMs: secondMs / usedPerS, isPaced: true};
 }
 
@@ -63,6 +63,6 @@
 @param bound - the bound on all hosts together.
 @returns requests per second.
 */
-export function perSecondOf({most, windowMs}: RateBound): number {
+export function boundPerS({most, windowMs}: RateBound): number {
 	return most * secondMs / windowMs;
 }
--- a/src/routing/common/rendezvous.ts
+++ b/src/routing/common/rendezvous.ts
@@ -4,31 +4,31 @@
 /**
 Orders nodes by their preference for a key.
 @param key - the key to assign.
-@param places - the nodes that it may be assigned to.
+@param nodes - the nodes that it may be assigned to.
 @param nameOf - returns the name of a node, which must be the same on every host.
 @returns the nodes, most preferred first.
 */
-export function rendezvousOrder<T>(key: string, places: readonly T[], nameOf: (place: T) => string): T[] {
-	return places
-		.map(place => ({place, weight: weightOf(key, nameOf(place))}))
+export function rendezvousOrder<T>(key: string, nodes: readonly T[], nameOf: (node: T) => string): T[] {
+	return nodes
+		.map(node => ({node, weight: weightOf(key, nameOf(node))}))
 		.toSorted((left, right) => right.weight - left.weight)
-		.map(({place}) => place);
+		.map(({node}) => node);
 }
 
 /**
 Finds the most preferred node for a key.
 @param key - the key to assign.
-@param places - the names of the nodes, which must be the same on every host.
+@param nodes - the names of the nodes, which must be the same on every host.
 @returns the node, or undefined if there are no nodes.
 */
-export function rendezvousOwner(key: string, places: readonly string[]): string | undefined {
+export function rendezvousOwner(key: string, nodes: readonly string[]): string | undefined {
 	let owner: string | undefined;
-	let best = -1;
-	for (const place of places) {
-		const weight = weightOf(key, place);
-		if (weight > best) {
-			best = weight;
-			owner = place;
+	let maxWeight = -1;
+	for (const node of nodes) {
+		const weight = weightOf(key, node);
+		if (weight > maxWeight) {
+			maxWeight = weight;
+			owner = node;
 		}
 	}
 
@@ -38,15 +38,15 @@
 /**
 Computes the position of one node in the order for a key.
 @param key - the key to assign.
-@param place - the name of the node.
-@param places - the names of all nodes.
+@param node - the name of the node.
+@param nodes - the names of all nodes.
 @returns the position; 0 for the most preferred node.
 */
-export function rendezvousRank(key: string, place: string, places: readonly string[]): number {
-	const own = weightOf(key, place);
-	return places.filter(other => weightOf(key, other) > own).length;
+export function rendezvousRank(key: string, node: string, nodes: readonly string[]): number {
+	const ownWeight = weightOf(key, node);
+	return nodes.filter(other => weightOf(key, other) > ownWeight).length;
 }
 
-function weightOf(key: string, place: string): number {
-	return hashText(`${key}\n${place}`);
+function weightOf(key: string, node: string): number {
+	return hashText(`${key}\n${node}`);
 }
--- a/src/routing/common/retry-budget.ts
+++ b/src/routing/common/retry-budget.ts
@@ -1,8 +1,8 @@
 /** Limits retries to a share of first attempts, so that retries do not amplify an overload or an outage. */
 
-const mostTokens = 50;
+const maxTokens = 50;
 /** Tokens added per second up to the floor, so that a workspace with few requests may retry as well, whatever its share allows. */
-const floorPerSecond = 1;
+const floorTokensPerS = 1;
 const defaultFloorTokens = 5;
 
 /** A token bucket: first attempts add tokens, retries consume them. */
@@ -18,7 +18,7 @@
 
 	private tokens: number;
 
-	private constructor(private filledMs: number, private readonly floorTokens: number) {
+	private constructor(private lastRefillMs: number, private readonly floorTokens: number) {
 		this.tokens = floorTokens;
 	}
 
@@ -27,7 +27,7 @@
 	@param share - the number of retries that it allows.
 	*/
 	deposit(share: number): void {
-		this.tokens = Math.min(mostTokens, this.tokens + share);
+		this.tokens = Math.min(maxTokens, this.tokens + share);
 	}
 
 	/**
@@ -47,8 +47,8 @@
 
 	/** Adds the tokens that accrue with time, which fill the bucket only up to the floor. */
 	private refill(nowMs: number): void {
-		const gained = ((nowMs - this.filledMs) / 1000) * floorPerSecond;
-		this.filledMs = nowMs;
+		const gained = ((nowMs - this.lastRefillMs) / 1000) * floorTokensPerS;
+		this.lastRefillMs = nowMs;
 		if (this.tokens < this.floorTokens) {
 			this.tokens = Math.min(this.floorTokens, this.tokens + gained);
 		}
--- a/src/routing/common/routing.test.ts
+++ b/src/routing/common/routing.test.ts
@@ -86,12 +86,12 @@
 t.test('a workspace is kept within its limits, and refusals give a retry delay', async t => {
 	const limiter = WorkspaceLimiter.create(0);
 	const limits = {maxInFlight: 2, requestsPerSecond: 10, burst: 3};
-	t.equal(limiter.tryEnter(limits, 0).ok, true);
-	t.equal(limiter.tryEnter(limits, 0).ok, true);
-	t.match(limiter.tryEnter(limits, 0), {ok: false, error: {code: 'tooManyInFlight'}});
-	limiter.leave();
-	limiter.leave();
-	t.equal(limiter.tryEnter(limits, 0).ok, true);
-	t.match(limiter.tryEnter(limits, 0), {ok: false, error: {code: 'rateExceeded', retryAfterMs: 100}});
-	t.equal(limiter.tryEnter(limits, 101).ok, true);
+	t.equal(limiter.tryAdmit(limits, 0).ok, true);
+	t.equal(limiter.tryAdmit(limits, 0).ok, true);
+	t.match(limiter.tryAdmit(limits, 0), {ok: false, error: {code: 'tooManyInFlight'}});
+	limiter.release();
+	limiter.release();
+	t.equal(limiter.tryAdmit(limits, 0).ok, true);
+	t.match(limiter.tryAdmit(limits, 0), {ok: false, error: {code: 'rateExceeded', retryAfterMs: 100}});
+	t.equal(limiter.tryAdmit(limits, 101).ok, true);
 });
--- a/src/routing/common/score-chooser.ts
+++ b/src/routing/common/score-chooser.ts
@@ -60,9 +60,9 @@
 
 		const sampled = new Set<Candidate>();
 		const holder = this.prefixes.likelyHolder(prefixHash);
-		const warm = holder === undefined ? undefined : set.get(holder);
-		if (warm) {
-			sampled.add(warm);
+		const holderCandidate = holder === undefined ? undefined : set.get(holder);
+		if (holderCandidate) {
+			sampled.add(holderCandidate);
 		}
 
 		while (sampled.size < sampleSize) {
@@ -77,14 +77,14 @@
 		const slots = Math.max(1, stats.load?.slots ?? need.slots);
 		const answerMs = need.expectedMs * (stats.slowness ?? 1);
 		const outstanding = stats.outstanding(nowMs);
-		const waitMs = stats.waitTurns(need.slots, nowMs) * answerMs;
+		const waitMs = stats.waitInServiceTimes(need.slots, nowMs) * answerMs;
 		// Even with free slots an upstream slows down a little with each call that it batches.
-		const sharedMs = (Math.min(outstanding, slots) / slots) * answerMs * 0.5;
-		const savedMs = this.prefixes.holds(candidate.upstreamId, need.prefixHash, nowMs) * answerMs * this.options.prefixSavingShare;
-		const hallMs = candidate.hall === need.hall ? 0 : this.options.otherHallMs;
+		const batchingMs = (Math.min(outstanding, slots) / slots) * answerMs * 0.5;
+		const savedMs = this.prefixes.holdLikelihood(candidate.upstreamId, need.prefixHash, nowMs) * answerMs * this.options.prefixSavingShare;
+		const crossHallMs = candidate.hall === need.hall ? 0 : this.options.otherHallMs;
 		const errorFactor = 1 + (4 * stats.errorShare);
-		return ((waitMs + sharedMs + answerMs - savedMs) * errorFactor * this.warmUpFactor(candidate, nowMs))
-			+ hallMs + this.notLoadedMs(candidate, need);
+		return ((waitMs + batchingMs + answerMs - savedMs) * errorFactor * this.warmUpFactor(candidate, nowMs))
+			+ crossHallMs + this.notLoadedMs(candidate, need);
 	}
 
 	private warmUpFactor(candidate: Candidate, nowMs: number): number {
--- a/src/routing/common/send-bounds.test.ts
+++ b/src/routing/common/send-bounds.test.ts
@@ -10,23 +10,23 @@
 
 function makeBounds(hosts = ['a'], own = 'a') {
 	const state = {
-		coldLeftMs: 0, isDrained: false, limit: undefined as ServerLimit | undefined, isSettled: true, restMs: 0,
+		coldLeftMs: 0, isDrained: false, limit: undefined as ServerLimit | undefined, isSettled: true, backoffMs: 0,
 	};
 	const changed = Emitter.create<ServerChange>();
 	const bounds = SendBounds.create({
 		registry: {coldLeftMs: () => state.coldLeftMs, takesNew: () => !state.isDrained, onDidChange: changed.event},
 		limits: {limitOf: () => state.limit, forget: () => undefined},
-		rests: {leftMs: () => state.restMs, forget: () => undefined},
-		share: SendShare.create(() => ({own, hosts, isSettled: state.isSettled})),
+		backoffs: {leftMs: () => state.backoffMs, forget: () => undefined},
+		share: SendShare.create(() => ({ownName: own, hosts, isSettled: state.isSettled})),
 		cold: {excess: 1.5, tolerance: 5},
-		bearsPerS: () => 4,
+		toleratedPerS: () => 4,
 	});
 	return {
 		state,
 		bounds,
 		left: (nowMs: number) => bounds.allowance(server, anyWork, nowMs).left,
 		sendAll(nowMs: number) {
-			while (bounds.mayGet(server, anyWork, nowMs)) {
+			while (bounds.maySend(server, anyWork, nowMs)) {
 				bounds.sent(server, nowMs);
 			}
 		},
@@ -52,13 +52,13 @@
 
 t.test('a server in backoff gets no requests, not even trials of its limit; the retry delay is the remaining backoff', async t => {
 	const {state, bounds, left} = makeBounds();
-	state.restMs = 700;
+	state.backoffMs = 700;
 	t.equal(left(0), 0);
 	t.equal(bounds.retryAfterMs([server], 0), 700);
 	state.limit = {perS: 1, quietMs: 60_000};
 	t.equal(left(60_000), 0);
 	t.equal(bounds.allowance(server, {isSoleSender: true}, 60_000).left, 0);
-	state.restMs = 0;
+	state.backoffMs = 0;
 	t.ok(left(60_000) > 0);
 });
 
--- a/src/routing/common/send-bounds.ts
+++ b/src/routing/common/send-bounds.ts
@@ -10,7 +10,7 @@
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import {
-	boundOfCold, boundOfLimit, perSecondOf, type ColdBounds, type RateBound,
+	coldUpstreamBound, limitBound, boundPerS, type ColdBounds, type RateBound,
 } from './rate-bound.js';
 import type {BoundedWork, SendShare} from './send-share.js';
 
@@ -18,12 +18,12 @@
 A limit that no response has announced for this long is checked with one trial request, even if the host is not among the senders, as
 none of these may remain. Hosts do so one after the other in the order of senders: the first that is answered notifies the others.
 */
-const quietLimitMs = 15_000;
-const quietWindows = 3;
-const trialStepMs = 1000;
+const limitTrialAfterMs = 15_000;
+const limitTrialAfterWindows = 3;
+const trialStaggerMs = 1000;
 /** Bounds on the retry delay for a caller whose request no upstream could accept; its retry may reach a host that may send more. */
-const shortestRetryAfterMs = 300;
-const longestRetryAfterMs = 2500;
+const minRetryAfterMs = 300;
+const maxRetryAfterMs = 2500;
 
 /** The properties of a server that its bounds depend on. */
 export type BoundedServer = Pick<UpstreamServer, 'serverId' | 'pool' | 'hall'>;
@@ -33,13 +33,13 @@
 	readonly registry: Pick<ServerRegistry, 'coldLeftMs' | 'takesNew' | 'onDidChange'>;
 	readonly limits: Pick<ServerLimits, 'limitOf' | 'forget'>;
 	/** Servers that have asked this host to send nothing for a while. */
-	readonly rests: Pick<ServerRests, 'leftMs' | 'forget'>;
+	readonly backoffs: Pick<ServerRests, 'leftMs' | 'forget'>;
 	/** This host's share of the bounds on all hosts together. */
 	readonly share: SendShare;
 	/** Bounds on all hosts together for cold servers; if undefined, cold servers are not bounded. */
 	readonly cold: ColdBounds | undefined;
 	/** Returns the requests per second that a cold server of a pool tolerates. */
-	readonly bearsPerS: (pool: string) => number;
+	readonly toleratedPerS: (pool: string) => number;
 };
 
 /** What may be sent to a server now, for one kind of work. */
@@ -54,7 +54,7 @@
 export const directWork: BoundedWork = {isSoleSender: false};
 
 const unbounded: Allowance = {left: Infinity, perS: Infinity};
-const nothing: Allowance = {left: 0, perS: 0};
+const noAllowance: Allowance = {left: 0, perS: 0};
 
 export const sendBoundsToken: InjectionToken<SendBounds> = Symbol('SendBounds');
 
@@ -69,7 +69,7 @@
 			if (change === 'gone') {
 				options.share.forget(serverId);
 				options.limits.forget(serverId);
-				options.rests.forget(serverId);
+				options.backoffs.forget(serverId);
 			}
 		});
 	}
@@ -81,8 +81,8 @@
 	@param nowMs - the current time.
 	*/
 	allowance(server: BoundedServer, work: BoundedWork, nowMs: number): Allowance {
-		if (!this.options.registry.takesNew(server) || this.isResting(server, nowMs)) {
-			return nothing;
+		if (!this.options.registry.takesNew(server) || this.isInBackoff(server, nowMs)) {
+			return noAllowance;
 		}
 
 		const bounds = this.boundsOf(server, nowMs);
@@ -90,8 +90,8 @@
 			return unbounded;
 		}
 
-		const left = Math.min(...bounds.map(bound => this.options.share.left(server.serverId, bound, work, nowMs)));
-		return {left: left === 0 && this.isTrialDue(server, nowMs) ? 1 : left, perS: Math.min(...bounds.map(bound => perSecondOf(bound)))};
+		const left = Math.min(...bounds.map(bound => this.options.share.remaining(server.serverId, bound, work, nowMs)));
+		return {left: left === 0 && this.isTrialDue(server, nowMs) ? 1 : left, perS: Math.min(...bounds.map(bound => boundPerS(bound)))};
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	@param work - the kind of work to send.
 	@param nowMs - the current time.
 	*/
-	mayGet(server: BoundedServer, work: BoundedWork, nowMs: number): boolean {
+	maySend(server: BoundedServer, work: BoundedWork, nowMs: number): boolean {
 		return this.allowance(server, work, nowMs).left > 0;
 	}
 
@@ -138,8 +138,8 @@
 	@param server - the server.
 	@param nowMs - the current time.
 	*/
-	isResting({serverId}: BoundedServer, nowMs: number): boolean {
-		return this.options.rests.leftMs(serverId, nowMs) > 0;
+	isInBackoff({serverId}: BoundedServer, nowMs: number): boolean {
+		return this.options.backoffs.leftMs(serverId, nowMs) > 0;
 	}
 
 	/**
@@ -149,32 +149,32 @@
 	@returns the delay in milliseconds.
 	*/
 	retryAfterMs(servers: readonly BoundedServer[], nowMs: number): number {
-		const soonestMs = Math.min(...servers.map(server => this.freeInMs(server, nowMs)));
-		return Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, soonestMs));
+		const soonestMs = Math.min(...servers.map(server => this.availableInMs(server, nowMs)));
+		return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, soonestMs));
 	}
 
 	/** Estimates when a server may be sent to again: after its backoff, and once it is warm or its limit allows the next request. */
-	private freeInMs(server: BoundedServer, nowMs: number): number {
-		const restMs = this.options.rests.leftMs(server.serverId, nowMs);
+	private availableInMs(server: BoundedServer, nowMs: number): number {
+		const backoffMs = this.options.backoffs.leftMs(server.serverId, nowMs);
 		if (!this.isLimited(server, nowMs)) {
-			return Math.max(restMs, this.options.registry.coldLeftMs(server.serverId, nowMs));
+			return Math.max(backoffMs, this.options.registry.coldLeftMs(server.serverId, nowMs));
 		}
 
 		const bounds = this.boundsOf(server, nowMs);
 		// Without a quota here, other hosts send: assume the average interval of the bound.
-		return Math.max(restMs, ...bounds.map(bound => this.options.share.nextInMs(server.serverId, bound, directWork, nowMs) ?? bound.windowMs / bound.most));
+		return Math.max(backoffMs, ...bounds.map(bound => this.options.share.nextSendInMs(server.serverId, bound, directWork, nowMs) ?? bound.windowMs / bound.most));
 	}
 
 	private boundsOf(server: BoundedServer, nowMs: number): RateBound[] {
-		const {cold, bearsPerS, limits} = this.options;
+		const {cold, toleratedPerS, limits} = this.options;
 		const bounds: RateBound[] = [];
 		if (cold && this.isCold(server, nowMs)) {
-			bounds.push(boundOfCold(bearsPerS(server.pool), cold));
+			bounds.push(coldUpstreamBound(toleratedPerS(server.pool), cold));
 		}
 
 		const limit = limits.limitOf(server.serverId, nowMs);
 		if (limit) {
-			bounds.push(boundOfLimit(limit.perS));
+			bounds.push(limitBound(limit.perS));
 		}
 
 		return bounds;
@@ -188,7 +188,7 @@
 		}
 
 		const {share} = this.options;
-		const afterMs = Math.max(quietLimitMs, quietWindows * boundOfLimit(limit.perS).windowMs) + (share.rankOf(server.serverId, nowMs) * trialStepMs);
-		return limit.quietMs >= afterMs && share.sinceSentMs(server.serverId, nowMs) >= afterMs;
+		const afterMs = Math.max(limitTrialAfterMs, limitTrialAfterWindows * limitBound(limit.perS).windowMs) + (share.rankOf(server.serverId, nowMs) * trialStaggerMs);
+		return limit.quietMs >= afterMs && share.sinceLastSendMs(server.serverId, nowMs) >= afterMs;
 	}
 }
--- a/src/routing/common/send-share.test.ts
+++ b/src/routing/common/send-share.test.ts
@@ -8,17 +8,17 @@
 import t from 'tap';
 import {FleetMemory} from '../../peers/common/fleet-memory.js';
 import {
-	boundOfCold, boundOfLimit, perSecondOf, type RateBound,
+	coldUpstreamBound, limitBound, boundPerS, type RateBound,
 } from './rate-bound.js';
 import {SendShare} from './send-share.js';
 
-const bearsPerS = 9.1;
+const toleratedPerS = 9.1;
 const bounds = {excess: 1.5, tolerance: 5};
-const mostPerS = (bearsPerS * bounds.excess) + bounds.tolerance;
-const coldBound = boundOfCold(bearsPerS, bounds);
+const maxPerS = (toleratedPerS * bounds.excess) + bounds.tolerance;
+const coldBound = coldUpstreamBound(toleratedPerS, bounds);
 const secondMs = 1000;
 const limitSpanMs = 4000;
-const mostOfLimit = (perS: number) => (1.5 * perS * limitSpanMs / secondMs) + 5;
+const maxSendsAtLimit = (perS: number) => (1.5 * perS * limitSpanMs / secondMs) + 5;
 const anyWork = {isSoleSender: false};
 const hallCount = 3;
 const stepMs = 50;
@@ -27,7 +27,7 @@
 type Host = {readonly name: string; readonly hall: number; memory: FleetMemory; share: SendShare; upAtMs: number};
 
 /** A temporary network partition: hosts of a data hall are isolated from all other hosts, or only from the other data halls. */
-type Cut = {readonly atMs: number; readonly forMs: number; readonly hall: number; readonly isAlone: boolean};
+type Partition = {readonly atMs: number; readonly forMs: number; readonly hall: number; readonly isAlone: boolean};
 type Restart = {readonly atMs: number; readonly hosts: readonly number[]; readonly spreadMs: number};
 
 class Fleet {
@@ -42,7 +42,7 @@
 
 	readonly hosts: Host[] = [];
 	readonly sentMs: number[] = [];
-	cuts: readonly Cut[] = [];
+	partitions: readonly Partition[] = [];
 	nowMs = 0;
 
 	private constructor(private readonly bound: RateBound) {}
@@ -72,7 +72,7 @@
 	}
 
 	/** Maximum number of sends within any time span of this length. */
-	mostWithin(spanMs: number): number {
+	maxSendsWithin(spanMs: number): number {
 		let most = 0;
 		let first = 0;
 		for (const [index, atMs] of this.sentMs.entries()) {
@@ -97,16 +97,16 @@
 
 	private gossip(): void {
 		const up = this.hosts.filter(({upAtMs}) => upAtMs <= this.nowMs);
-		const met = new Map(up.map(host => [host, up.filter(other => other !== host && this.isMet(host, other)).map(({name}) => name)]));
+		const connectedNames = new Map(up.map(host => [host, up.filter(other => other !== host && this.areConnected(host, other)).map(({name}) => name)]));
 		for (const host of up) {
-			for (const other of up.filter(each => met.get(host)!.includes(each.name))) {
-				host.memory.seen([other.name, ...met.get(other)!], this.nowMs);
+			for (const other of up.filter(each => connectedNames.get(host)!.includes(each.name))) {
+				host.memory.seen([other.name, ...connectedNames.get(other)!], this.nowMs);
 			}
 		}
 	}
 
-	private isMet(left: Host, right: Host): boolean {
-		return this.cuts.every(({atMs, forMs, hall, isAlone}) => {
+	private areConnected(left: Host, right: Host): boolean {
+		return this.partitions.every(({atMs, forMs, hall, isAlone}) => {
 			const isOver = this.nowMs < atMs || this.nowMs >= atMs + forMs;
 			const touches = left.hall === hall || right.hall === hall;
 			return isOver || !touches || (!isAlone && left.hall === right.hall);
@@ -115,7 +115,7 @@
 
 	private sendAll(): void {
 		for (const {share, upAtMs} of this.hosts) {
-			while (upAtMs <= this.nowMs && share.left('cold', this.bound, anyWork, this.nowMs) > 0) {
+			while (upAtMs <= this.nowMs && share.remaining('cold', this.bound, anyWork, this.nowMs) > 0) {
 				share.sent('cold', this.nowMs);
 				this.sentMs.push(this.nowMs);
 			}
@@ -123,7 +123,7 @@
 	}
 }
 
-const cutArbitrary = fc.record({
+const partitionArbitrary = fc.record({
 	atMs: fc.nat(20_000), forMs: fc.integer({min: 1000, max: 12_000}), hall: fc.nat(hallCount - 1), isAlone: fc.boolean(),
 });
 const restartArbitrary = fc.oneof(
@@ -133,29 +133,29 @@
 
 const changesArbitrary = fc.tuple(
 	fc.integer({min: 1, max: 31}),
-	fc.array(cutArbitrary, {maxLength: 3}),
+	fc.array(partitionArbitrary, {maxLength: 3}),
 	fc.array(restartArbitrary, {maxLength: 3}),
 	fc.array(fc.nat(15_000), {maxLength: 8}),
 );
 
-function play([hostCount, cuts, restarts, lateStartsMs]: typeof changesArbitrary extends fc.Arbitrary<infer T> ? T : never, bound: RateBound): Fleet {
+function simulate([hostCount, cuts, restarts, lateStartsMs]: typeof changesArbitrary extends fc.Arbitrary<infer T> ? T : never, bound: RateBound): Fleet {
 	const fleet = Fleet.create(hostCount, Array.from({length: hostCount}, (_, index) => index < hallCount ? 0 : lateStartsMs[index - hallCount] ?? 0), bound);
-	fleet.cuts = cuts;
+	fleet.partitions = cuts;
 	fleet.run(28_000, restarts);
 	return fleet;
 }
 
 t.test('all hosts together stay within the bound of a cold upstream during partitions, joins and restarts', async t => {
 	fc.assert(fc.property(changesArbitrary, changes => {
-		const most = play(changes, coldBound).mostWithin(secondMs);
-		t.ok(most <= mostPerS, `${most} of ${changes[0]} hosts`);
+		const most = simulate(changes, coldBound).maxSendsWithin(secondMs);
+		t.ok(most <= maxPerS, `${most} of ${changes[0]} hosts`);
 	}), {seed: 1, numRuns: 40});
 });
 
 t.test('all hosts together stay within the bound of a limit during partitions, joins and restarts', async t => {
 	fc.assert(fc.property(changesArbitrary, fc.constantFrom(0, 0.2, 0.7, 1, 2, 4, 25), (changes, perS) => {
-		const most = play(changes, boundOfLimit(perS)).mostWithin(limitSpanMs);
-		t.ok(most <= mostOfLimit(perS), `${most} of ${changes[0]} hosts at a limit of ${perS}`);
+		const most = simulate(changes, limitBound(perS)).maxSendsWithin(limitSpanMs);
+		t.ok(most <= maxSendsAtLimit(perS), `${most} of ${changes[0]} hosts at a limit of ${perS}`);
 	}), {seed: 2, numRuns: 15});
 });
 
@@ -163,7 +163,7 @@
 	for (const hostCount of [1, 2, 3, 31]) {
 		const fleet = Fleet.create(hostCount, []);
 		fleet.run(hostCount < hallCount ? 40_000 : 10_000, []);
-		t.equal(fleet.mostWithin(secondMs), 9, `${hostCount} hosts`);
+		t.equal(fleet.maxSendsWithin(secondMs), 9, `${hostCount} hosts`);
 	}
 });
 
@@ -171,11 +171,11 @@
 	for (const hostCount of [3, 8, 31, 200]) {
 		for (const perS of hostCount > 31 ? [1, 25] : [0.2, 0.5, 1, 2, 4, 25]) {
 			const hosts = Array.from({length: hostCount}, (_, index) => `10.0.0.${index}:1`);
-			const bound = boundOfLimit(perS);
-			const shares = hosts.map(own => SendShare.create(() => ({own, hosts, isSettled: true})));
+			const bound = limitBound(perS);
+			const shares = hosts.map(own => SendShare.create(() => ({ownName: own, hosts, isSettled: true})));
 			const sentMs: number[] = [];
 			for (let nowMs = 0; nowMs < 20_000; nowMs += stepMs) {
-				for (const share of shares.filter(each => each.left('s', bound, anyWork, nowMs) > 0)) {
+				for (const share of shares.filter(each => each.remaining('s', bound, anyWork, nowMs) > 0)) {
 					share.sent('s', nowMs);
 					sentMs.push(nowMs);
 				}
@@ -190,15 +190,15 @@
 });
 
 t.test('a sole sender has the whole bound, spread over the window', async t => {
-	const bound = boundOfLimit(2);
+	const bound = limitBound(2);
 	const hosts = Array.from({length: 31}, (_, index) => `h${index}`);
 	const soleWork = {isSoleSender: true};
 	for (const own of hosts) {
-		const share = SendShare.create(() => ({own, hosts, isSettled: true}));
+		const share = SendShare.create(() => ({ownName: own, hosts, isSettled: true}));
 		let sent = 0;
 		for (let nowMs = 0; nowMs < bound.windowMs; nowMs += stepMs) {
-			t.ok(share.left('s', bound, soleWork, nowMs) <= 2);
-			while (share.left('s', bound, soleWork, nowMs) > 0) {
+			t.ok(share.remaining('s', bound, soleWork, nowMs) <= 2);
+			while (share.remaining('s', bound, soleWork, nowMs) > 0) {
 				share.sent('s', nowMs);
 				sent++;
 			}
@@ -207,29 +207,29 @@
 		t.equal(sent, bound.most);
 	}
 
-	const stranger = SendShare.create(() => ({own: 'h1', hosts, isSettled: false}));
-	t.equal(stranger.left('s', bound, soleWork, 0), 0, 'a host that is not settled has no quota');
+	const stranger = SendShare.create(() => ({ownName: 'h1', hosts, isSettled: false}));
+	t.equal(stranger.remaining('s', bound, soleWork, 0), 0, 'a host that is not settled has no quota');
 });
 
 t.test('a limit of less than one request per window is one request in a longer window', async t => {
-	t.equal(boundOfLimit(0.2).most, 1);
-	t.equal(boundOfLimit(0.2).windowMs, 5000);
-	t.same(boundOfLimit(0), boundOfLimit(0.2));
-	t.same(boundOfLimit(1), {most: 4, windowMs: 4000, isPaced: true});
-	t.equal(perSecondOf(boundOfLimit(4)), 3.5, 'half of the tolerated requests');
+	t.equal(limitBound(0.2).most, 1);
+	t.equal(limitBound(0.2).windowMs, 5000);
+	t.same(limitBound(0), limitBound(0.2));
+	t.same(limitBound(1), {most: 4, windowMs: 4000, isPaced: true});
+	t.equal(boundPerS(limitBound(4)), 3.5, 'half of the tolerated requests');
 });
 
 t.test('the next send is due when the oldest send leaves the window', async t => {
-	const share = SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: true}));
+	const share = SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: true}));
 	const bound = {most: 2, windowMs: 1000, isPaced: false};
 	share.sent('s', 0);
 	share.sent('s', 300);
-	t.equal(share.left('s', bound, anyWork, 300), 0);
-	t.equal(share.nextInMs('s', bound, anyWork, 400), 600);
+	t.equal(share.remaining('s', bound, anyWork, 300), 0);
+	t.equal(share.nextSendInMs('s', bound, anyWork, 400), 600);
 	const paced = {most: 2, windowMs: 1000, isPaced: true};
-	t.equal(share.nextInMs('t', paced, anyWork, 400), 0);
+	t.equal(share.nextSendInMs('t', paced, anyWork, 400), 0);
 	share.sent('t', 400);
-	t.equal(share.nextInMs('t', paced, anyWork, 400), 500, 'half of the window for each of two');
-	const stranger = SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: false}));
-	t.equal(stranger.nextInMs('s', bound, anyWork, 400), undefined);
+	t.equal(share.nextSendInMs('t', paced, anyWork, 400), 500, 'half of the window for each of two');
+	const stranger = SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: false}));
+	t.equal(stranger.nextSendInMs('s', bound, anyWork, 400), undefined);
 });
--- a/src/routing/common/send-share.ts
+++ b/src/routing/common/send-share.ts
@@ -23,17 +23,17 @@
 };
 
 /** Minimum number of senders of an upstream, if its bound has a request for each: two of them may fail at once. */
-const fewestSenders = 3;
+const minSenders = 3;
 /**
 Target number of requests per sender and window, if the bound has as many. Requests of callers arrive at random, so a sender of an unpaced
 bound gets several requests. With a paced bound, more senders with one request each match the demand of each host's callers better.
 */
-const usualPart = 3;
-const usualPacedPart = 1;
+const requestsPerSender = 3;
+const pacedRequestsPerSender = 1;
 /** Number of intervals in a window over which the sends of a paced bound are spread. */
-const paceParts = 4;
+const paceIntervals = 4;
 /** How long sends are remembered; must cover the longest window. */
-const rememberMs = 10_000;
+const sendRetentionMs = 10_000;
 
 /** Tracks this host's sends to bounded upstreams and computes its quotas. */
 export class SendShare {
@@ -46,7 +46,7 @@
 	}
 
 	/** Times of this host's recent sends, by upstream. */
-	private readonly sentMs = new Map<string, number[]>();
+	private readonly sendTimesMs = new Map<string, number[]>();
 	/** Cached rank of this host in the sender order of each upstream, valid for the current `hosts`. */
 	private readonly ranks = new Map<string, number>();
 	private hosts: readonly string[] = [];
@@ -60,15 +60,15 @@
 	@param work - the kind of work to send.
 	@param nowMs - the current time.
 	*/
-	left(upstreamId: string, bound: RateBound, work: BoundedWork, nowMs: number): number {
-		const part = this.partOf(upstreamId, bound, work, nowMs);
-		if (part === 0) {
+	remaining(upstreamId: string, bound: RateBound, work: BoundedWork, nowMs: number): number {
+		const quota = this.quotaOf(upstreamId, bound, work, nowMs);
+		if (quota === 0) {
 			return 0;
 		}
 
-		const left = part - this.countRecent(upstreamId, bound.windowMs, nowMs);
-		const pace = paceOf(part, bound);
-		return Math.max(0, Math.min(left, pace.most - this.countRecent(upstreamId, pace.withinMs, nowMs)));
+		const remaining = quota - this.countRecent(upstreamId, bound.windowMs, nowMs);
+		const pace = paceOf(quota, bound);
+		return Math.max(0, Math.min(remaining, pace.maxSends - this.countRecent(upstreamId, pace.spanMs, nowMs)));
 	}
 
 	/**
@@ -79,14 +79,14 @@
 	@param nowMs - the current time.
 	@returns the time to wait in milliseconds, or undefined if this host has no quota.
 	*/
-	nextInMs(upstreamId: string, bound: RateBound, work: BoundedWork, nowMs: number): number | undefined {
-		const part = this.partOf(upstreamId, bound, work, nowMs);
-		if (part === 0) {
+	nextSendInMs(upstreamId: string, bound: RateBound, work: BoundedWork, nowMs: number): number | undefined {
+		const quota = this.quotaOf(upstreamId, bound, work, nowMs);
+		if (quota === 0) {
 			return undefined;
 		}
 
-		const {most, withinMs} = paceOf(part, bound);
-		return Math.max(this.roomInMs(upstreamId, part, bound.windowMs, nowMs), this.roomInMs(upstreamId, most, withinMs, nowMs));
+		const {maxSends, spanMs} = paceOf(quota, bound);
+		return Math.max(this.availableInMs(upstreamId, quota, bound.windowMs, nowMs), this.availableInMs(upstreamId, maxSends, spanMs, nowMs));
 	}
 
 	/**
@@ -95,7 +95,7 @@
 	@param nowMs - the current time.
 	*/
 	sent(upstreamId: string, nowMs: number): void {
-		this.sentMs.set(upstreamId, [...this.recentOf(upstreamId, rememberMs, nowMs), nowMs]);
+		this.sendTimesMs.set(upstreamId, [...this.recentSends(upstreamId, sendRetentionMs, nowMs), nowMs]);
 	}
 
 	/**
@@ -104,8 +104,8 @@
 	@param nowMs - the current time.
 	@returns the time in milliseconds; Infinity if no send is recorded.
 	*/
-	sinceSentMs(upstreamId: string, nowMs: number): number {
-		return nowMs - (this.sentMs.get(upstreamId)?.at(-1) ?? -Infinity);
+	sinceLastSendMs(upstreamId: string, nowMs: number): number {
+		return nowMs - (this.sendTimesMs.get(upstreamId)?.at(-1) ?? -Infinity);
 	}
 
 	/**
@@ -122,11 +122,11 @@
 	@param upstreamId - the upstream.
 	*/
 	forget(upstreamId: string): void {
-		this.sentMs.delete(upstreamId);
+		this.sendTimesMs.delete(upstreamId);
 		this.ranks.delete(upstreamId);
 	}
 
-	private rankAmong(upstreamId: string, {own, hosts}: FleetView): number {
+	private rankAmong(upstreamId: string, {ownName, hosts}: FleetView): number {
 		if (hosts !== this.hosts) {
 			this.hosts = hosts;
 			this.ranks.clear();
@@ -134,7 +134,7 @@
 
 		let rank = this.ranks.get(upstreamId);
 		if (rank === undefined) {
-			rank = rendezvousRank(upstreamId, own, hosts);
+			rank = rendezvousRank(upstreamId, ownName, hosts);
 			this.ranks.set(upstreamId, rank);
 		}
 
@@ -142,7 +142,7 @@
 	}
 
 	/** The number of requests that this host may send within a window. */
-	private partOf(upstreamId: string, {most, isPaced}: RateBound, {isSoleSender}: BoundedWork, nowMs: number): number {
+	private quotaOf(upstreamId: string, {most, isPaced}: RateBound, {isSoleSender}: BoundedWork, nowMs: number): number {
 		const view = this.viewOf(nowMs);
 		const {hosts, isSettled} = view;
 		if (!isSettled) {
@@ -153,32 +153,32 @@
 			return most;
 		}
 
-		const senderCount = Math.min(hosts.length, most, Math.max(fewestSenders, Math.floor(most / (isPaced ? usualPacedPart : usualPart))));
+		const senderCount = Math.min(hosts.length, most, Math.max(minSenders, Math.floor(most / (isPaced ? pacedRequestsPerSender : requestsPerSender))));
 		const rank = this.rankAmong(upstreamId, view);
 		const isAmongFirst = rank < most % senderCount;
 		return rank < senderCount ? Math.floor(most / senderCount) + (isAmongFirst ? 1 : 0) : 0;
 	}
 
 	/** Time until fewer than the given number of sends lie within a time span. */
-	private roomInMs(upstreamId: string, most: number, withinMs: number, nowMs: number): number {
-		const atMs = this.recentOf(upstreamId, withinMs, nowMs).at(-most);
-		return atMs === undefined ? 0 : atMs + withinMs - nowMs;
+	private availableInMs(upstreamId: string, maxSends: number, spanMs: number, nowMs: number): number {
+		const atMs = this.recentSends(upstreamId, spanMs, nowMs).at(-maxSends);
+		return atMs === undefined ? 0 : atMs + spanMs - nowMs;
 	}
 
-	private countRecent(upstreamId: string, withinMs: number, nowMs: number): number {
-		return this.recentOf(upstreamId, withinMs, nowMs).length;
+	private countRecent(upstreamId: string, spanMs: number, nowMs: number): number {
+		return this.recentSends(upstreamId, spanMs, nowMs).length;
 	}
 
-	private recentOf(upstreamId: string, withinMs: number, nowMs: number): number[] {
-		return (this.sentMs.get(upstreamId) ?? []).filter(atMs => nowMs - atMs < withinMs);
+	private recentSends(upstreamId: string, spanMs: number, nowMs: number): number[] {
+		return (this.sendTimesMs.get(upstreamId) ?? []).filter(atMs => nowMs - atMs < spanMs);
 	}
 }
 
 /** Maximum number of sends in a shorter span. Small quotas are sent one at a time at even intervals; of larger ones, a quarter may be sent within a quarter of the window. */
-function paceOf(part: number, {windowMs, isPaced}: RateBound): {readonly most: number; readonly withinMs: number} {
+function paceOf(quota: number, {windowMs, isPaced}: RateBound): {readonly maxSends: number; readonly spanMs: number} {
 	if (!isPaced) {
-		return {most: part, withinMs: windowMs};
+		return {maxSends: quota, spanMs: windowMs};
 	}
 
-	return part < paceParts ? {most: 1, withinMs: windowMs / part} : {most: Math.ceil(part / paceParts), withinMs: windowMs / paceParts};
+	return quota < paceIntervals ? {maxSends: 1, spanMs: windowMs / quota} : {maxSends: Math.ceil(quota / paceIntervals), spanMs: windowMs / paceIntervals};
 }
--- a/src/routing/common/server-signs.ts
+++ b/src/routing/common/server-liveness.ts
@@ -1,18 +1,18 @@
 /** Liveness of one upstream: the sends that have not been answered yet, and when it last responded. */
 
 /** Tracks the unanswered sends to one upstream and whether the upstream should be avoided. */
-export class ServerSigns {
-	static create(): ServerSigns {
-		return new ServerSigns();
+export class ServerLiveness {
+	static create(): ServerLiveness {
+		return new ServerLiveness();
 	}
 
 	private readonly unanswered = new Map<string, number>();
-	private heardMs = -Infinity;
+	private lastReceivedMs = -Infinity;
 	private avoidedUntilMs = -Infinity;
 	private failures = 0;
 
 	/** Number of sends whose answer has not started. */
-	get waiting(): number {
+	get unansweredCount(): number {
 		return this.unanswered.size;
 	}
 
@@ -21,9 +21,9 @@
 	}
 
 	/** Records that an answer started, continued or ended. */
-	heard(id: string, nowMs: number): void {
+	received(id: string, nowMs: number): void {
 		this.unanswered.delete(id);
-		this.heardMs = nowMs;
+		this.lastReceivedMs = nowMs;
 		this.failures = 0;
 		this.avoidedUntilMs = -Infinity;
 	}
@@ -36,12 +36,12 @@
 	/**
 	Records that a connection could not be established or was lost: the upstream is avoided for a time that doubles with each failure.
 	@param nowMs - the current time.
-	@param firstMs - the duration of the first avoidance.
-	@param longestMs - the maximum duration.
+	@param initialMs - the duration of the first avoidance.
+	@param maxMs - the maximum duration.
 	*/
-	unreachable(nowMs: number, firstMs: number, longestMs: number): void {
+	connectionFailed(nowMs: number, initialMs: number, maxMs: number): void {
 		if (nowMs >= this.avoidedUntilMs) {
-			this.avoidedUntilMs = nowMs + Math.min(longestMs, firstMs * (2 ** this.failures));
+			this.avoidedUntilMs = nowMs + Math.min(maxMs, initialMs * (2 ** this.failures));
 			this.failures++;
 		}
 	}
@@ -49,10 +49,10 @@
 	/**
 	Records that the upstream has crashed, although the list of servers may still contain it: it is avoided for a time, unless it responds after all.
 	@param nowMs - the current time.
-	@param forMs - the time until its entry is removed from the list.
+	@param durationMs - the time until its entry is removed from the list.
 	*/
-	ended(nowMs: number, forMs: number): void {
-		this.avoidedUntilMs = nowMs + forMs;
+	crashed(nowMs: number, durationMs: number): void {
+		this.avoidedUntilMs = nowMs + durationMs;
 	}
 
 	isAvoided(nowMs: number): boolean {
@@ -66,6 +66,6 @@
 	*/
 	silentMs(nowMs: number): number {
 		const [oldestMs] = this.unanswered.values();
-		return oldestMs === undefined ? 0 : Math.max(0, nowMs - Math.max(oldestMs, this.heardMs));
+		return oldestMs === undefined ? 0 : Math.max(0, nowMs - Math.max(oldestMs, this.lastReceivedMs));
 	}
 }
--- a/src/routing/common/server-refusals.test.ts
+++ b/src/routing/common/server-refusals.test.ts
@@ -6,7 +6,7 @@
 const makeRefusals = (hostCount = 1) => ServerRefusals.create(silentLoggers.for('test'), () => hostCount);
 
 /** Sends a call whenever the upstream is not avoided, and returns the send times. */
-function play(refusals: ServerRefusals, isRefused: (index: number) => boolean, fromMs: number, toMs: number): number[] {
+function simulate(refusals: ServerRefusals, isRefused: (index: number) => boolean, fromMs: number, toMs: number): number[] {
 	const sentMs: number[] = [];
 	for (let nowMs = fromMs; nowMs < toMs; nowMs += 10) {
 		if (refusals.isAvoided('s', nowMs)) {
@@ -17,7 +17,7 @@
 		if (isRefused(sentMs.length)) {
 			refusals.refused(server, nowMs + 1);
 		} else {
-			refusals.taken('s');
+			refusals.accepted('s');
 		}
 
 		sentMs.push(nowMs);
@@ -27,20 +27,20 @@
 }
 
 t.test('an upstream that refuses all calls is tried once per second after the first second', async t => {
-	const sentMs = play(makeRefusals(), () => true, 0, 10_000);
+	const sentMs = simulate(makeRefusals(), () => true, 0, 10_000);
 	const later = sentMs.filter(atMs => atMs > 1000).length;
 	t.ok(later <= 10, `${later} in 9 s`);
 	t.ok(later >= 8, 'it is tried nevertheless');
 });
 
 t.test('with many hosts each host tries an upstream less often, but within four seconds', async t => {
-	const sentMs = play(makeRefusals(31), () => true, 0, 41_000).filter(atMs => atMs > 1000);
+	const sentMs = simulate(makeRefusals(31), () => true, 0, 41_000).filter(atMs => atMs > 1000);
 	t.ok(sentMs.length >= 10 && sentMs.length <= 13, `${sentMs.length} in 40 s`);
-	t.ok(play(makeRefusals(3), () => true, 0, 10_000).length > 8, 'with few hosts each tries it once per second');
+	t.ok(simulate(makeRefusals(3), () => true, 0, 10_000).length > 8, 'with few hosts each tries it once per second');
 });
 
 t.test('the avoidance time grows with the refused share', async t => {
-	const [seldom, half, all] = [10, 2, 1].map(each => play(makeRefusals(), index => index % each === 0, 0, 10_000).length);
+	const [seldom, half, all] = [10, 2, 1].map(each => simulate(makeRefusals(), index => index % each === 0, 0, 10_000).length);
 	t.ok(seldom > 300, `${seldom} of 1000 with one in ten refused`);
 	t.ok(half < seldom / 4, `${half} with half refused`);
 	t.ok(all < half, `${all} with all refused`);
@@ -48,22 +48,22 @@
 
 t.test('an upstream that accepts work again gets its full share immediately, and its refusals are forgotten soon', async t => {
 	const refusals = makeRefusals();
-	play(refusals, () => true, 0, 5000);
-	const sentMs = play(refusals, () => false, 5000, 7000);
+	simulate(refusals, () => true, 0, 5000);
+	const sentMs = simulate(refusals, () => false, 5000, 7000);
 	t.ok(sentMs[0] <= 6000);
 	t.equal(sentMs.length, ((7000 - sentMs[0]) / 10), 'no call is held back after the first accepted one');
 	refusals.refused(server, 7000);
-	t.ok(refusals.openInMs('s', 7000) < 200);
+	t.ok(refusals.retryInMs('s', 7000) < 200);
 });
 
 t.test('only one trial call is sent until it is answered or times out', async t => {
 	const refusals = makeRefusals();
 	refusals.refused(server, 0);
-	const openMs = refusals.openInMs('s', 0);
+	const openMs = refusals.retryInMs('s', 0);
 	t.notOk(refusals.isAvoided('s', openMs));
 	refusals.sent('s', openMs);
 	t.ok(refusals.isAvoided('s', openMs + 10));
 	t.notOk(refusals.isAvoided('s', openMs + 500));
 	refusals.forget('s');
-	t.equal(refusals.openInMs('s', openMs), 0);
+	t.equal(refusals.retryInMs('s', openMs), 0);
 });
--- a/src/routing/common/server-refusals.ts
+++ b/src/routing/common/server-refusals.ts
@@ -10,31 +10,31 @@
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 
 /** Weight of the newest call in the refused share. */
-const shareWeight = 0.3;
+const smoothing = 0.3;
 /** Avoidance time, multiplied by the square of the refused share, so that an occasional refusal has little effect. */
-const avoidMs = 1500;
-const longestAvoidMs = 1000;
+const avoidMsPerSquaredShare = 1500;
+const maxAvoidMs = 1000;
 /**
 The avoidance time and its maximum grow with the number of hosts: every host finds out by itself, each sends fewer requests, and the trials of all hosts
 add up. The factor is limited so that each host tries an upstream at least every four seconds.
 */
-const fewHosts = 3;
-const mostLonger = 4;
+const hostsAtBaseDelay = 3;
+const maxHostFactor = 4;
 /** Time without an answer to a trial call after which another one may be sent. */
-const trialMs = 500;
+const trialTimeoutMs = 500;
 /** Refused share above which an upstream is logged as refusing, and share below which it is logged as accepting work again. */
-const toldShare = 0.5;
-const forgottenShare = 0.05;
+const loggedShare = 0.5;
+const recoveredShare = 0.05;
 
 /** State of an upstream that has refused a call. */
-type Known = {
+type RefusalState = {
 	/** Share of its recent calls that it refused. */
-	share: number;
+	refusedShare: number;
 	avoidedUntilMs: number;
 	/** Whether its last answer was a refusal, so that only one trial call at a time may be sent. */
 	isOnTrial: boolean;
-	sentMs: number;
-	isTold: boolean;
+	lastSentMs: number;
+	isLogged: boolean;
 };
 
 export const serverRefusalsToken: InjectionToken<ServerRefusals> = Symbol('ServerRefusals');
@@ -51,7 +51,7 @@
 	}
 
 	/** By `serverId`; contains only upstreams that refused calls recently. */
-	private readonly known = new Map<string, Known>();
+	private readonly states = new Map<string, RefusalState>();
 
 	private constructor(private readonly log: Logger, private readonly hostCount: () => number) {}
 
@@ -61,7 +61,7 @@
 	@param nowMs - the current time.
 	*/
 	isAvoided(serverId: string, nowMs: number): boolean {
-		return this.openInMs(serverId, nowMs) > 0;
+		return this.retryInMs(serverId, nowMs) > 0;
 	}
 
 	/**
@@ -70,14 +70,14 @@
 	@param nowMs - the current time.
 	@returns the time to wait in milliseconds; 0 if the upstream is not avoided.
 	*/
-	openInMs(serverId: string, nowMs: number): number {
-		const known = this.known.get(serverId);
-		if (!known) {
+	retryInMs(serverId: string, nowMs: number): number {
+		const state = this.states.get(serverId);
+		if (!state) {
 			return 0;
 		}
 
-		const trialUntilMs = known.isOnTrial ? known.sentMs + trialMs : -Infinity;
-		return Math.max(0, known.avoidedUntilMs - nowMs, trialUntilMs - nowMs);
+		const trialUntilMs = state.isOnTrial ? state.lastSentMs + trialTimeoutMs : -Infinity;
+		return Math.max(0, state.avoidedUntilMs - nowMs, trialUntilMs - nowMs);
 	}
 
 	/**
@@ -86,9 +86,9 @@
 	@param nowMs - the current time.
 	*/
 	sent(serverId: string, nowMs: number): void {
-		const known = this.known.get(serverId);
-		if (known) {
-			known.sentMs = nowMs;
+		const state = this.states.get(serverId);
+		if (state) {
+			state.lastSentMs = nowMs;
 		}
 	}
 
@@ -98,18 +98,18 @@
 	@param nowMs - the current time.
 	*/
 	refused({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, nowMs: number): void {
-		const known = this.known.get(serverId) ?? {
-			share: 0, avoidedUntilMs: 0, isOnTrial: true, sentMs: -Infinity, isTold: false,
+		const state = this.states.get(serverId) ?? {
+			refusedShare: 0, avoidedUntilMs: 0, isOnTrial: true, lastSentMs: -Infinity, isLogged: false,
 		};
-		this.known.set(serverId, known);
-		known.share += shareWeight * (1 - known.share);
-		const longer = Math.min(mostLonger, Math.max(1, this.hostCount() / fewHosts));
-		known.avoidedUntilMs = nowMs + (longer * Math.min(longestAvoidMs, avoidMs * (known.share ** 2)));
-		known.isOnTrial = true;
-		known.sentMs = -Infinity;
-		if (!known.isTold && known.share >= toldShare) {
-			known.isTold = true;
-			this.log.info('An upstream refuses work; it is avoided while other upstreams accept it.', {server: serverId, pool, refusedShare: Number(known.share.toFixed(2))});
+		this.states.set(serverId, state);
+		state.refusedShare += smoothing * (1 - state.refusedShare);
+		const hostFactor = Math.min(maxHostFactor, Math.max(1, this.hostCount() / hostsAtBaseDelay));
+		state.avoidedUntilMs = nowMs + (hostFactor * Math.min(maxAvoidMs, avoidMsPerSquaredShare * (state.refusedShare ** 2)));
+		state.isOnTrial = true;
+		state.lastSentMs = -Infinity;
+		if (!state.isLogged && state.refusedShare >= loggedShare) {
+			state.isLogged = true;
+			this.log.info('An upstream refuses work; it is avoided while other upstreams accept it.', {server: serverId, pool, refusedShare: Number(state.refusedShare.toFixed(2))});
 		}
 	}
 
@@ -117,18 +117,18 @@
 	Records that an upstream accepted a call.
 	@param serverId - the upstream.
 	*/
-	taken(serverId: string): void {
-		const known = this.known.get(serverId);
-		if (!known) {
+	accepted(serverId: string): void {
+		const state = this.states.get(serverId);
+		if (!state) {
 			return;
 		}
 
-		known.share *= 1 - shareWeight;
-		known.isOnTrial = false;
-		known.avoidedUntilMs = 0;
-		if (known.share < forgottenShare) {
-			this.known.delete(serverId);
-			if (known.isTold) {
+		state.refusedShare *= 1 - smoothing;
+		state.isOnTrial = false;
+		state.avoidedUntilMs = 0;
+		if (state.refusedShare < recoveredShare) {
+			this.states.delete(serverId);
+			if (state.isLogged) {
 				this.log.info('An upstream that refused work accepts it again.', {server: serverId});
 			}
 		}
@@ -139,6 +139,6 @@
 	@param serverId - the upstream.
 	*/
 	forget(serverId: string): void {
-		this.known.delete(serverId);
+		this.states.delete(serverId);
 	}
 }
--- a/src/routing/common/stage-estimates.ts
+++ b/src/routing/common/stage-estimates.ts
@@ -2,11 +2,11 @@
 import {DecayedHistogram} from './decayed-histogram.js';
 
 /** Quantile of the optimistic estimate: this share of the samples lies below it. */
-const optimisticShare = 0.1;
-const typicalShare = 0.5;
-const slowShare = 0.95;
+const optimisticQuantile = 0.1;
+const typicalQuantile = 0.5;
+const slowQuantile = 0.95;
 /** Minimum weight of samples; with less there is no estimate. */
-const fewestSamples = 8;
+const minSamples = 8;
 
 /** Duration estimates of all stages observed so far. */
 export class StageEstimates {
@@ -19,16 +19,16 @@
 	/**
 	Records a completed stage.
 	@param key - identifies the stage and the model.
-	@param tookMs - the time from its first dispatch to its end.
+	@param durationMs - the time from its first dispatch to its end.
 	*/
-	record(key: string, tookMs: number): void {
+	record(key: string, durationMs: number): void {
 		let histogram = this.histograms.get(key);
 		if (!histogram) {
 			histogram = DecayedHistogram.create();
 			this.histograms.set(key, histogram);
 		}
 
-		histogram.record(tookMs);
+		histogram.record(durationMs);
 	}
 
 	/**
@@ -39,7 +39,7 @@
 	optimisticMs(keys: readonly string[]): number {
 		let sumMs = 0;
 		for (const key of keys) {
-			sumMs += this.quantile(key, optimisticShare) ?? 0;
+			sumMs += this.quantile(key, optimisticQuantile) ?? 0;
 		}
 
 		return sumMs;
@@ -47,16 +47,16 @@
 
 	/** @returns the median duration of a stage, or undefined with too few samples. */
 	typicalMs(key: string): number | undefined {
-		return this.quantile(key, typicalShare);
+		return this.quantile(key, typicalQuantile);
 	}
 
 	/** @returns the duration above which an attempt is unusually slow, or undefined with too few samples. */
 	slowMs(key: string): number | undefined {
-		return this.quantile(key, slowShare);
+		return this.quantile(key, slowQuantile);
 	}
 
-	private quantile(key: string, share: number): number | undefined {
+	private quantile(key: string, fraction: number): number | undefined {
 		const histogram = this.histograms.get(key);
-		return histogram && histogram.weight >= fewestSamples ? histogram.quantile(share) : undefined;
+		return histogram && histogram.weight >= minSamples ? histogram.quantile(fraction) : undefined;
 	}
 }
--- a/src/routing/common/subset.ts
+++ b/src/routing/common/subset.ts
@@ -5,7 +5,7 @@
 import {hashText} from '../../base/common/hash.js';
 
 /** A host with a stable id. */
-export type Named = {readonly hostId: string};
+export type HostIdentity = {readonly hostId: string};
 
 /**
 Selects an entry's slice of a pool.
@@ -15,17 +15,17 @@
 @returns the slice. The entries of one round share an order and take slices that do not overlap. Each round has its own
 order, given by a hash, so that adding or removing a host changes few other assignments.
 */
-export function subsetOf<T extends Named>(pool: readonly T[], position: number, size: number): T[] {
+export function subsetOf<T extends HostIdentity>(pool: readonly T[], position: number, size: number): T[] {
 	if (pool.length <= size) {
 		return [...pool];
 	}
 
-	const slices = Math.ceil(pool.length / size);
-	const round = Math.floor(position / slices);
+	const sliceCount = Math.ceil(pool.length / size);
+	const round = Math.floor(position / sliceCount);
 	const ordered = pool
 		.map(host => ({host, key: hashText(host.hostId, round)}))
 		.toSorted((a, b) => a.key - b.key || (a.host.hostId < b.host.hostId ? -1 : 1));
-	const start = (position % slices) * size;
+	const start = (position % sliceCount) * size;
 	// The last slice wraps around to the start, so that every entry has the same number of hosts.
 	return Array.from({length: size}, (_, offset) => ordered[(start + offset) % ordered.length].host);
 }
--- a/src/routing/common/sleep.test.ts
+++ b/src/routing/common/suspend.test.ts
@@ -13,16 +13,16 @@
 import {FirstTries} from '../../direct/common/first-tries.js';
 import {FleetMemory} from '../../peers/common/fleet-memory.js';
 import {EndRecord} from '../../quarantine/common/end-record.js';
-import {boundOfCold} from './rate-bound.js';
+import {coldUpstreamBound} from './rate-bound.js';
 import {directWork, SendBounds} from './send-bounds.js';
 import {SendShare} from './send-share.js';
-import {ServerSigns} from './server-signs.js';
+import {ServerLiveness} from './server-liveness.js';
 import {WindowedBudget} from './windowed-budget.js';
 
 t.test('a retry budget ignores first sends and repeats from before a suspend that is longer than its window', async t => {
 	const clock = ManualClock.create();
 	const budget = WindowedBudget.create({ratio: 0.2, slack: 2, windowMs: 10_000}, () => 1);
-	budget.countFirst(clock.nowMs(), 1000);
+	budget.countFirstSends(clock.nowMs(), 1000);
 	t.ok(budget.tryWithdraw(clock.nowMs(), 100));
 	t.notOk(budget.tryWithdraw(clock.nowMs(), 100));
 	clock.sleep(11_000);
@@ -32,8 +32,8 @@
 
 t.test('the avoidance of an upstream is not prolonged by a suspend', async t => {
 	const clock = ManualClock.create();
-	const signs = ServerSigns.create();
-	signs.unreachable(clock.nowMs(), 400, 4000);
+	const signs = ServerLiveness.create();
+	signs.connectionFailed(clock.nowMs(), 400, 4000);
 	t.ok(signs.isAvoided(clock.nowMs()));
 	clock.sleep(500);
 	t.notOk(signs.isAvoided(clock.nowMs()));
@@ -67,9 +67,9 @@
 
 t.test('sends to a cold upstream expire during a suspend', async t => {
 	const clock = ManualClock.create();
-	const share = SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: true}));
-	const bound = boundOfCold(4, {excess: 1.5, tolerance: 5});
-	const left = () => share.left('s', bound, {isSoleSender: false}, clock.nowMs());
+	const share = SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: true}));
+	const bound = coldUpstreamBound(4, {excess: 1.5, tolerance: 5});
+	const left = () => share.remaining('s', bound, {isSoleSender: false}, clock.nowMs());
 	while (left() > 0) {
 		share.sent('s', clock.nowMs());
 	}
@@ -113,15 +113,15 @@
 	const bounds = SendBounds.create({
 		registry: {coldLeftMs: () => 0, takesNew: () => true, onDidChange: () => ({dispose: () => undefined})},
 		limits,
-		rests: {leftMs: () => 0, forget: () => undefined},
-		share: SendShare.create(() => ({own: 'a', hosts: ['a', 'b'], isSettled: false})),
+		backoffs: {leftMs: () => 0, forget: () => undefined},
+		share: SendShare.create(() => ({ownName: 'a', hosts: ['a', 'b'], isSettled: false})),
 		cold: undefined,
-		bearsPerS: () => 0,
+		toleratedPerS: () => 0,
 	});
 	limits.answered(server, {kind: 'named', perS: 1}, clock.nowMs(), clock.nowMs());
-	t.notOk(bounds.mayGet(server, directWork, clock.nowMs()));
+	t.notOk(bounds.maySend(server, directWork, clock.nowMs()));
 	clock.sleep(20_000);
-	t.ok(bounds.mayGet(server, directWork, clock.nowMs()));
+	t.ok(bounds.maySend(server, directWork, clock.nowMs()));
 	limits.answered(server, {kind: 'none'}, clock.nowMs(), clock.nowMs());
 	clock.sleep(10_000);
 	t.equal(limits.limitOf('s', clock.nowMs()), undefined);
--- a/src/routing/common/upstream-stats.ts
+++ b/src/routing/common/upstream-stats.ts
@@ -45,13 +45,13 @@
 	/**
 	Records the end of a call: its outcome and, if it succeeded, its time.
 	@param runMs - the run time on the upstream.
-	@param usualMs - the typical run time of the same stage.
+	@param typicalMs - the typical run time of the same stage.
 	@param isFailure - whether the upstream failed.
 	*/
-	observeEnd(runMs: number, usualMs: number, isFailure: boolean): void {
+	observeEnd(runMs: number, typicalMs: number, isFailure: boolean): void {
 		this.observeOutcome(isFailure);
 		if (!isFailure) {
-			this.observeTime(runMs, usualMs);
+			this.observeTime(runMs, typicalMs);
 		}
 	}
 
@@ -66,22 +66,22 @@
 
 	/**
 	Records a duration of a call, which may still be running.
-	@param tookMs - the duration to compare: the total time, or the time to the first token.
-	@param usualMs - the typical value of the same duration.
+	@param durationMs - the duration to compare: the total time, or the time to the first token.
+	@param typicalMs - the typical value of the same duration.
 	*/
-	observeTime(tookMs: number, usualMs: number): void {
-		const ratio = tookMs / Math.max(1, usualMs);
+	observeTime(durationMs: number, typicalMs: number): void {
+		const ratio = durationMs / Math.max(1, typicalMs);
 		this.slowness = this.slowness === undefined ? ratio : this.slowness + (smoothing * (ratio - this.slowness));
 	}
 
 	/**
 	Estimates how long a call sent now would wait, in units of the answer time.
-	@param usualSlots - concurrent calls to assume if the upstream does not report its slots.
+	@param typicalSlots - concurrent calls to assume if the upstream does not report its slots.
 	@param nowMs - the current time.
 	@returns the wait as a multiple of the answer time; 0 while a slot is free.
 	*/
-	waitTurns(usualSlots: number, nowMs: number): number {
-		const slots = Math.max(1, this.report?.slots ?? usualSlots);
+	waitInServiceTimes(typicalSlots: number, nowMs: number): number {
+		const slots = Math.max(1, this.report?.slots ?? typicalSlots);
 		return Math.max(0, this.outstanding(nowMs) + 1 - slots) / slots;
 	}
 
@@ -96,8 +96,8 @@
 			return this.inFlight;
 		}
 
-		const trust = 2 ** (-(nowMs - this.reportAtMs) / reportHalfLifeMs);
+		const reportWeight = 2 ** (-(nowMs - this.reportAtMs) / reportHalfLifeMs);
 		const reported = this.report.running + this.report.queued - this.inFlightAtReport;
-		return this.inFlight + Math.max(0, reported * trust);
+		return this.inFlight + Math.max(0, reported * reportWeight);
 	}
 }
--- a/src/routing/common/windowed-budget.test.ts
+++ b/src/routing/common/windowed-budget.test.ts
@@ -4,7 +4,7 @@
 t.test('repeats are limited to a share of first sends plus a part of the slack in any window', async t => {
 	let hosts = 5;
 	const budget = WindowedBudget.create({ratio: 0.2, slack: 50, windowMs: 10_000}, () => hosts);
-	const draw = (nowMs: number) => {
+	const withdrawAll = (nowMs: number) => {
 		let drawn = 0;
 		while (budget.tryWithdraw(nowMs)) {
 			drawn++;
@@ -13,19 +13,19 @@
 		return drawn;
 	};
 
-	t.equal(draw(0), 8, 'the slack of one of five hosts, less the margin');
-	budget.countFirst(1000, 100);
-	t.equal(draw(1000), 17, 'plus a fifth of the first sends');
-	t.equal(draw(9000), 0);
+	t.equal(withdrawAll(0), 8, 'the slack of one of five hosts, less the margin');
+	budget.countFirstSends(1000, 100);
+	t.equal(withdrawAll(1000), 17, 'plus a fifth of the first sends');
+	t.equal(withdrawAll(9000), 0);
 	hosts = 1;
-	t.equal(draw(9000), 0, 'alone, but the others may have used their parts of the slack');
-	t.equal(draw(21_000), 42, 'the whole slack after a window alone');
+	t.equal(withdrawAll(9000), 0, 'alone, but the others may have used their parts of the slack');
+	t.equal(withdrawAll(21_000), 42, 'the whole slack after a window alone');
 });
 
 t.test('hosts that left within the window still count, since they may have used their part', async t => {
 	let hosts = 4;
 	const budget = WindowedBudget.create({ratio: 0, slack: 40, windowMs: 10_000}, () => hosts);
-	budget.countFirst(0);
+	budget.countFirstSends(0);
 	hosts = 1;
 	let paid = 0;
 	while (budget.tryWithdraw(5000)) {
--- a/src/routing/common/windowed-budget.ts
+++ b/src/routing/common/windowed-budget.ts
@@ -10,11 +10,11 @@
 };
 
 /** Number of buckets in which a window is counted; an expired bucket is dropped as a whole. */
-const stepsPerWindow = 20;
+const bucketsPerWindow = 20;
 /** Share of the bounds that is used. The margin covers that the windows of hosts are not aligned and that the bounds apply to sends when they arrive. */
 const usedShare = 0.85;
 
-type Step = {readonly atMs: number; firsts: number; repeats: number; hosts: number};
+type WindowBucket = {readonly atMs: number; firsts: number; repeats: number; hosts: number};
 
 /** Counts the first sends and repeats to one pool on this host. */
 export class WindowedBudget {
@@ -27,7 +27,7 @@
 		return new WindowedBudget(bounds, hostCount);
 	}
 
-	private readonly steps: Step[] = [];
+	private readonly buckets: WindowBucket[] = [];
 
 	private constructor(private readonly bounds: RepeatBounds, private readonly hostCount: () => number) {}
 
@@ -36,8 +36,8 @@
 	@param nowMs - the current time.
 	@param count - the number of sends.
 	*/
-	countFirst(nowMs: number, count = 1): void {
-		this.stepAt(nowMs).firsts += count;
+	countFirstSends(nowMs: number, count = 1): void {
+		this.bucketAt(nowMs).firsts += count;
 	}
 
 	/**
@@ -47,19 +47,19 @@
 	@returns whether they may be sent.
 	*/
 	tryWithdraw(nowMs: number, count = 1): boolean {
-		const current = this.stepAt(nowMs);
-		let firsts = 0;
+		const current = this.bucketAt(nowMs);
+		let firstSends = 0;
 		let repeats = 0;
 		// Hosts that are partitioned or have left may have used their part of the slack within this window.
-		let hosts = 1;
-		for (const step of this.steps) {
-			firsts += step.firsts;
-			repeats += step.repeats;
-			hosts = Math.max(hosts, step.hosts);
+		let maxHosts = 1;
+		for (const bucket of this.buckets) {
+			firstSends += bucket.firsts;
+			repeats += bucket.repeats;
+			maxHosts = Math.max(maxHosts, bucket.hosts);
 		}
 
 		const {ratio, slack} = this.bounds;
-		const allowed = usedShare * ((ratio * firsts) + (slack / hosts));
+		const allowed = usedShare * ((ratio * firstSends) + (slack / maxHosts));
 		if (repeats + count > allowed) {
 			return false;
 		}
@@ -68,23 +68,23 @@
 		return true;
 	}
 
-	private stepAt(nowMs: number): Step {
+	private bucketAt(nowMs: number): WindowBucket {
 		const {windowMs} = this.bounds;
-		while (this.steps.length > 0 && this.steps[0].atMs <= nowMs - windowMs) {
-			this.steps.shift();
+		while (this.buckets.length > 0 && this.buckets[0].atMs <= nowMs - windowMs) {
+			this.buckets.shift();
 		}
 
-		const last = this.steps.at(-1);
+		const last = this.buckets.at(-1);
 		const hosts = this.hostCount();
-		if (last && nowMs < last.atMs + (windowMs / stepsPerWindow)) {
+		if (last && nowMs < last.atMs + (windowMs / bucketsPerWindow)) {
 			last.hosts = Math.max(last.hosts, hosts);
 			return last;
 		}
 
-		const step = {
+		const bucket = {
 			atMs: nowMs, firsts: 0, repeats: 0, hosts,
 		};
-		this.steps.push(step);
-		return step;
+		this.buckets.push(bucket);
+		return bucket;
 	}
 }
--- a/src/routing/common/workspace-limiter.ts
+++ b/src/routing/common/workspace-limiter.ts
@@ -23,22 +23,22 @@
 	private inFlight = 0;
 	private tokens: number | undefined;
 
-	private constructor(private filledMs: number) {}
+	private constructor(private lastRefillMs: number) {}
 
 	/**
 	Admits a request or refuses it. An admitted request must be released when it ends.
 	@param limits - the limits in force.
 	@param nowMs - the current time.
 	*/
-	tryEnter(limits: Limits, nowMs: number): Outcome<undefined, LimitRefusal> {
+	tryAdmit(limits: Limits, nowMs: number): Outcome<undefined, LimitRefusal> {
 		if (this.inFlight >= limits.maxInFlight) {
 			return fail({code: 'tooManyInFlight', retryAfterMs: inFlightRetryMs});
 		}
 
 		if (limits.requestsPerSecond > 0) {
-			const refilled = (this.tokens ?? limits.burst) + (((nowMs - this.filledMs) / 1000) * limits.requestsPerSecond);
+			const refilled = (this.tokens ?? limits.burst) + (((nowMs - this.lastRefillMs) / 1000) * limits.requestsPerSecond);
 			this.tokens = Math.min(limits.burst, refilled);
-			this.filledMs = nowMs;
+			this.lastRefillMs = nowMs;
 			if (this.tokens < 1) {
 				return fail({code: 'rateExceeded', retryAfterMs: ((1 - this.tokens) / limits.requestsPerSecond) * 1000});
 			}
@@ -51,7 +51,7 @@
 	}
 
 	/** Releases an admitted request that has ended. */
-	leave(): void {
+	release(): void {
 		this.inFlight--;
 	}
 }
