--- a/src/routing/common/send-share.test.ts
+++ b/src/routing/common/send-share.test.ts
@@ -207,8 +207,8 @@
 		t.equal(sent, bound.most);
 	}
 
-	const stranger = SendShare.create(() => ({ownName: 'h1', hosts, isSettled: false}));
-	t.equal(stranger.remaining('s', bound, soleWork, 0), 0, 'a host that is not settled has no quota');
+	const unsettled = SendShare.create(() => ({ownName: 'h1', hosts, isSettled: false}));
+	t.equal(unsettled.remaining('s', bound, soleWork, 0), 0, 'a host that is not settled has no quota');
 });
 
 t.test('a limit of less than one request per window is one request in a longer window', async t => {
@@ -230,6 +230,6 @@
 	t.equal(share.nextSendInMs('t', paced, anyWork, 400), 0);
 	share.sent('t', 400);
 	t.equal(share.nextSendInMs('t', paced, anyWork, 400), 500, 'half of the window for each of two');
-	const stranger = SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: false}));
-	t.equal(stranger.nextSendInMs('s', bound, anyWork, 400), undefined);
+	const unsettled = SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: false}));
+	t.equal(unsettled.nextSendInMs('s', bound, anyWork, 400), undefined);
 });
