--- a/src/routing/common/host-capacity.ts
+++ b/src/routing/common/host-capacity.ts
@@ -14,7 +14,7 @@
 
 /**
 Computes the capacity of a host for shared work, for comparison with other hosts.
-@param capacity - the resources of the host.
+@param resources - the resources of the host.
 @returns the capacity in cores; a slow link counts as few cores.
 */
 export function sharedCapacityOf({cores, linkMbps}: HostResources): number {
