--- a/src/daemon/common/direct-settings.ts
+++ b/src/daemon/common/direct-settings.ts
@@ -1,6 +1,6 @@
 /** Settings of a host whose entry calls upstreams itself; a platform's adapter creates them from what that platform provides. */
 import type {Endpoint} from '../../wire/common/endpoint.js';
-import type {HostCapacity} from '../../routing/common/host-room.js';
+import type {HostResources} from '../../routing/common/host-capacity.js';
 import type {ColdBounds} from '../../routing/common/rate-bound.js';
 import type {RepeatBounds} from '../../routing/common/windowed-budget.js';
 
@@ -26,7 +26,7 @@
 	/** Maximum time from when the store accepts that a server is leaving until no more is sent to it. */
 	readonly leavingWithinMs: number;
 	/** Resources that this host may use. */
-	readonly capacity: HostCapacity;
+	readonly capacity: HostResources;
 	/** Endpoint at which metrics are served; they are not served if absent. */
 	readonly metrics?: Endpoint;
 	/** Secret shared by all hosts of a deployment. */
--- a/src/daemon/node/compose-feeds.ts
+++ b/src/daemon/node/compose-feeds.ts
@@ -11,7 +11,7 @@
 import {FeedFollower} from '../../deployment/node/feed-follower.js';
 import {peerMeshToken} from '../../peers/node/peer-mesh.js';
 import {ReaderElection, readerElectionToken} from '../../peers/node/reader-election.js';
-import {roomOf} from '../../routing/common/host-room.js';
+import {sharedCapacityOf} from '../../routing/common/host-capacity.js';
 import type {Composition} from './direct-composition.js';
 
 export const declarationFeedToken: InjectionToken<FeedFollower<OperatorRow>> = Symbol('DeclarationFeed');
@@ -43,7 +43,7 @@
 
 	register(readerElectionToken, () => ReaderElection.create({
 		hostId: settings.hostId,
-		capacity: roomOf(settings.capacity),
+		capacity: sharedCapacityOf(settings.capacity),
 		mesh: get(peerMeshToken),
 		actWithinMs: Math.min(settings.declarationWithinMs, settings.leavingWithinMs),
 		clock,
--- a/src/entry/node/callers-api.ts
+++ b/src/entry/node/callers-api.ts
@@ -153,7 +153,7 @@
 
 	private run(response: ServerResponse, plan: RequestPlan, parsed: ParsedRequest, key: string | undefined): void {
 		const limiter = this.limiterOf(plan.workspace);
-		const admitted = limiter.tryEnter(plan.policy, this.options.clock.nowMs());
+		const admitted = limiter.tryAdmit(plan.policy, this.options.clock.nowMs());
 		if (!admitted.ok) {
 			const {code, retryAfterMs} = admitted.error;
 			sendProblem(response, problemOf(code, 'this workspace sends more than its limits allow', {
@@ -188,7 +188,7 @@
 			deliver: async (units, data) => writer.deliver(units, data),
 			finish: result => {
 				finalResult = result;
-				limiter.leave();
+				limiter.release();
 				if (!isKeyTaken) {
 					this.options.accounting.record(plan, result);
 					const storedResponse = writer.finish(result);
--- a/src/peers/common/fleet-tracker.ts
+++ b/src/peers/common/fleet-tracker.ts
@@ -64,7 +64,7 @@
 		const areSeedsKnown = nowMs - this.startMs >= missingSeedTimeoutMs || seeds.every(seed => seed === this.ownEndpoint || this.lastSeenMs.has(seed));
 		const isSettled = areSeedsKnown && (this.firstSeenMs === undefined || nowMs - this.firstSeenMs >= discoveryMs);
 		this.sortedHosts ??= [this.ownEndpoint, ...this.lastSeenMs.keys()].toSorted();
-		return {own: this.ownEndpoint, hosts: this.sortedHosts, isSettled};
+		return {ownName: this.ownEndpoint, hosts: this.sortedHosts, isSettled};
 	}
 
 	private forgetUnseen(nowMs: number): void {
--- a/src/peers/common/heartbeat-schedule.ts
+++ b/src/peers/common/heartbeat-schedule.ts
@@ -3,7 +3,7 @@
 on this host has changed, or if that state was last sent a while ago. Every message counts as a sign of life, because hosts under
 load send each other messages several times a second, and heartbeats in addition made up most of their messages.
 */
-import {isRoomy} from '../../routing/common/host-room.js';
+import {isHighCapacity} from '../../routing/common/host-capacity.js';
 
 /** Interval between signs of life if one of the two hosts does work for the other. */
 export const defaultHeartbeatIntervalMs = 500;
@@ -23,7 +23,7 @@
 @returns the interval in milliseconds.
 */
 export function heartbeatIntervalMs(capacities: readonly [number, number], maxCapacity: number): number {
-	return capacities.some(capacity => isRoomy(capacity, maxCapacity)) ? defaultHeartbeatIntervalMs : sparseHeartbeatIntervalMs;
+	return capacities.some(capacity => isHighCapacity(capacity, maxCapacity)) ? defaultHeartbeatIntervalMs : sparseHeartbeatIntervalMs;
 }
 
 /**
--- a/src/peers/node/reader-election.ts
+++ b/src/peers/node/reader-election.ts
@@ -6,7 +6,7 @@
 import type {InjectionToken} from 'tsyringe';
 import type {Clock} from '../../base/common/clock.js';
 import type {Logger} from '../../base/common/logger.js';
-import {roomiestHosts} from '../../routing/common/host-room.js';
+import {highCapacityHosts} from '../../routing/common/host-capacity.js';
 import {rendezvousOrder} from '../../routing/common/rendezvous.js';
 import type {PeerMesh} from './peer-mesh.js';
 
@@ -104,6 +104,6 @@
 	private get isReader(): boolean {
 		const {hostId, capacity, mesh} = this.options;
 		const capacities = new Map([...mesh.liveRooms, [hostId, capacity]]);
-		return rendezvousOrder(readerElectionKey, roomiestHosts(capacities), host => host).slice(0, readerCount).includes(hostId);
+		return rendezvousOrder(readerElectionKey, highCapacityHosts(capacities), host => host).slice(0, readerCount).includes(hostId);
 	}
 }
--- a/src/routing/common/decayed-histogram.ts
+++ b/src/routing/common/decayed-histogram.ts
@@ -1,9 +1,9 @@
-/** Streaming quantiles that forget: logarithmic buckets whose counts decay. */
+/** Streaming quantiles of recent samples, kept in logarithmic buckets whose counts decay. */
 
 const bucketsPerDoubling = 4;
 const bucketCount = 80;
-/** Counts are halved when they reach this, so the recent past weighs most. */
-const halveAt = 400;
+/** All counts are halved when their sum reaches this value, so that recent samples weigh most. */
+const halvingWeight = 400;
 
 /** A histogram of durations from below a millisecond to about a quarter of an hour. */
 export class DecayedHistogram {
@@ -14,37 +14,37 @@
 	private readonly counts = new Float64Array(bucketCount);
 	private total = 0;
 
-	/** Samples that still weigh. */
+	/** Total weight of the samples after decay. */
 	get weight(): number {
 		return this.total;
 	}
 
 	/**
 	Adds a sample.
-	@param valueMs - a duration.
+	@param valueMs - the duration in milliseconds.
 	*/
 	record(valueMs: number): void {
 		this.counts[bucketOf(valueMs)]++;
 		this.total++;
-		if (this.total >= halveAt) {
+		if (this.total >= halvingWeight) {
 			this.halve();
 		}
 	}
 
 	/**
-	Gives the duration below which a share of the samples lies.
-	@param share - in [0, 1].
-	@returns the duration in milliseconds, or nothing where there are no samples.
+	Estimates the duration below which a fraction of the samples lies.
+	@param fraction - the fraction, in [0, 1].
+	@returns the duration in milliseconds, or undefined if there are no samples.
 	*/
-	quantile(share: number): number | undefined {
+	quantile(fraction: number): number | undefined {
 		if (this.total === 0) {
 			return undefined;
 		}
 
-		let left = share * this.total;
+		let remaining = fraction * this.total;
 		for (let bucket = 0; bucket < bucketCount; bucket++) {
-			left -= this.counts[bucket];
-			if (left <= 0 && this.counts[bucket] > 0) {
+			remaining -= this.counts[bucket];
+			if (remaining <= 0 && this.counts[bucket] > 0) {
 				return valueOf(bucket);
 			}
 		}
--- a/src/routing/common/outlier-detector.ts
+++ b/src/routing/common/outlier-detector.ts
@@ -1,27 +1,27 @@
-/** Takes upstreams out for a while that fail, or are far slower than their peers. */
+/** Ejects upstreams that fail, or are much slower than the other upstreams of their pool, for a limited time. */
 import type {Candidate} from './chooser.js';
 
-/** When an upstream is taken out, and for how long. */
+/** Conditions and duration of an ejection. */
 export type OutlierOptions = {
 	readonly consecutiveFailures: number;
 	readonly errorShare: number;
-	/** Times the median slowness of its peers. */
+	/** An upstream is an outlier if its slowness exceeds the median of its pool by this factor. */
 	readonly slowFactor: number;
 	readonly baseEjectionMs: number;
-	readonly longestEjectionMs: number;
-	/** Most of a pool that may be out at once. */
-	readonly mostEjectedShare: number;
+	readonly maxEjectionMs: number;
+	/** Maximum share of a pool that may be ejected at the same time. */
+	readonly maxEjectedShare: number;
 };
 
 export const defaultOutlierOptions: OutlierOptions = {
-	consecutiveFailures: 3, errorShare: 0.6, slowFactor: 4, baseEjectionMs: 2000, longestEjectionMs: 30_000, mostEjectedShare: 0.34,
+	consecutiveFailures: 3, errorShare: 0.6, slowFactor: 4, baseEjectionMs: 2000, maxEjectionMs: 30_000, maxEjectedShare: 0.34,
 };
 
-const fewestKnown = 3;
+const minKnownUpstreams = 3;
 
 type Ejection = {untilMs: number; count: number};
 
-/** Keeps the ejected upstreams of all pools. */
+/** Tracks the ejected upstreams of all pools. */
 export class OutlierDetector {
 	static create(options: OutlierOptions = defaultOutlierOptions): OutlierDetector {
 		return new OutlierDetector(options);
@@ -32,10 +32,10 @@
 	private constructor(private readonly options: OutlierOptions) {}
 
 	/**
-	Leaves out the ejected ones, within the bound on their share.
-	@param candidates - all of a pool.
-	@param nowMs - the time.
-	@returns those that may be chosen; never none where there were some.
+	Filters out ejected candidates, unless more of the pool than the maximum share is ejected.
+	@param candidates - all candidates of a pool.
+	@param nowMs - the current time.
+	@returns the candidates that may be chosen; not empty if there are candidates.
 	*/
 	withoutEjected(candidates: readonly Candidate[], nowMs: number): readonly Candidate[] {
 		if (this.ejections.size === 0) {
@@ -43,8 +43,8 @@
 		}
 
 		const kept = candidates.filter(candidate => !this.isEjected(candidate.upstreamId, nowMs));
-		const fewest = Math.ceil(candidates.length * (1 - this.options.mostEjectedShare));
-		return kept.length >= Math.max(1, fewest) ? kept : candidates;
+		const minKept = Math.ceil(candidates.length * (1 - this.options.maxEjectedShare));
+		return kept.length >= Math.max(1, minKept) ? kept : candidates;
 	}
 
 	isEjected(upstreamId: string, nowMs: number): boolean {
@@ -52,12 +52,12 @@
 	}
 
 	/**
-	Looks at an upstream after one of its calls ended.
+	Evaluates an upstream after one of its calls has ended, and ejects it if it is an outlier.
 	@param observed - the upstream.
-	@param peers - all of its pool.
-	@param medianSlowness - of the pool, where enough is known.
-	@param nowMs - the time.
-	@returns whether it is now taken out.
+	@param peers - all upstreams of its pool.
+	@param medianSlowness - the median slowness of the pool, or undefined if too few are known.
+	@param nowMs - the current time.
+	@returns whether the upstream has been ejected by this call.
 	*/
 	observe(observed: Candidate, peers: readonly Candidate[], medianSlowness: number | undefined, nowMs: number): boolean {
 		const {stats, upstreamId} = observed;
@@ -66,14 +66,14 @@
 		}
 
 		const ejected = peers.filter(peer => this.isEjected(peer.upstreamId, nowMs)).length;
-		if (ejected + 1 > peers.length * this.options.mostEjectedShare) {
+		if (ejected + 1 > peers.length * this.options.maxEjectedShare) {
 			return false;
 		}
 
 		const count = (this.ejections.get(upstreamId)?.count ?? 0) + 1;
-		const lengthMs = Math.min(this.options.longestEjectionMs, this.options.baseEjectionMs * (2 ** (count - 1)));
-		this.ejections.set(upstreamId, {untilMs: nowMs + lengthMs, count});
-		// What was measured before counts no longer when it comes back.
+		const durationMs = Math.min(this.options.maxEjectionMs, this.options.baseEjectionMs * (2 ** (count - 1)));
+		this.ejections.set(upstreamId, {untilMs: nowMs + durationMs, count});
+		// Statistics from before the ejection must not count when the upstream returns.
 		stats.errorShare = 0;
 		stats.consecutiveFailures = 0;
 		stats.slowness = undefined;
@@ -91,11 +91,11 @@
 }
 
 /**
-Gives the middle slowness of a pool.
-@param candidates - its upstreams.
-@returns nothing where fewer than three are known.
+Computes the median slowness of a pool.
+@param candidates - the upstreams of the pool.
+@returns the median, or undefined if the slowness of fewer than three upstreams is known.
 */
 export function medianSlownessOf(candidates: readonly Candidate[]): number | undefined {
 	const known = candidates.flatMap(candidate => candidate.stats.slowness ?? []).toSorted((a, b) => a - b);
-	return known.length < fewestKnown ? undefined : known[Math.floor((known.length - 1) / 2)];
+	return known.length < minKnownUpstreams ? undefined : known[Math.floor((known.length - 1) / 2)];
 }
--- /dev/null
+++ b/src/routing/common/server-liveness.ts
@@ -0,0 +1,71 @@
+/** Liveness of one upstream: the sends that have not been answered yet, and when it last responded. */
+
+/** Tracks the unanswered sends to one upstream and whether the upstream should be avoided. */
+export class ServerLiveness {
+	static create(): ServerLiveness {
+		return new ServerLiveness();
+	}
+
+	private readonly unanswered = new Map<string, number>();
+	private lastReceivedMs = -Infinity;
+	private avoidedUntilMs = -Infinity;
+	private failures = 0;
+
+	/** Number of sends whose answer has not started. */
+	get unansweredCount(): number {
+		return this.unanswered.size;
+	}
+
+	sent(id: string, nowMs: number): void {
+		this.unanswered.set(id, nowMs);
+	}
+
+	/** Records that an answer started, continued or ended. */
+	received(id: string, nowMs: number): void {
+		this.unanswered.delete(id);
+		this.lastReceivedMs = nowMs;
+		this.failures = 0;
+		this.avoidedUntilMs = -Infinity;
+	}
+
+	/** Removes a send that ended without an answer. */
+	forget(id: string): void {
+		this.unanswered.delete(id);
+	}
+
+	/**
+	Records that a connection could not be established or was lost: the upstream is avoided for a time that doubles with each failure.
+	@param nowMs - the current time.
+	@param initialMs - the duration of the first avoidance.
+	@param maxMs - the maximum duration.
+	*/
+	connectionFailed(nowMs: number, initialMs: number, maxMs: number): void {
+		if (nowMs >= this.avoidedUntilMs) {
+			this.avoidedUntilMs = nowMs + Math.min(maxMs, initialMs * (2 ** this.failures));
+			this.failures++;
+		}
+	}
+
+	/**
+	Records that the upstream has crashed, although the list of servers may still contain it: it is avoided for a time, unless it responds after all.
+	@param nowMs - the current time.
+	@param durationMs - the time until its entry is removed from the list.
+	*/
+	crashed(nowMs: number, durationMs: number): void {
+		this.avoidedUntilMs = nowMs + durationMs;
+	}
+
+	isAvoided(nowMs: number): boolean {
+		return nowMs < this.avoidedUntilMs;
+	}
+
+	/**
+	Computes for how long an answer has been pending while the upstream has not responded at all.
+	@param nowMs - the current time.
+	@returns the time in milliseconds; 0 if no answer is pending.
+	*/
+	silentMs(nowMs: number): number {
+		const [oldestMs] = this.unanswered.values();
+		return oldestMs === undefined ? 0 : Math.max(0, nowMs - Math.max(oldestMs, this.lastReceivedMs));
+	}
+}
--- a/src/routing/common/workspace-limiter.ts
+++ b/src/routing/common/workspace-limiter.ts
@@ -1,20 +1,20 @@
-/** Limits of one workspace at one entry: requests in flight and requests a second. */
+/** Limits the requests of one workspace at one entry: requests in flight and requests per second. */
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 
-/** Limits, as inherited in the settings. */
+/** Limits that apply to a workspace after inheritance in the settings. */
 export type Limits = {
 	readonly maxInFlight: number;
-	/** 0 sets no limit. */
+	/** 0 means no limit. */
 	readonly requestsPerSecond: number;
 	readonly burst: number;
 };
 
-/** Why a request is not let in, and when to come back. */
+/** Why a request was refused, and after what time to retry. */
 export type LimitRefusal = {readonly code: 'tooManyInFlight' | 'rateExceeded'; readonly retryAfterMs: number};
 
 const inFlightRetryMs = 200;
 
-/** Counts a workspace's requests. */
+/** Counts the requests of a workspace against its limits. */
 export class WorkspaceLimiter {
 	static create(nowMs: number): WorkspaceLimiter {
 		return new WorkspaceLimiter(nowMs);
@@ -23,22 +23,22 @@
 	private inFlight = 0;
 	private tokens: number | undefined;
 
-	private constructor(private filledMs: number) {}
+	private constructor(private lastRefillMs: number) {}
 
 	/**
-	Lets a request in, or not; one let in must be let out again.
-	@param limits - limits in force.
-	@param nowMs - the time.
+	Admits a request or refuses it. An admitted request must be released when it ends.
+	@param limits - the limits in force.
+	@param nowMs - the current time.
 	*/
-	tryEnter(limits: Limits, nowMs: number): Outcome<undefined, LimitRefusal> {
+	tryAdmit(limits: Limits, nowMs: number): Outcome<undefined, LimitRefusal> {
 		if (this.inFlight >= limits.maxInFlight) {
 			return fail({code: 'tooManyInFlight', retryAfterMs: inFlightRetryMs});
 		}
 
 		if (limits.requestsPerSecond > 0) {
-			const refilled = (this.tokens ?? limits.burst) + (((nowMs - this.filledMs) / 1000) * limits.requestsPerSecond);
+			const refilled = (this.tokens ?? limits.burst) + (((nowMs - this.lastRefillMs) / 1000) * limits.requestsPerSecond);
 			this.tokens = Math.min(limits.burst, refilled);
-			this.filledMs = nowMs;
+			this.lastRefillMs = nowMs;
 			if (this.tokens < 1) {
 				return fail({code: 'rateExceeded', retryAfterMs: ((1 - this.tokens) / limits.requestsPerSecond) * 1000});
 			}
@@ -50,8 +50,8 @@
 		return ok(undefined);
 	}
 
-	/** A request that was let in has ended. */
-	leave(): void {
+	/** Releases an admitted request that has ended. */
+	release(): void {
 		this.inFlight--;
 	}
 }
