--- a/src/agent/common/order-fence.test.ts
+++ b/src/agent/common/order-fence.test.ts
@@ -6,21 +6,21 @@
 	type: 'order', orderId: 'o', epoch, sequence, timeLeftMs, kind: 'load', model: 'm', version: 'v1',
 });
 
-t.test('orders pass in rising order of epoch and sequence only', async t => {
+t.test('orders are accepted only with rising epoch and sequence number', async t => {
 	const fence = OrderFence.create();
 	fence.learn(3);
-	t.type(fence.check(order(2, 9)), 'string', 'an earlier holder');
+	t.type(fence.check(order(2, 9)), 'string', 'sent by an earlier holder');
 	t.equal(fence.check(order(3, 1)), undefined);
-	t.type(fence.check(order(3, 1)), 'string', 'doubled');
+	t.type(fence.check(order(3, 1)), 'string', 'received twice');
 	t.equal(fence.check(order(4, 1)), undefined);
-	t.type(fence.check(order(3, 2)), 'string', 'the old holder has woken');
+	t.type(fence.check(order(3, 2)), 'string', 'sent by the former holder after it resumed');
 });
 
-t.test('a new agent lets nothing pass before it has read the lease', async t => {
+t.test('a new agent refuses all orders before it has read the lease', async t => {
 	t.type(OrderFence.create().check(order(1, 1)), 'string');
 });
 
-t.test('an order read right after a sleep is refused, the next newer one passes', async t => {
+t.test('an order read right after a suspension is refused, the next newer one is accepted', async t => {
 	const fence = OrderFence.create();
 	fence.learn(1);
 	fence.suspect();
--- a/src/agent/common/order-fence.ts
+++ b/src/agent/common/order-fence.ts
@@ -1,13 +1,13 @@
-/** Refuses orders of an old lease holder, for engines that check as for those that don't. */
+/** Refuses orders of a former lease holder, both for engines that check fences and for those that don't. */
 import type {OrderMessage} from '../../wire/common/messages.js';
 
-/** Remembers the highest fence seen. */
+/** Holds the highest fence (epoch and sequence number) seen so far. */
 export class OrderFence {
 	static create(): OrderFence {
 		return new OrderFence();
 	}
 
-	/** Nothing until the lease's epoch was read: a new agent can't know what its predecessor let pass. */
+	/** `undefined` until the epoch of the lease was read: a new agent can't know which orders its predecessor accepted. */
 	private epoch: number | undefined;
 	private sequence = 0;
 	private isSuspect = false;
@@ -17,8 +17,8 @@
 	}
 
 	/**
-	The lease was read.
-	@param epoch - its epoch; orders of earlier ones may no longer pass.
+	Raises the fence to the epoch read from the lease.
+	@param epoch - the epoch; orders of earlier ones are refused from now on.
 	*/
 	learn(epoch: number): void {
 		if (this.epoch === undefined || epoch > this.epoch) {
@@ -27,15 +27,15 @@
 		}
 	}
 
-	/** This process slept: an order read now may have waited; the next newer one clears the doubt. */
+	/** Called when this process was suspended: an order read now may have been waiting, so the next one is refused, and newer ones pass again. */
 	suspect(): void {
 		this.isSuspect = true;
 	}
 
 	/**
-	Checks an order, and remembers its fence if it may pass.
+	Checks an order, and raises the fence to its epoch and sequence number unless it is outdated.
 	@param order - the order.
-	@returns why it may not pass, or nothing.
+	@returns the reason for the refusal, or `undefined` if the order may be executed.
 	*/
 	check(order: OrderMessage): string | undefined {
 		const {epoch, sequence, timeLeftMs} = order;
--- a/src/agent/common/pause-detector.ts
+++ b/src/agent/common/pause-detector.ts
@@ -1,9 +1,9 @@
-/** Finds out that this process slept: what it reads then may be old, however fresh it looks. */
+/** Detects that this process was suspended: what it reads afterwards may be old, however fresh it looks. */
 
-/** Gap between two ticks that counts as sleep. */
+/** Gap between two ticks above which the process counts as having been suspended. */
 export const pauseThresholdMs = 500;
 
-/** Follows the ticks of a process, and which connections have been heard from since it woke. */
+/** Watches the ticks of a process, and tracks which connections have been confirmed since it resumed. */
 export class PauseDetector {
 	static create(nowMs: number): PauseDetector {
 		return new PauseDetector(nowMs);
@@ -14,16 +14,16 @@
 
 	private constructor(private lastTickMs: number) {}
 
-	/** How often this process has slept. */
+	/** How often this process has resumed after a suspension. */
 	get wakeCount(): number {
 		return this.wokeCount;
 	}
 
 	/**
-	Time goes on. Called by a timer, and before each message is looked at: after a
-	sleep the sockets may be read before any timer runs.
-	@param nowMs - the time.
-	@returns whether the process has just woken.
+	Records that the process is running. Called by a timer, and before each message is
+	handled: after a suspension the sockets may be read before any timer runs.
+	@param nowMs - the current time.
+	@returns whether the process has just resumed.
 	*/
 	tick(nowMs: number): boolean {
 		const hasSlept = nowMs - this.lastTickMs > pauseThresholdMs;
@@ -36,9 +36,9 @@
 	}
 
 	/**
-	A connection was opened, or answered a ping sent after the last wake.
-	@param connectionId - which.
-	@param wakeCount - the wake count when the ping was sent.
+	Confirms a connection that was opened, or that answered a ping.
+	@param connectionId - the connection.
+	@param wakeCount - how often the process had resumed when the ping was sent.
 	*/
 	confirm(connectionId: number, wakeCount: number): void {
 		this.confirmed.set(connectionId, Math.max(wakeCount, this.confirmed.get(connectionId) ?? 0));
@@ -49,8 +49,8 @@
 	}
 
 	/**
-	Tells whether what a connection brings may be old.
-	@param connectionId - which.
+	Checks whether messages of a connection may be old, because it was not confirmed since the process last resumed.
+	@param connectionId - the connection.
 	*/
 	isStale(connectionId: number): boolean {
 		return (this.confirmed.get(connectionId) ?? -1) < this.wokeCount;
--- a/src/agent/common/upstream-driver.ts
+++ b/src/agent/common/upstream-driver.ts
@@ -1,50 +1,50 @@
-/** How an agent calls its upstream: one driver for each kind. */
+/** The interface through which an agent calls its upstream; each kind of upstream has a driver. */
 import type {InjectionToken} from 'tsyringe';
 import type {CallEnd} from '../../request/common/gate-actions.js';
 import type {
 	DispatchMessage, LoadedModel, OrderMessage, StartedMessage,
 } from '../../wire/common/messages.js';
 
-/** Takes what the upstream gives. */
+/** Receives the response of the upstream to one call. */
 export type CallSink = {
-	/** The upstream has taken the call. */
+	/** The upstream has accepted the call. */
 	started(http?: StartedMessage['http']): void;
 	/**
-	A piece of the answer.
-	@param units - tokens, or 1 for a piece of bytes.
-	@param data - the piece; not changed afterwards.
+	Receives a chunk of the response.
+	@param units - the number of tokens, or 1 for a chunk of bytes.
+	@param data - the chunk; not changed afterwards.
 	*/
 	piece(units: number, data: Uint8Array): void;
-	/** Ends when the sink can take more. */
+	/** Resolves when the sink can accept more chunks. */
 	ready(): Promise<void>;
 };
 
-/** What an upstream tells of itself. */
+/** What an upstream reports about itself. */
 export type UpstreamState = {readonly slots?: number; readonly models: readonly LoadedModel[]};
 
-/** How an order ended. */
+/** Outcome of an order. */
 export type OrderEnd = {readonly isAccepted: boolean; readonly reason?: string};
 
 /** Calls one upstream. */
 export type UpstreamDriver = {
 	/**
-	Runs a call to its end.
-	@param dispatch - what to run.
-	@param sink - takes the answer.
-	@param signal - cancels.
-	@returns how it ended; `notRun` only with proof.
+	Runs a call until it ends.
+	@param dispatch - the call to run.
+	@param sink - receives the response.
+	@param signal - cancels the call.
+	@returns how the call ended; `notRun` only if it is proven that it did not run.
 	*/
 	run(dispatch: DispatchMessage, sink: CallSink, signal: AbortSignal): Promise<CallEnd>;
-	/** @returns what the upstream tells of itself, or nothing where it tells nothing. */
+	/** @returns the state that the upstream reports, or `undefined` if it reports none. */
 	readState(): Promise<UpstreamState | undefined>;
-	/** Cancels whatever runs on the upstream without an owner, as after a crash of its agent. */
+	/** Cancels all calls on the upstream that have no owner, as after a crash of its agent. */
 	cancelOrphans(): Promise<void>;
 	/**
-	Passes an order on.
-	@param order - a fenced order.
+	Forwards an order to the upstream.
+	@param order - the order; its fence has been checked.
 	*/
 	order(order: OrderMessage): Promise<OrderEnd>;
-	/** Frees the connections. */
+	/** Closes the connections to the upstream. */
 	dispose(): void;
 };
 
--- a/src/agent/node/agent-service.ts
+++ b/src/agent/node/agent-service.ts
@@ -1,4 +1,4 @@
-/** The agent beside one upstream: its only gate. Joins wire, gate machine, driver and settings. */
+/** The agent of one upstream, through which all work reaches it. Connects the wire, the gate state machine, the driver and the settings. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {messageOf} from '../../base/common/errors.js';
@@ -21,18 +21,18 @@
 import {OrderDesk} from './order-desk.js';
 
 const tickMs = 20;
-/** Still short enough that work which comes meanwhile is refused in time. */
+/** Longer than the tick interval of a busy agent, but short enough that work which arrives meanwhile is refused in time. */
 const idleTickMs = 50;
 const stateReadMs = 2000;
 const orphanRetryMs = 1000;
-/** How long a stopping agent goes on answering after its last work, so that every entry hears of it. */
+/** How long a stopping agent keeps responding after its last work has ended, so that every entry learns that it is leaving. */
 const announceMs = 300;
-/** How long a dispatch waits for the settings it was made with. */
+/** Maximum time for which a dispatch waits for the settings revision that it was made with. */
 const settingsWaitMs = 300;
 
 export const defaultLimits: GateLimits = {slots: 8, maxQueue: 64};
 
-/** What an agent is made of. */
+/** Dependencies of an agent. */
 export type AgentOptions = {
 	readonly identity: Identity;
 	readonly gate: GateMachine;
@@ -49,7 +49,7 @@
 
 type Waiting = {readonly connectionId: number; readonly dispatch: DispatchMessage; readonly untilMs: number};
 
-/** Runs an agent. */
+/** Admits work from connected entries, runs it on the upstream and executes orders. */
 export class AgentService implements Disposable {
 	static create(options: AgentOptions): AgentService {
 		return new AgentService(options);
@@ -87,9 +87,9 @@
 	}
 
 	/**
-	Makes the upstream free of work without an owner, then takes connections.
-	@param endpoint - where to listen.
-	@returns where it listens.
+	Cancels work on the upstream that has no owner, then accepts connections.
+	@param endpoint - the endpoint to listen on.
+	@returns the endpoint that is listened on, with the actual port.
 	*/
 	async start(endpoint: Endpoint): Promise<Endpoint> {
 		await this.cancelOrphans();
@@ -97,7 +97,7 @@
 		await this.readState();
 		this.applySettings();
 		const bound = await this.options.server.listen(endpoint);
-		this.options.log.info('The agent takes work.', {upstream: this.options.identity.upstreamId, port: bound.port});
+		this.options.log.info('The agent accepts work.', {upstream: this.options.identity.upstreamId, port: bound.port});
 		return bound;
 	}
 
@@ -114,7 +114,7 @@
 			this.pause.forget(connectionId);
 			this.perform(this.options.gate.connectionLost(connectionId, this.now()));
 		});
-		// The sync listens first, so that settings in a message are known before it is decided on.
+		// The sync is attached first, so that settings in a message are applied before the message is handled.
 		this.options.sync.attach(connection);
 		connection.onDidReceive(message => {
 			this.checkPause();
@@ -180,7 +180,7 @@
 		}
 	}
 
-	/** A dispatch made with newer settings than those in force here waits for them. */
+	/** Admits a dispatch; one made with newer settings than those in force here waits for them. */
 	private admit(connectionId: number, dispatch: DispatchMessage): void {
 		if (dispatch.settingsRevision > this.revision) {
 			this.waiting.push({connectionId, dispatch, untilMs: this.now() + Math.min(settingsWaitMs, dispatch.startWithinMs)});
@@ -201,7 +201,7 @@
 		}
 	}
 
-	/** Returns false, so that a filter drops the item. */
+	/** Refuses a dispatch as stale. Returns false, so that a filter drops it. */
 	private refuseWaiting({connectionId, dispatch}: Waiting): boolean {
 		this.perform(this.options.gate.dispatch(connectionId, dispatch, true, this.now()));
 		return false;
@@ -242,7 +242,7 @@
 
 	private checkPause(): void {
 		if (this.pause.tick(this.now())) {
-			this.options.log.warn('This process slept; connections are confirmed before work is taken.');
+			this.options.log.warn('This process was suspended; connections are confirmed before work is accepted from them.');
 			this.orders.suspect();
 			for (const connection of this.connections.values()) {
 				connection.send({type: 'ping', nonce: this.pause.wakeCount, settingsRevision: this.revision});
@@ -297,7 +297,7 @@
 				await this.options.driver.cancelOrphans();
 				return;
 			} catch (error) {
-				this.options.log.warn('The upstream can\'t be asked what it runs; trying again.', {reason: messageOf(error)});
+				this.options.log.warn('The calls that run on the upstream could not be listed or canceled; retrying.', {reason: messageOf(error)});
 				await this.wait(orphanRetryMs);
 			}
 		}
--- a/src/agent/node/call-runner.ts
+++ b/src/agent/node/call-runner.ts
@@ -1,4 +1,4 @@
-/** Runs the calls that the gate starts, and reports them back to it. */
+/** Runs the calls that the gate starts, and reports their progress to it. */
 import type {Clock} from '../../base/common/clock.js';
 import {messageOf} from '../../base/common/errors.js';
 import type {CallEnd, GateAction} from '../../request/common/gate-actions.js';
@@ -9,18 +9,18 @@
 type Call = {
 	readonly controller: AbortController;
 	isOpen: boolean;
-	/** Wakes the reader that waits for credit. */
+	/** Resumes the reader that waits for credit. */
 	wake: (() => void) | undefined;
 };
 
-/** Holds the calls in flight at the upstream. */
+/** Manages the calls in flight on the upstream. */
 export class CallRunner {
 	/**
-	Makes a runner.
-	@param gate - told of each call's progress.
+	Creates a runner.
+	@param gate - notified of the progress of each call.
 	@param driver - calls the upstream.
-	@param clock - the time.
-	@param perform - carries out what the gate says.
+	@param clock - the source of the current time.
+	@param perform - carries out the actions that the gate returns.
 	*/
 	static create(gate: GateMachine, driver: UpstreamDriver, clock: Clock, perform: (actions: readonly GateAction[]) => void): CallRunner {
 		return new CallRunner(gate, driver, clock, perform);
@@ -47,7 +47,7 @@
 		call?.wake?.();
 	}
 
-	/** Lets the upstream's stream go on, or holds it. */
+	/** Resumes or pauses reading the response of the upstream. */
 	setFlow(dispatchId: string, isOpen: boolean): void {
 		const call = this.calls.get(dispatchId);
 		if (call) {
--- a/src/agent/node/engine-driver.ts
+++ b/src/agent/node/engine-driver.ts
@@ -1,4 +1,4 @@
-/** Drives a model engine: start, stream, cancel, resume, orders. */
+/** Driver for model engines: starts, streams, cancels and resumes generations, and forwards orders. */
 import {Pool} from 'undici';
 import {z} from 'zod';
 import {messageOf} from '../../base/common/errors.js';
@@ -24,7 +24,7 @@
 	slots: z.number(), models: z.array(z.object({model: z.string(), version: z.string(), adapters: z.array(z.string())})),
 });
 
-/** Follows the numbered tokens of one stream. */
+/** Parses one stream of numbered tokens, and checks that none is missing or repeated. */
 class TokenReader {
 	count: number;
 	isEnded = false;
@@ -36,7 +36,7 @@
 		this.count = offset;
 	}
 
-	/** Passes whole lines on; returns what is wrong with the stream, if anything. */
+	/** Forwards the tokens of complete lines to the sink. Returns a description of the first problem in the stream, if any. */
 	read(bytes: Uint8Array, sink: CallSink): string | undefined {
 		const lines = `${this.rest}${this.decoder.decode(bytes, {stream: true})}`.split('\n');
 		this.rest = lines.pop() ?? '';
@@ -79,7 +79,7 @@
 	}
 }
 
-/** A model engine on its own host. */
+/** Calls a model engine on the host of the agent. */
 export class EngineDriver implements UpstreamDriver {
 	static create(origin: string): EngineDriver {
 		return new EngineDriver(new Pool(origin, {bodyTimeout: 0, headersTimeout: 0}));
@@ -107,7 +107,7 @@
 					maxTokens: call.maxTokens,
 					seed: call.seed,
 					offset: call.resumeOffset,
-					// Work that can still be in time, or that others have paid for, goes before the rest.
+					// Work that can still meet its deadline, or on which another engine has already spent effort, goes first.
 					priority: (dispatch.dueInMs > 0 ? inTimePriority : 0) + (call.resumeOffset > 0 ? 1 : 0),
 				}),
 				signal,
--- a/src/agent/node/http-driver.ts
+++ b/src/agent/node/http-driver.ts
@@ -1,4 +1,4 @@
-/** Drives workers and plain services: one HTTP call, its answer passed on as it comes. */
+/** Driver for workers and plain services: one HTTP call each, whose response is forwarded as it arrives. */
 import {Pool, type Dispatcher} from 'undici';
 import {z} from 'zod';
 import type {CallEnd} from '../../request/common/gate-actions.js';
@@ -12,12 +12,12 @@
 const statusOk = 200;
 const firstErrorStatus = 400;
 
-/** Headers that speak of one connection, not of the answer. */
+/** Hop-by-hop headers: they concern one connection, not the request or response, and are not forwarded. */
 const connectionHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-authenticate', 'proxy-authorization']);
 
 const stateSchema = z.object({slots: z.number()});
 
-/** A worker or a plain service on its own host. */
+/** Calls a worker or a plain service on the host of the agent. */
 export class HttpDriver implements UpstreamDriver {
 	static create(origin: string): HttpDriver {
 		return new HttpDriver(new Pool(origin, {bodyTimeout: 0, headersTimeout: 0}));
@@ -39,7 +39,7 @@
 				return {state: 'failed', reason: `status ${status}`};
 			}
 
-			// A plain service's answer is passed on whatever its status: it did run.
+			// The response of a plain service is forwarded whatever its status, because the call did run.
 			sink.started(call.kind === 'http' ? {status, headers: headersOf(response)} : undefined);
 			for await (const bytes of response.body) {
 				if (bytes instanceof Uint8Array) {
@@ -65,7 +65,7 @@
 	}
 
 	async cancelOrphans(): Promise<void> {
-		// These upstreams have no call for it: a call ends with its connection, which died with the agent.
+		// These upstreams have no API for it: a call ends with its connection, which was closed when the agent ended.
 	}
 
 	async order(): Promise<OrderEnd> {
--- a/src/agent/node/http-errors.ts
+++ b/src/agent/node/http-errors.ts
@@ -1,8 +1,8 @@
-/** Reads what an error of the HTTP client proves about the call. */
+/** Determines what an error of the HTTP client proves about the call. */
 import {messageOf} from '../../base/common/errors.js';
 import type {CallEnd} from '../../request/common/gate-actions.js';
 
-/** Errors raised before anything was written: no connection came about. */
+/** Codes of errors raised before anything was written, as no connection was established. */
 const notWrittenCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
 function codeOf(error: unknown): string {
@@ -18,10 +18,10 @@
 }
 
 /**
-Tells how a call ended that raised an error.
-@param error - as raised.
+Determines how a call ended that threw an error.
+@param error - the error.
 @param isRepeatable - whether the work may run again.
-@returns `notRun` with proof only, else `failed`, or `unknown` where the difference matters.
+@returns `notRun` only if it is proven that the call did not run; otherwise `failed`, or `unknown` for work that may not run again.
 */
 export function endOfError(error: unknown, isRepeatable: boolean): CallEnd {
 	const reason = messageOf(error);
--- a/src/agent/node/order-desk.ts
+++ b/src/agent/node/order-desk.ts
@@ -1,4 +1,4 @@
-/** Orders at an agent: let pass by their fence, handed to the engine, and written down. */
+/** Handles orders at an agent: checks their fence, forwards them to the engine, and logs the outcome. */
 import type {Logger} from '../../base/common/logger.js';
 import {leaseKey, parseLease} from '../../placement/common/lease.js';
 import type {TableService} from '../../store/common/table-service.js';
@@ -6,7 +6,7 @@
 import {OrderFence} from '../common/order-fence.js';
 import type {OrderEnd, UpstreamDriver} from '../common/upstream-driver.js';
 
-/** Takes orders for one upstream. */
+/** Executes or refuses the orders for one upstream. */
 export class OrderDesk {
 	static create(driver: UpstreamDriver, table: TableService, log: Logger): OrderDesk {
 		return new OrderDesk(driver, table, log);
@@ -16,7 +16,7 @@
 
 	private constructor(private readonly driver: UpstreamDriver, private readonly table: TableService, private readonly log: Logger) {}
 
-	/** A new agent lets no order pass before it knows the lease's epoch. */
+	/** Reads the epoch of the lease, if it isn't known yet: until then a new agent refuses all orders. */
 	async learnFence(): Promise<void> {
 		if (this.fence.isKnown) {
 			return;
@@ -29,15 +29,15 @@
 		}
 	}
 
-	/** This process slept: what it reads now may have waited. */
+	/** Called when this process was suspended: orders that it reads now may have been waiting. */
 	suspect(): void {
 		this.fence.suspect();
 	}
 
 	/**
-	Carries an order out, or refuses it.
+	Executes an order, or refuses it if the fence forbids it.
 	@param order - the order.
-	@returns how it ended.
+	@returns the outcome.
 	*/
 	async carryOut(order: OrderMessage): Promise<OrderEnd> {
 		const reason = this.fence.check(order);
--- a/src/placement/common/lease.test.ts
+++ b/src/placement/common/lease.test.ts
@@ -79,7 +79,7 @@
 	t.equal(details.failed, false, String(details.errorInstance));
 });
 
-t.test('a holder that slept no longer holds, and the next one has a higher epoch', async t => {
+t.test('a holder that was suspended no longer holds the lease, and the next holder has a higher epoch', async t => {
 	const clock = ManualClock.create();
 	const [first, second] = makeHolders(clock, MemoryTable.create());
 	await first.tick();
@@ -93,7 +93,7 @@
 	t.equal(first.epoch, undefined);
 });
 
-t.test('a lease that was given up is taken at once', async t => {
+t.test('a released lease can be taken at once', async t => {
 	const clock = ManualClock.create();
 	const [first, second] = makeHolders(clock, MemoryTable.create());
 	await first.tick();
--- a/src/placement/common/lease.ts
+++ b/src/placement/common/lease.ts
@@ -1,7 +1,7 @@
 /**
-The placement lease: one entry at a time gives orders. No clock is compared with
-another host's: the holder writes the row again and again, and others take over
-only after they have watched it stand still for its whole length.
+The placement lease, which lets one entry at a time send orders. Clocks of different
+hosts are never compared: the holder rewrites the row repeatedly, and another process
+takes over only after it has seen the row unchanged for the whole lease time.
 */
 import {z} from 'zod';
 import type {Clock} from '../../base/common/clock.js';
@@ -9,20 +9,20 @@
 
 export const leaseKey = 'placement/lease';
 
-/** How long a lease holds without being renewed. */
+/** How long a lease is valid without being renewed. */
 export const leaseMs = 15_000;
-/** Taken off the holder's side, for clocks that run at different speeds. */
+/** Subtracted from the lease time on the holder's side, as clocks run at different speeds. */
 const marginMs = 2000;
-/** Holder of a lease that was given up. */
+/** Holder of a lease that was released. */
 const nobody = 'nobody';
 
 const leaseSchema = z.strictObject({holder: z.string(), epoch: z.number().int().positive(), beat: z.number().int()});
 type LeaseRow = z.infer<typeof leaseSchema>;
 
 /**
-Reads a lease's row.
+Parses the row of a lease.
 @param row - the row.
-@returns holder and epoch, or nothing where it can't be read.
+@returns the lease, or `undefined` if the row is malformed.
 */
 export function parseLease(row: Row): LeaseRow | undefined {
 	try {
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Tries to hold the lease for one process. */
+/** Acquires, renews and releases the lease for one process. */
 export class LeaseKeeper {
 	static create(table: TableService, clock: Clock, holder: string): LeaseKeeper {
 		return new LeaseKeeper(table, clock, holder);
@@ -45,17 +45,17 @@
 
 	private constructor(private readonly table: TableService, private readonly clock: Clock, private readonly holder: string) {}
 
-	/** Time for which the lease is surely held; 0 if it is not. */
+	/** Time for which the lease is certain to be held; 0 if it is not. */
 	get remainingMs(): number {
 		return Math.max(0, this.heldUntilMs - this.clock.nowMs());
 	}
 
-	/** The epoch held, or nothing. */
+	/** The epoch of the lease, or `undefined` while it is not held. */
 	get epoch(): number | undefined {
 		return this.remainingMs > 0 ? this.heldEpoch : undefined;
 	}
 
-	/** Renews the lease, or takes it once its holder has stood still long enough. Called every few seconds. */
+	/** Renews the lease, or takes it over once its holder has not renewed it for the lease time. Called every few seconds. */
 	async tick(): Promise<void> {
 		const rows = await this.table.read([leaseKey]);
 		if (!rows.ok) {
@@ -73,7 +73,7 @@
 		}
 	}
 
-	/** Gives the lease up, so that another takes it at once. */
+	/** Releases the lease, so that another process can take it at once. */
 	async release(): Promise<void> {
 		this.heldUntilMs = -Infinity;
 		const rows = await this.table.read([leaseKey]);
@@ -98,7 +98,7 @@
 	}
 
 	private async write(lease: LeaseRow, version: number): Promise<void> {
-		// Counted from before the call: the row may be written at any moment of it.
+		// The lease time is counted from before the call, as the row may be written at any moment during it.
 		const sentMs = this.clock.nowMs();
 		const done = await this.table.transact({
 			conditions: [{key: leaseKey, version}],
@@ -108,6 +108,6 @@
 			this.heldEpoch = lease.epoch;
 			this.heldUntilMs = sentMs + leaseMs - marginMs;
 		}
-		// Without an answer nothing is taken as held: the next read shows whether it was written.
+		// Without a response the lease does not count as held: the next read shows whether the row was written.
 	}
 }
--- a/src/placement/common/order-planner.test.ts
+++ b/src/placement/common/order-planner.test.ts
@@ -11,7 +11,7 @@
 	t.equal(planOrders(wanted, all, new Set(['u0', 'u1'])).length, 0);
 });
 
-t.test('what is missing is loaded before what is too much goes', async t => {
+t.test('missing models and adapters are loaded before extra ones are unloaded', async t => {
 	const [bare] = engines(1, {models: [{model: 'old', version: 'v1', adapters: []}]});
 	t.match(planOrders(wanted, [bare], new Set()), [{kind: 'load', model: 'm', version: 'v2'}]);
 	const withModel = {...bare, models: [...bare.models, {model: 'm', version: 'v2', adapters: []}]};
--- a/src/placement/common/order-planner.ts
+++ b/src/placement/common/order-planner.ts
@@ -1,11 +1,11 @@
-/** Which orders bring engines to what the settings want, a few at a time. */
+/** Plans the orders that bring engines to the models in the settings, a few engines at a time. */
 import type {PoolNode} from '../../settings/common/schema.js';
 import type {LoadedModel} from '../../wire/common/messages.js';
 
 /** An engine as last reported. */
 export type EngineView = {readonly upstreamId: string; readonly models: readonly LoadedModel[]};
 
-/** One step towards the wanted state. */
+/** One order on the way to the wanted state. */
 export type OrderStep = {
 	readonly upstreamId: string;
 	readonly kind: 'load' | 'unload';
@@ -16,15 +16,15 @@
 
 type Wanted = NonNullable<PoolNode['models']>[number];
 
-/** Share of a pool that may be changing at once, so that the others go on serving. */
+/** Maximum share of a pool's engines that change at once, so that the others go on serving. */
 const changingShare = 0.25;
 
 /**
 Plans the next orders of a pool.
-@param wanted - models, versions and adapters that every engine should carry.
+@param wanted - models, versions and adapters that every engine should have loaded.
 @param engines - the live engines of the pool.
-@param busy - engines whose last order has not ended.
-@returns at most one order for each engine, within the share that may change at once.
+@param busy - ids of the engines whose last order is still running.
+@returns at most one order for each engine, for no more engines than may change at once.
 */
 export function planOrders(wanted: readonly Wanted[], engines: readonly EngineView[], busy: ReadonlySet<string>): OrderStep[] {
 	const most = Math.max(1, Math.floor(engines.length * changingShare));
@@ -41,7 +41,7 @@
 	return steps;
 }
 
-/** Loads before it unloads, so that an engine never serves less than it could. */
+/** Plans loads before unloads, so that an engine never serves less than it could. */
 function nextStep(wanted: readonly Wanted[], {upstreamId, models}: EngineView): OrderStep | undefined {
 	for (const {model, version, adapters} of wanted) {
 		const loaded = models.find(item => item.model === model);
--- a/src/placement/common/placement-service.ts
+++ b/src/placement/common/placement-service.ts
@@ -1,4 +1,4 @@
-/** Brings engines to what the settings want, from whichever entry holds the lease. */
+/** Brings engines to the models in the settings, from whichever entry holds the placement lease. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {Logger} from '../../base/common/logger.js';
@@ -9,20 +9,20 @@
 import {planOrders, type EngineView, type OrderStep} from './order-planner.js';
 
 const tickMs = 3000;
-/** Longest time of one order; with less of the lease left none is sent. */
+/** Maximum duration of one order. No order is sent if the lease is held for less than this. */
 export const longestOrderMs = 8000;
-/** Loads from the weight store at once, over all pools. */
+/** Maximum number of concurrent loads from the weight store, over all pools. */
 const mostLoads = 2;
 
-/** What placement needs of the fleet. */
+/** The engines that placement sends orders to. */
 export type OrderFleet = {
-	/** Live engines of a pool, as last reported. */
+	/** Returns the live engines of a pool, as last reported. */
 	engines(pool: string): EngineView[];
-	/** Sends an order; false if nothing was written. */
+	/** Sends an order; returns false if nothing was written. */
 	send(upstreamId: string, order: OrderMessage): boolean;
 };
 
-/** What placement is made of. */
+/** Dependencies of the placement service. */
 export type PlacementOptions = {
 	readonly lease: LeaseKeeper;
 	readonly tree: SettingsTree;
@@ -35,7 +35,7 @@
 
 type Pending = {readonly step: OrderStep; readonly untilMs: number};
 
-/** Gives fenced orders while it holds the lease; without it, serving goes on as placed. */
+/** Sends fenced orders while it holds the lease; without the lease, engines go on serving the models that they have loaded. */
 export class PlacementService implements Disposable {
 	static create(options: PlacementOptions): PlacementService {
 		return new PlacementService(options);
@@ -51,20 +51,20 @@
 		this.owned.add(setRepeating(clock, () => jitter(random, tickMs), async () => this.tick()));
 	}
 
-	/** The epoch held, or nothing. */
+	/** The epoch of the lease, or `undefined` while it is not held. */
 	get leaseEpoch(): number | undefined {
 		return this.options.lease.epoch;
 	}
 
-	/** Renews the lease and gives the orders that are due. */
+	/** Renews the lease and sends the orders that are due. */
 	async tick(): Promise<void> {
 		await this.options.lease.tick();
 		this.giveOrders();
 	}
 
 	/**
-	An agent answered an order.
-	@param reply - its answer.
+	Handles an agent's reply to an order.
+	@param reply - the reply.
 	*/
 	replied(reply: OrderReply): void {
 		const pending = this.pending.get(reply.orderId);
@@ -74,7 +74,7 @@
 		}
 	}
 
-	/** Gives the lease up, as at a planned stop. */
+	/** Stops and releases the lease, as at a planned shutdown. */
 	async release(): Promise<void> {
 		this.owned.dispose();
 		await this.options.lease.release();
@@ -113,7 +113,7 @@
 		const {lease, fleet, newOrderId} = this.options;
 		const loads = [...this.pending.values()].filter(item => item.step.kind === 'load').length;
 		const isOverRate = step.kind === 'load' && loads >= mostLoads;
-		// An order must end while the lease still holds: not every engine checks fences.
+		// An order must finish while the lease is still valid, because not every engine checks fences.
 		if (isOverRate || lease.remainingMs < longestOrderMs) {
 			return;
 		}
@@ -129,7 +129,7 @@
 		}
 	}
 
-	/** An order without an answer is forgotten; the engine's own report tells what became of it. */
+	/** Drops orders that got no reply in time; the engine's own report shows what became of them. */
 	private dropOverdue(): void {
 		for (const [orderId, {untilMs}] of this.pending) {
 			if (this.options.clock.nowMs() >= untilMs) {
--- a/src/quarantine/common/end-record.test.ts
+++ b/src/quarantine/common/end-record.test.ts
@@ -6,18 +6,18 @@
 const end = (serverId: string, ageMs = 0): ContentEnds => ({contentId: content, ends: [{serverId, ageMs}], cleared: []});
 const clear = (...cleared: string[]): ContentEnds => ({contentId: content, ends: [], cleared});
 
-t.test('an end counts once, however often it is told, and not at all once it is cleared', async t => {
+t.test('a crash counts once, however often it is reported, and not at all once it is cleared', async t => {
 	const record = EndRecord.create(3);
 	t.ok(record.merge(end('a'), 0));
 	t.equal(record.merge(end('a'), 5), undefined);
 	record.merge(end('b'), 5);
 	t.equal(record.countOf(content, 5), 2);
 	record.merge(clear('a', 'late'), 6);
-	t.equal(record.merge(end('late'), 7), undefined, 'told after it was cleared');
+	t.equal(record.merge(end('late'), 7), undefined, 'reported after it was cleared');
 	t.equal(record.countOf(content, 7), 1);
 });
 
-t.test('hosts that hear the same news agree, in whatever order and however often they hear them', async () => {
+t.test('hosts that receive the same updates agree, in whatever order and however often they receive them', async () => {
 	const news = fc.array(fc.oneof(fc.constantFrom('a', 'b', 'c', 'd').map(id => end(id)), fc.constantFrom('a', 'b', 'c', 'd').map(id => clear(id))), {maxLength: 12});
 	fc.assert(fc.property(news.chain(told => fc.tuple(fc.constant(told), fc.shuffledSubarray([...told, ...told], {minLength: told.length * 2}))), ([told, again]) => {
 		const [left, right] = [EndRecord.create(3), EndRecord.create(3)];
@@ -29,7 +29,7 @@
 			right.merge(item, 0);
 		}
 
-		// One that hears everything from the other at once agrees too.
+		// A host that receives the full record of another one at once agrees too.
 		const late = EndRecord.create(3);
 		for (const item of left.all(0)) {
 			late.merge(item, 0);
@@ -40,7 +40,7 @@
 	}), {seed: 1, numRuns: 500});
 });
 
-t.test('what is old is forgotten, and not told as new by a host that hears of it late', async t => {
+t.test('a crash is dropped after its retention time, also by a host that received it late', async t => {
 	const record = EndRecord.create(3);
 	record.merge(end('a'), 0);
 	t.equal(record.countOf(content, rememberMs - 1), 1);
@@ -54,7 +54,7 @@
 	t.same(record.all(rememberMs), []);
 });
 
-t.test('a flood of contents does not push out those that are barred', async t => {
+t.test('many new contents do not evict those that are barred', async t => {
 	const record = EndRecord.create(3);
 	for (const serverId of ['a', 'b', 'c']) {
 		record.merge(end(serverId), 0);
@@ -68,7 +68,7 @@
 	t.equal(record.countOf(content, 1), 3);
 });
 
-t.test('what is barred is tried once after a minute, then after twice as long each time', async t => {
+t.test('a barred content may be tried once after a minute, then after twice as long each time', async t => {
 	const record = EndRecord.create(3);
 	for (const serverId of ['a', 'b', 'c']) {
 		record.merge(end(serverId), 1000);
@@ -83,10 +83,10 @@
 		peer.merge(item, 62_000);
 	}
 
-	t.equal(peer.barredUntilMs(content, 62_000), 181_000, 'a peer knows of the trial');
-	t.equal(record.trial('d'.repeat(32), 62_000), undefined, 'what is not barred needs none');
+	t.equal(peer.barredUntilMs(content, 62_000), 181_000, 'a peer knows of the trial request');
+	t.equal(record.trial('d'.repeat(32), 62_000), undefined, 'a content that is not barred needs none');
 	record.merge(end('d'), 181_000);
-	t.equal(record.barredUntilMs(content, 181_000), 301_000, 'the trial\'s own end is no second reason');
+	t.equal(record.barredUntilMs(content, 181_000), 301_000, 'the crash caused by the trial request does not double the time again');
 	record.merge(end('e'), 301_000);
 	t.equal(record.barredUntilMs(content, 301_000), 301_000 + 240_000);
 	record.merge(clear('a', 'b', 'c', 'd', 'e'), 302_000);
--- a/src/quarantine/common/end-record.ts
+++ b/src/quarantine/common/end-record.ts
@@ -1,50 +1,51 @@
 /**
-Which starts of servers ended while they ran a request of which content, as all hosts together know it.
+Records which server processes crashed while they ran a request of which content, replicated between all hosts.
 
-For each content a set of ends that only grows, a set of those that count no more because the same content has run to
-a good end since, and how often it was tried again. The sets merge by union and the number by its maximum, so that it does not
-matter how late, how often or in which order hosts tell each other.
+A server process is one start of a server; its `serverId` names that start. For each content the record holds a grow-only set of
+crashes, a set of those that no longer count because the same content has since run to completion, and the number of trial
+requests. The sets merge by union and the number by its maximum, so the result does not depend on how late, how often or in which
+order hosts report to each other.
 */
 
-/** What is remembered of one content, as hosts tell it. */
+/** What is recorded for one content, as hosts send it to each other. */
 export type ContentEnds = {
 	readonly contentId: string;
-	/** Starts that ended, and how long ago. */
+	/** Server processes that crashed, and how long ago. */
 	readonly ends: ReadonlyArray<{readonly serverId: string; readonly ageMs: number}>;
-	/** Starts whose end does not count. */
+	/** Server processes whose crash does not count. */
 	readonly cleared: readonly string[];
-	/** How often it was tried again after it was barred, and how long ago the last time; absent where it was not. */
+	/** Number of trial requests after the content was barred, and the age of the last one; absent if there was none. */
 	readonly trials?: {readonly count: number; readonly ageMs: number};
 };
 
-/** How long a content is remembered after its last end or trial: longer than it is ever barred at once. */
+/** Retention of a content after its last crash or trial request; longer than the longest time for which it is barred. */
 export const rememberMs = 7_200_000;
-/** Contents that are remembered, about 300 bytes each; beyond them those that are not barred go first. */
+/** Maximum number of recorded contents, about 300 bytes each. Beyond it, contents that are not barred are evicted first. */
 const mostContents = 10_000;
-/** Ends of one content that are remembered, cleared or not: a content that is asked for all day meets many. */
+/** Maximum number of crashes recorded for one content, and of cleared ones: a content that is requested all day is present at many. */
 const mostEnds = 64;
 
-/** How long a content is barred before it is tried once: who was only unlucky is served again after that. */
+/** How long a content is barred before its first trial request: one that is harmless and was only present at crashes is served again after that. */
 const firstBarMs = 60_000;
 /**
-It doubles with each trial, or each end where pieces were tried, up to this: a request that ends servers costs six of them in the
-first hour after it was barred, then one an hour.
+Maximum time for which a content is barred. The time doubles with each trial request, or with each further crash where pieces of
+batches were tried: a request that crashes servers costs six of them in the first hour after it was barred, then one an hour.
 */
 const longestBarMs = 3_600_000;
 
 type Entry = {readonly ends: Map<string, number>; readonly cleared: Set<string>; trialCount: number; triedMs: number; keptUntilMs: number};
 
-/** Holds the ends of all contents. */
+/** Holds the crashes of all contents. */
 export class EndRecord {
 	/**
-	Makes an empty record.
-	@param barredAfter - ends of one content after which it is sent no more.
+	Creates an empty record.
+	@param barredAfter - number of crashes of one content after which it is barred.
 	*/
 	static create(barredAfter: number): EndRecord {
 		return new EndRecord(barredAfter);
 	}
 
-	/** By content; the one that was changed longest ago first. */
+	/** By content id; the least recently changed first. */
 	private readonly entries = new Map<string, Entry>();
 
 	private constructor(private readonly barredAfter: number) {}
@@ -54,24 +55,24 @@
 	}
 
 	/**
-	Counts the ends that speak against a content.
+	Counts the crashes that count against a content.
 	@param contentId - the content.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	countOf(contentId: string, nowMs: number): number {
 		return this.current(contentId, nowMs)?.ends.size ?? 0;
 	}
 
-	/** Gives the contents that are remembered. */
+	/** The ids of all recorded contents, expired ones included. */
 	get contentIds(): Iterable<string> {
 		return this.entries.keys();
 	}
 
 	/**
-	Tells until when a content is sent to no server.
+	Computes until when a content is barred, that is, sent to no server.
 	@param contentId - the content.
-	@param nowMs - the time.
-	@returns a time that is over for one that is not barred, or that may be tried again.
+	@param nowMs - the current time.
+	@returns a time in the past if the content is not barred, or if a trial request may be sent.
 	*/
 	barredUntilMs(contentId: string, nowMs: number): number {
 		const entry = this.current(contentId, nowMs);
@@ -84,10 +85,10 @@
 	}
 
 	/**
-	A content that was barred is tried once more.
+	Records that a trial request of a barred content is sent.
 	@param contentId - the content.
-	@param nowMs - the time.
-	@returns what peers are to know, or nothing for one that is not barred.
+	@param nowMs - the current time.
+	@returns the update for peers, or `undefined` if the content has too few crashes to be barred.
 	*/
 	trial(contentId: string, nowMs: number): ContentEnds | undefined {
 		const entry = this.current(contentId, nowMs);
@@ -99,10 +100,10 @@
 	}
 
 	/**
-	Takes in what is known of a content.
-	@param known - from this host or a peer.
-	@param nowMs - the time.
-	@returns what of it was not known here, or nothing.
+	Merges what this host or a peer knows of a content.
+	@param known - the crashes, cleared crashes and trial requests of the content.
+	@param nowMs - the current time.
+	@returns the part that was not known here, or `undefined` if there was none.
 	*/
 	merge({contentId, ends, cleared, trials}: ContentEnds, nowMs: number): ContentEnds | undefined {
 		const entry = this.current(contentId, nowMs) ?? emptyEntry();
@@ -134,17 +135,17 @@
 	}
 
 	/**
-	Gives the starts whose end speaks against a content.
+	Lists the server processes whose crash counts against a content.
 	@param contentId - the content.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	serversOf(contentId: string, nowMs: number): string[] {
 		return [...this.current(contentId, nowMs)?.ends.keys() ?? []];
 	}
 
 	/**
-	Gives everything that speaks against a content, for a host that may lack it.
-	@param nowMs - the time.
+	Lists all contents that have crashes, for a host that may not know them.
+	@param nowMs - the current time.
 	*/
 	all(nowMs: number): ContentEnds[] {
 		const kept = [...this.entries].filter(([, {ends, keptUntilMs}]) => ends.size > 0 && nowMs < keptUntilMs);
@@ -201,12 +202,12 @@
 	};
 }
 
-/** The last end or trial of a content. */
+/** Returns the time of the last crash or trial request of a content. */
 function lastMs({ends, triedMs}: Entry): number {
 	return Math.max(triedMs, ...ends.values());
 }
 
-/** Forgets the oldest where there are too many. */
+/** Drops the oldest crashes beyond the maximum. */
 function trim({ends, cleared}: Entry): void {
 	for (const serverId of ends.keys()) {
 		if (ends.size <= mostEnds) {
--- a/src/quarantine/common/quarantine-log-messages.ts
+++ b/src/quarantine/common/quarantine-log-messages.ts
@@ -1,4 +1,4 @@
-/** Log messages that `pumicehatch logs quarantine` looks for: the parts that write them and the command have them from here. */
+/** Log messages that `pumicehatch logs quarantine` looks for, shared by the code that writes them and the command. */
 export const quarantineLogMessages = {
 	brokeOff: 'A call broke off; whether its server has ended is being found out.',
 	ended: 'A server ended while it ran a request.',
--- a/src/quarantine/common/quarantine.test.ts
+++ b/src/quarantine/common/quarantine.test.ts
@@ -1,9 +1,10 @@
 /**
-Requests that end servers, without network: several hosts with a quarantine each, servers that end, and news that come late.
+Requests that crash servers, simulated without a network: several hosts with a quarantine each, servers that crash, and updates
+that arrive with a delay.
 
-The pattern: a caller asks for the same again and again, at any host, while others ask for what is harmless on the same
-servers and lose it with them. Grounds for the figures: three ends bar a request (the users' rule), and hosts hear of each other
-within milliseconds; 60 ms here.
+Guards against a caller that repeats a fatal request at any host, while harmless requests run on the same servers and are lost in
+the same crashes. Three crashes bar a request, as the users require. Hosts receive each other's updates within milliseconds; the
+tests assume 60 ms.
 */
 import fc from 'fast-check';
 import t from 'tap';
@@ -31,7 +32,7 @@
 	};
 }
 
-/** A host: whether a server that broke off has ended is told from outside. */
+/** A host. The test decides whether a server whose connection was lost has crashed. */
 class Host {
 	readonly ends = Emitter.create<string>();
 	readonly settled = Emitter.create<string>();
@@ -59,7 +60,7 @@
 		});
 	}
 
-	/** What became of a server in doubt is known. */
+	/** Ends the check of a suspect server. */
 	settle(serverId: string, hasEnded: boolean): void {
 		this.checked.delete(serverId);
 		if (hasEnded) {
@@ -73,7 +74,7 @@
 function makeHosts(count: number) {
 	const clock = ManualClock.create();
 	const hosts: Host[] = [];
-	/** Starts a host, or starts one anew: it hears everything from another one. */
+	/** Starts or restarts a host, which gets the full record from another one. */
 	const startHost = (index: number) => {
 		const host = new Host(clock);
 		const known = hosts.find((_, other) => other !== index);
@@ -95,7 +96,7 @@
 	return {clock, hosts, startHost};
 }
 
-/** A server ends while it runs requests of a host. */
+/** Simulates a server that crashes while it runs requests of a host. */
 function end(host: Host, serverId: string, ...sources: ContentSource[]): void {
 	for (const source of sources) {
 		host.quarantine.brokeOff(contentIdOf(source), serverOf(serverId), 'r');
@@ -104,7 +105,7 @@
 	host.settle(serverId, true);
 }
 
-t.test('three ends on three hosts bar a request on all of them; others of the same path and body are not touched', async t => {
+t.test('three crashes on three hosts bar a request on all hosts; requests with another body or workspace are not affected', async t => {
 	const {clock, hosts} = makeHosts(4);
 	for (const index of [0, 1, 2]) {
 		end(hosts[index], `s${index}`, sourceOf('fatal'));
@@ -114,23 +115,23 @@
 	t.same(hosts.map(({quarantine}) => quarantine.standingOf(sourceOf('fatal')).type), ['barred', 'barred', 'barred', 'barred']);
 	t.same(hosts.map(({barred}) => barred), hosts.map(() => [contentIdOf(sourceOf('fatal'))]));
 	t.equal(hosts[0].quarantine.standingOf(sourceOf('other')).type, 'clear');
-	t.equal(hosts[0].quarantine.standingOf(sourceOf('fatal', 'someone else')).type, 'clear', 'one workspace has none of another\'s shut out');
+	t.equal(hosts[0].quarantine.standingOf(sourceOf('fatal', 'someone else')).type, 'clear', 'a workspace can\'t get the requests of another one barred');
 	const late = new Host(clock);
 	late.quarantine.hear(hosts[3].quarantine.all(), 'peer');
-	t.equal(late.quarantine.standingOf(sourceOf('fatal')).type, 'barred', 'a host that starts later');
+	t.equal(late.quarantine.standingOf(sourceOf('fatal')).type, 'barred', 'on a host that starts later');
 });
 
-t.test('a request that may have ended its third server waits until that is known', async t => {
+t.test('a request that may have crashed its third server waits until that is known', async t => {
 	const {hosts: [host]} = makeHosts(1);
 	end(host, 's0', sourceOf('fatal'));
 	end(host, 's1', sourceOf('fatal'));
 	host.quarantine.brokeOff(contentIdOf(sourceOf('fatal')), serverOf('s2'), 'r');
 	t.equal(host.quarantine.standingOf(sourceOf('fatal')).type, 'inDoubt');
 	host.settle('s2', false);
-	t.equal(host.quarantine.standingOf(sourceOf('fatal')).type, 'clear', 'only its connection was cut');
+	t.equal(host.quarantine.standingOf(sourceOf('fatal')).type, 'clear', 'only the connection was lost');
 });
 
-t.test('a request that runs to a whole answer is cleared on all hosts, barred or not', async t => {
+t.test('a request that gets a complete response is cleared on all hosts, although it was barred', async t => {
 	const {clock, hosts} = makeHosts(2);
 	for (const serverId of ['s0', 's1', 's2']) {
 		end(hosts[0], serverId, sourceOf('polled'));
@@ -143,7 +144,7 @@
 	t.same(hosts.map(({quarantine}) => quarantine.standingOf(sourceOf('polled')).type), ['clear', 'clear']);
 });
 
-t.test('after a minute one host tries a barred request, and no other one beside it', async t => {
+t.test('after a minute one host tries a barred request, and no other host does at the same time', async t => {
 	const {clock, hosts} = makeHosts(3);
 	for (const serverId of ['s0', 's1', 's2']) {
 		end(hosts[0], serverId, sourceOf('unlucky'));
@@ -159,19 +160,22 @@
 	t.same(hosts.map(({quarantine}) => quarantine.standingOf(sourceOf('unlucky')).type), ['clear', 'clear', 'clear']);
 });
 
-/** One try of a random day. */
+/** One request of a random sequence. */
 type Try = {
 	readonly host: number;
 	readonly body: string;
-	/** Harmless requests that run on the same server. */
+	/** Harmless requests that run on the same server at the same time. */
 	readonly beside: readonly string[];
-	/** Whether the connection is cut while its server lives. */
+	/** Whether the connection is lost while the server keeps running. */
 	readonly isCut: boolean;
-	/** Whether the host starts anew afterwards. */
+	/** Whether the host restarts afterwards. */
 	readonly startsAnew: boolean;
 };
 
-/** Plays the tries 0.1 s apart, then each harmless request once a second for two minutes; counts what became of them. */
+/**
+Sends the requests 0.1 s apart, then each harmless request once a second for two minutes. Returns how many servers crashed, and
+whether all harmless requests were served in the last second.
+*/
 function playDay(tries: readonly Try[]) {
 	const {clock, hosts, startHost} = makeHosts(5);
 	let ended = 0;
@@ -215,7 +219,7 @@
 	return {ended, isServed};
 }
 
-t.test('random days: what ends servers is sent to three, and what ends none is served in the end', async () => {
+t.test('random sequences: a fatal request reaches three servers at most, and harmless requests are served in the end', async () => {
 	const tries = fc.array(fc.record({
 		host: fc.nat(4), body: fc.constantFrom('fatal', 'fatal', 'a', 'b', 'c'), beside: fc.subarray(['a', 'b', 'c']), isCut: fc.boolean(), startsAnew: fc.nat(9).map(value => value === 0),
 	}), {minLength: 60, maxLength: 60});
--- a/src/quarantine/common/quarantine.ts
+++ b/src/quarantine/common/quarantine.ts
@@ -1,10 +1,11 @@
 /**
-Requests that end the servers that run them: each is sent to three servers at most, whatever ids its tries have and at
-whichever host they come.
+Quarantine for requests that crash the servers that run them: each is sent to three servers at most, whatever ids its attempts
+have and whichever hosts receive them.
 
-A request under which three starts of servers have ended is barred on all hosts, first for a minute; then one of them tries it
-once. One end proves little, since all that ran on the server ended with it; but what is harmless runs to a good end elsewhere,
-and is cleared by that. Without the record one caller that asked again and again ended eleven of 13 engines within 13 s.
+A request is barred on all hosts once three server processes have crashed while they ran it. It is barred for a minute at first;
+then one host sends it once as a trial request. One crash proves little, since every request that ran on the server is affected;
+but a harmless request runs to completion elsewhere, which clears it. Without the quarantine, one caller that kept repeating its
+request crashed 11 of 13 engines within 13 s.
 */
 import type {InjectionToken} from 'tsyringe';
 import type {Clock} from '../../base/common/clock.js';
@@ -20,39 +21,42 @@
 import {quarantineLogMessages} from './quarantine-log-messages.js';
 import type {ServerEnds} from './server-ends.js';
 
-/** Ends of servers under one content after which it is sent no more. */
+/** Number of server crashes under one content after which it is barred. */
 const barredAfter = 3;
-/** Ends after which pieces go in a call of their own: after the first one dozens would, and a full call takes no longer than theirs. */
+/**
+Number of crashes after which a piece is sent in a call of its own. After a single crash dozens of pieces would be sent alone,
+although a call with a full batch takes no longer than a call with one piece.
+*/
 const aloneAfter = 2;
-/** Digests of heads that are kept; beyond them those that are needed are gathered anew. */
+/** Number of head digests at which the set is rebuilt from the contents that are still recorded or suspect. */
 const mostHeads = 20_000;
-/** What callers and logs are told of a barred request. */
+/** Text about a barred request, for callers and logs. */
 export const barredText = `this request is in quarantine, as ${barredAfter} servers ended while they ran it`;
 
-/** Whether a request may be sent, by what became of the same content before. */
+/** Whether a request may be sent, judged by the crashes recorded for the same content. */
 export type Standing
 	= | {readonly type: 'clear'}
-	/** It may have ended its last server; in a moment more is known. */
+	/** It may have crashed the last server that ran it; a check is under way. */
 		| {readonly type: 'inDoubt'}
 		| {readonly type: 'barred'; readonly forMs: number; readonly contentId: string};
 
 export const clearStanding: Standing = {type: 'clear'};
 
-/** How a piece of a request may be handed to a server that works on pieces of several requests at once. */
+/** How a piece of a request may be sent to a server that processes pieces of several requests in one call. */
 export const cautions = {
 	none: 'none',
-	/** The request was there when servers ended: in a call of its own it takes no other with it, and shows whose doing it was. */
+	/** The request was present when servers crashed: in a call of its own it can harm no other request, and a crash shows which one caused it. */
 	alone: 'alone',
-	/** It may have ended its last server; in a moment more is known. */
+	/** The request may have crashed the last server that ran it; a check is under way. */
 	wait: 'wait',
-	/** To none. */
+	/** The piece may be sent to no server. */
 	barred: 'barred',
 } as const;
 export type Caution = typeof cautions[keyof typeof cautions];
 
 export const quarantineToken: InjectionToken<Quarantine> = Symbol('Quarantine');
 
-/** What the quarantine is made of. */
+/** Dependencies of the quarantine. */
 export type QuarantineOptions = {
 	readonly serverEnds: Pick<ServerEnds, 'brokeOff' | 'isBeingChecked' | 'onDidEnd' | 'onDidSettle'>;
 	readonly clock: Clock;
@@ -60,16 +64,16 @@
 	readonly metrics: Metrics;
 };
 
-/** Knows which requests may not be sent. */
+/** Decides which requests may be sent, by the server crashes recorded for their content. */
 export class Quarantine implements Disposable {
 	static create(options: QuarantineOptions): Quarantine {
 		return new Quarantine(options);
 	}
 
 	private readonly record = EndRecord.create(barredAfter);
-	/** Digests of heads of which a content was ever suspected here: all others are clear at a look. */
+	/** Head digests of all contents that were ever suspect on this host; any other request is clear without reading its body. */
 	private heads = new Set<string>();
-	/** Contents of calls that broke off, by the server in doubt. */
+	/** Contents of calls whose connection was lost, by the id of the suspect server. */
 	private readonly suspects = new Map<string, Set<string>>();
 	private readonly didLearn = Emitter.create<ContentEnds>();
 	private readonly didBar = Emitter.create<string>();
@@ -86,23 +90,23 @@
 		}));
 	}
 
-	/** Fires with what this host has found out, for its peers. */
+	/** Fires with what this host has observed itself, for its peers. */
 	get onDidLearn() {
 		return this.didLearn.event;
 	}
 
-	/** Fires with a start of a server that has ended, found out by this host or a peer. */
+	/** Fires with the id of a server process that crashed, as observed by this host or a peer. */
 	get onDidHearOfEnd() {
 		return this.didHearOfEnd.event;
 	}
 
-	/** Fires with a content that is barred from now on. */
+	/** Fires with the id of a content when it becomes barred. */
 	get onDidBar() {
 		return this.didBar.event;
 	}
 
 	/**
-	Tells whether a request may be sent.
+	Determines whether a request may be sent.
 	@param source - the request.
 	*/
 	standingOf(source: ContentSource): Standing {
@@ -114,8 +118,8 @@
 	}
 
 	/**
-	Tells how a piece of a request may be handed on.
-	@param contentId - of the request.
+	Determines how a piece of a request may be sent.
+	@param contentId - the content id of the request.
 	*/
 	cautionOf(contentId: string): Caution {
 		if (this.heads.size === 0 || !this.heads.has(headOfContentId(contentId))) {
@@ -131,7 +135,8 @@
 	}
 
 	/**
-	A request is about to be sent: where it was barred this is its trial, and it is barred again on all hosts until that tells more.
+	Called when a request is about to be sent. If it was barred, this is its trial request, and it is barred again on all hosts until
+	the outcome is known.
 	@param source - the request.
 	*/
 	sent(source: ContentSource): void {
@@ -147,10 +152,10 @@
 	}
 
 	/**
-	A call broke off before its answer was whole, though nobody here gave it up.
-	@param contentId - of its request.
-	@param server - that ran it.
-	@param requestId - its caller's name of this try.
+	Called when the connection of a call was lost before its response was complete, although this host did not cancel the call.
+	@param contentId - the content id of its request.
+	@param server - the server that ran it.
+	@param requestId - the caller's id of this attempt.
 	*/
 	brokeOff(contentId: string, server: UpstreamServer, requestId: string): void {
 		if (this.options.serverEnds.brokeOff(server)) {
@@ -163,7 +168,7 @@
 	}
 
 	/**
-	A request has run to a whole answer: the ends under the same content were not its doing.
+	Called when a request got a complete response: it did not cause the crashes recorded for its content, which no longer count.
 	@param source - the request.
 	*/
 	completed(source: ContentSource): void {
@@ -183,8 +188,8 @@
 	}
 
 	/**
-	A peer tells what it knows.
-	@param known - of some contents.
+	Merges what a peer reports.
+	@param known - the crashes of some contents.
 	@param hostId - the peer.
 	*/
 	hear(known: readonly ContentEnds[], hostId: string): void {
@@ -193,7 +198,7 @@
 		}
 	}
 
-	/** Gives everything, for a host that may lack it. */
+	/** Lists all recorded contents, for a host that may not know them. */
 	all(): ContentEnds[] {
 		return this.record.all(this.options.clock.nowMs());
 	}
@@ -214,12 +219,12 @@
 		return mayBeBarred ? {type: 'inDoubt'} : clearStanding;
 	}
 
-	/** Cheap, and true for few: the body is only read for these. */
+	/** Cheap check on the head of a request. It is true for few requests, and only their bodies are hashed. */
 	private mayBeKnown(source: ContentSource): boolean {
 		return this.heads.size > 0 && this.heads.has(headDigestOf(source));
 	}
 
-	/** Ends under a content that are not proven yet, but may be in a moment. */
+	/** Counts the suspect servers of a content whose address is being checked: crashes that may be confirmed shortly. */
 	private doubtfulCount(contentId: string): number {
 		return [...this.suspects].filter(([serverId, contents]) => contents.has(contentId) && this.options.serverEnds.isBeingChecked(serverId)).length;
 	}
--- a/src/quarantine/common/request-content.ts
+++ b/src/quarantine/common/request-content.ts
@@ -1,16 +1,16 @@
-/** What makes two requests the same, whatever ids their tries have: workspace, method, host name, path and body. */
+/** Identifies requests by content (workspace, method, host name, path and body), whatever ids their attempts have. */
 import {digestOfBytes, digestOfText} from '../../base/common/hash.js';
 import type {HttpCall} from '../../wire/common/messages.js';
 
-/** A request as far as its content counts. */
+/** The parts of a request that make up its content. */
 export type ContentSource = {
-	/** One workspace can't have another one's requests shut out. */
+	/** Part of the content, so that one workspace can't get the requests of another one quarantined. */
 	readonly workspace: string;
 	readonly http: Pick<HttpCall, 'method' | 'path' | 'headers' | 'body'>;
 };
 
 /**
-Gives the name of what a request says without its body: cheap, so that most requests are told apart by it alone.
+Computes the digest of a request without its body. It is cheap, and most requests are told apart by it alone.
 @param source - the request.
 @returns 16 hexadecimal digits.
 */
@@ -20,7 +20,7 @@
 }
 
 /**
-Gives the name of a request's whole content.
+Computes the id of a request's complete content, body included.
 @param source - the request.
 @returns 32 hexadecimal digits, the first 16 of which are the digest of its head.
 */
@@ -29,8 +29,8 @@
 }
 
 /**
-Gives the digest of the head out of the name of a content.
-@param contentId - the name.
+Extracts the digest of a request's head from a content id.
+@param contentId - the content id.
 */
 export function headOfContentId(contentId: string): string {
 	return contentId.slice(0, contentId.length / 2);
--- a/src/quarantine/common/server-ends.test.ts
+++ b/src/quarantine/common/server-ends.test.ts
@@ -29,7 +29,7 @@
 	});
 	const pass = async (byMs: number) => {
 		clock.advance(byMs);
-		// What the check tells comes on a later turn.
+		// The result of the check arrives in a later turn of the event loop.
 		await new Promise(resolve => {
 			setImmediate(resolve);
 		});
@@ -44,18 +44,18 @@
 	};
 }
 
-t.test('a call that broke off says nothing of a server that still listens', async t => {
+t.test('a lost connection proves nothing about a server that still listens', async t => {
 	const {watch, state, ended, pass} = makeWatch();
 	watch.brokeOff(server);
 	t.ok(watch.isBeingChecked('s@1'));
 	await pass(30);
-	t.notOk(watch.isBeingChecked('s@1'), 'nobody waits longer');
+	t.notOk(watch.isBeingChecked('s@1'), 'requests wait no longer');
 	await pass(10_000);
 	t.same(ended, []);
 	t.equal(state.checks, 1);
 });
 
-t.test('an address that does not answer proves nothing, and is tried a second time', async t => {
+t.test('an address that does not respond proves nothing, and is checked a second time', async t => {
 	const {watch, state, ended, pass} = makeWatch();
 	state.address = addressStates.silent;
 	watch.brokeOff(server);
@@ -67,7 +67,7 @@
 	t.equal(state.checks, 2);
 });
 
-t.test('a server whose address refuses connections has ended; many calls that broke off cost one try', async t => {
+t.test('a server whose address refuses connections has crashed; many lost connections cause one check', async t => {
 	const {watch, state, ended, pass} = makeWatch();
 	state.address = addressStates.refused;
 	for (let index = 0; index < 20; index++) {
@@ -79,7 +79,7 @@
 	t.equal(state.checks, 1);
 });
 
-t.test('a server that breaks off another call later is tried anew, and is not blamed with what was before', async t => {
+t.test('a connection lost later causes a new check, and calls lost earlier are not blamed for its result', async t => {
 	const {watch, state, ended, pass} = makeWatch();
 	const settled: string[] = [];
 	watch.onDidSettle(serverId => {
@@ -95,7 +95,7 @@
 	t.same(ended, ['s@1']);
 });
 
-t.test('the list proves an end that the address does not show: the server is back already, or its entry lapsed', async t => {
+t.test('the registry proves a crash that the address does not show: the server has restarted already, or its entry expired', async t => {
 	for (const reason of [goneReasons.startedAgain, goneReasons.dropped, goneReasons.addressTaken]) {
 		const {watch, ended, pass, tell} = makeWatch();
 		watch.brokeOff(server);
@@ -105,7 +105,7 @@
 	}
 });
 
-t.test('what leaves, or goes with the store\'s outage, has not ended for a call\'s sake', async t => {
+t.test('a server that leaves, or disappears while the store is unavailable, was not crashed by a call', async t => {
 	for (const [change, reason] of [['leaving', undefined], ['missing', undefined], ['gone', goneReasons.lapsed], ['gone', goneReasons.unreadable]] as const) {
 		const {watch, state, ended, pass, tell} = makeWatch();
 		watch.brokeOff(server);
--- a/src/quarantine/common/server-ends.ts
+++ b/src/quarantine/common/server-ends.ts
@@ -1,9 +1,10 @@
 /**
-Finds out whether a server that broke off a call has ended, or only its connection.
+Finds out whether a server crashed when the connection of a call was lost, or whether only the connection failed.
 
-A call that breaks off proves nothing: connections are cut and reset while servers live. A start of a server is over where
-nothing listens at its address any more, or the list of servers says so within the time in which an entry lapses. A server
-that was leaving, or whose entry went while the store was away, ends or goes for other reasons than a call.
+A lost connection proves nothing: connections are cut and reset while servers keep running. A server process counts as crashed if
+nothing listens at its address any more, or if the server registry reports it gone within the time in which an entry expires. A
+server that was leaving, or whose entry disappeared while the store was unavailable, stops or disappears for reasons other than
+a call.
 */
 import type {Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
@@ -12,47 +13,48 @@
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 
-/** What comes of a connection to an address. */
+/** Results of an attempt to connect to an address. */
 export const addressStates = {
-	/** Nothing listens there. */
+	/** Nothing listens at the address. */
 	refused: 'refused',
 	open: 'open',
-	/** No answer in time: nothing is proven. */
+	/** No response in time, which proves nothing. */
 	silent: 'silent',
 } as const;
 export type AddressState = typeof addressStates[keyof typeof addressStates];
 
-/** Tries servers' addresses. */
+/** Checks whether something listens at the address of a server. */
 export type AddressCheck = {
 	/**
 	Opens a connection and closes it again.
-	@param server - whose address.
+	@param server - the server whose address is checked.
+	@returns what the attempt showed.
 	*/
 	tryOnce(server: UpstreamServer): Promise<AddressState>;
 };
 
 /**
-When the address is tried after a call broke off. A process that ends closes its connections and its listening socket in
-one go, so that the first time tells, but for a lost packet or a busy machine. New connections cost the servers something: after
-a reset of all connections there is one for each host and server.
+Delays before the address is checked after a connection was lost. A process that exits closes its connections and its listening
+socket together, so the first check is conclusive unless a packet is lost or the machine is busy. Each check costs
+the server a new connection: after a reset of all connections, one from each host to each server.
 */
 const checkDelaysMs = [30, 200];
-/** How long the list may take to say that the server is gone: longer than its entry takes to lapse. */
+/** How long the registry may take to report the server as gone; longer than its entry takes to expire. */
 const doubtMs = 5000;
 
-/** Reasons for which a server that nobody expected to leave is gone for good. */
+/** Reasons which show that a server process that was not leaving is gone for good. */
 const endReasons = new Set<string>([goneReasons.startedAgain, goneReasons.dropped, goneReasons.addressTaken]);
 
 type Doubt = {readonly limit: Disposable; check: Disposable; isBeingChecked: boolean};
 
-/** What the watch is made of. */
+/** Dependencies of the crash detection. */
 export type ServerEndsOptions = {
 	readonly registry: Pick<ServerRegistry, 'get' | 'isMissing' | 'onDidChange'>;
 	readonly check: AddressCheck;
 	readonly clock: Clock;
 };
 
-/** Watches servers that broke calls off. */
+/** Watches servers to which the connection of a call was lost, and reports those that crashed. */
 export class ServerEnds implements Disposable {
 	static create(options: ServerEndsOptions): ServerEnds {
 		return new ServerEnds(options);
@@ -69,25 +71,25 @@
 		}));
 	}
 
-	/** Fires with the start of a server that has ended. */
+	/** Fires with the id of a server process that crashed. */
 	get onDidEnd() {
 		return this.didEnd.event;
 	}
 
-	/** Fires with a start about which nothing more is found out. */
+	/** Fires with the id of a server process that is no longer watched, whether or not it crashed. */
 	get onDidSettle() {
 		return this.didSettle.event;
 	}
 
-	/** Whether the address of a server in doubt is being tried: in a moment more is known. */
+	/** Whether the address of a suspect server is being checked, so that a result is imminent. */
 	isBeingChecked(serverId: string): boolean {
 		return this.doubts.get(serverId)?.isBeingChecked === true;
 	}
 
 	/**
-	A call to a server broke off.
-	@param server - which.
-	@returns whether it may have ended for the call's sake, so that more is found out.
+	Starts to watch a server after the connection of a call to it was lost.
+	@param server - the server.
+	@returns whether the call may have crashed the server, which is now being found out.
 	*/
 	brokeOff(server: UpstreamServer): boolean {
 		const {serverId} = server;
@@ -95,7 +97,7 @@
 			return true;
 		}
 
-		// What broke off before the address was tried in vain is not put down to what follows.
+		// Calls lost before an earlier, inconclusive check are not blamed for a crash that is found from now on.
 		this.settle(serverId);
 		const listed = this.options.registry.get(serverId);
 		if (!listed || listed.isLeaving || this.options.registry.isMissing(serverId)) {
--- a/src/quarantine/node/address-check.ts
+++ b/src/quarantine/node/address-check.ts
@@ -1,12 +1,12 @@
-/** Tries whether something listens at a server's address. */
+/** Checks over TCP whether a process listens at a server's address. */
 import {connect} from 'node:net';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import {addressStates, type AddressCheck, type AddressState} from '../common/server-ends.js';
 
-/** Hosts are a few milliseconds apart; a refusal that takes longer comes with the second try. */
+/** Hosts are a few milliseconds apart; a refusal that takes longer than this is seen by the second check. */
 const limitMs = 300;
 
-/** Opens a connection and closes it at once, without sending anything. */
+/** Opens a TCP connection and closes it at once, without sending any data. */
 export class ConnectCheck implements AddressCheck {
 	static create(): ConnectCheck {
 		return new ConnectCheck();
--- a/src/quarantine/node/quarantine-news.test.ts
+++ b/src/quarantine/node/quarantine-news.test.ts
@@ -28,7 +28,7 @@
 	};
 }
 
-t.test('what is learned within a moment goes to all peers in one message, and is taken in as it was sent', async t => {
+t.test('updates that arise within a short time are broadcast to all peers in one message, and are received unchanged', async t => {
 	const {clock, learned, heard, mesh} = makeNews();
 	learned.fire(newsOf('a'));
 	learned.fire({...newsOf('b'), trials: {count: 1, ageMs: 0}});
@@ -41,7 +41,7 @@
 	t.same(heard, [[newsOf('a'), {...newsOf('b'), trials: {count: 1, ageMs: 0}}]]);
 });
 
-t.test('a host that connects, for the first time or again, is told everything', async t => {
+t.test('a host that connects, for the first time or again, gets the full record', async t => {
 	const known = Array.from({length: 1100}, (_, index) => ({...newsOf('a'), contentId: String(index).padStart(32, '0')}));
 	const {mesh} = makeNews(known);
 	mesh.connect('late');
--- a/src/quarantine/node/quarantine-news.ts
+++ b/src/quarantine/node/quarantine-news.ts
@@ -1,4 +1,4 @@
-/** Tells peers which servers ended under which requests, and takes in what they tell. */
+/** Sends peers the server crashes recorded for each request content, and merges what they send. */
 import type {Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {PeerMesh} from '../../peers/node/peer-mesh.js';
@@ -6,19 +6,19 @@
 import type {ContentEnds} from '../common/end-record.js';
 import type {Quarantine} from '../common/quarantine.js';
 
-/** News are gathered for this long: a server that ends breaks off all of its calls at once. */
+/** Updates are collected for this long before they are sent, because a server that crashes loses all of its calls at once. */
 const gatherMs = 10;
-/** Contents in one message, about 100 bytes each: it must not hold up what comes behind it on a thin link. */
+/** Maximum number of contents in one message, about 100 bytes each: a longer one would delay the messages behind it on a slow link. */
 const mostInMessage = 500;
 
-/** What the news are made of. */
+/** Dependencies of the quarantine updates. */
 export type QuarantineNewsOptions = {
 	readonly quarantine: Pick<Quarantine, 'onDidLearn' | 'hear' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 	readonly clock: Clock;
 };
 
-/** Keeps the quarantines of all hosts alike: news go to all at once, everything to a host that has just connected. */
+/** Replicates the quarantine between hosts: updates are broadcast to all peers, and a peer that has just connected gets the full record. */
 export class QuarantineNews implements Disposable {
 	static create(options: QuarantineNewsOptions): QuarantineNews {
 		return new QuarantineNews(options);
--- a/test/daemon-process.test.ts
+++ b/test/daemon-process.test.ts
@@ -71,7 +71,7 @@
 		},
 	};
 	const startAgent = async () => {
-		const agent = await start(t, agentSettings, 'The agent takes work.');
+		const agent = await start(t, agentSettings, 'The agent accepts work.');
 		platform.hosts = [{
 			hostId: 'stock-host', role: 'agent', address: '127.0.0.1', port: agent.line.port!, hall: 'hall-a', pool: 'stock', state: 'live',
 		}];
