--- a/src/agent/common/order-fence.test.ts
+++ b/src/agent/common/order-fence.test.ts
@@ -8,7 +8,7 @@
 
 t.test('orders are accepted only with rising epoch and sequence number', async t => {
 	const fence = OrderFence.create();
-	fence.learn(3);
+	fence.raiseEpoch(3);
 	t.type(fence.check(order(2, 9)), 'string', 'sent by an earlier holder');
 	t.equal(fence.check(order(3, 1)), undefined);
 	t.type(fence.check(order(3, 1)), 'string', 'received twice');
@@ -22,8 +22,8 @@
 
 t.test('an order read right after a suspension is refused, the next newer one is accepted', async t => {
 	const fence = OrderFence.create();
-	fence.learn(1);
-	fence.suspect();
+	fence.raiseEpoch(1);
+	fence.processSuspended();
 	t.type(fence.check(order(1, 1)), 'string');
 	t.equal(fence.check(order(1, 2)), undefined);
 	t.type(fence.check(order(1, 3, 0)), 'string', 'no time left');
--- a/src/agent/common/order-fence.ts
+++ b/src/agent/common/order-fence.ts
@@ -10,9 +10,9 @@
 	/** `undefined` until the epoch of the lease was read: a new agent can't know which orders its predecessor accepted. */
 	private epoch: number | undefined;
 	private sequence = 0;
-	private isSuspect = false;
+	private isNextSuspect = false;
 
-	get isKnown(): boolean {
+	get hasEpoch(): boolean {
 		return this.epoch !== undefined;
 	}
 
@@ -20,7 +20,7 @@
 	Raises the fence to the epoch read from the lease.
 	@param epoch - the epoch; orders of earlier ones are refused from now on.
 	*/
-	learn(epoch: number): void {
+	raiseEpoch(epoch: number): void {
 		if (this.epoch === undefined || epoch > this.epoch) {
 			this.epoch = epoch;
 			this.sequence = 0;
@@ -28,8 +28,8 @@
 	}
 
 	/** Called when this process was suspended: an order read now may have been waiting, so the next one is refused, and newer ones pass again. */
-	suspect(): void {
-		this.isSuspect = true;
+	processSuspended(): void {
+		this.isNextSuspect = true;
 	}
 
 	/**
@@ -49,8 +49,8 @@
 
 		this.epoch = epoch;
 		this.sequence = sequence;
-		if (this.isSuspect || timeLeftMs <= 0) {
-			this.isSuspect = false;
+		if (this.isNextSuspect || timeLeftMs <= 0) {
+			this.isNextSuspect = false;
 			return 'the order may have waited while its lease ran out';
 		}
 
--- a/src/agent/common/pause-detector.ts
+++ b/src/agent/common/suspend-detector.ts
@@ -1,22 +1,22 @@
 /** Detects that this process was suspended: what it reads afterwards may be old, however fresh it looks. */
 
 /** Gap between two ticks above which the process counts as having been suspended. */
-export const pauseThresholdMs = 500;
+export const suspendThresholdMs = 500;
 
 /** Watches the ticks of a process, and tracks which connections have been confirmed since it resumed. */
-export class PauseDetector {
-	static create(nowMs: number): PauseDetector {
-		return new PauseDetector(nowMs);
+export class SuspendDetector {
+	static create(nowMs: number): SuspendDetector {
+		return new SuspendDetector(nowMs);
 	}
 
-	private wokeCount = 0;
+	private currentResumeCount = 0;
 	private readonly confirmed = new Map<number, number>();
 
 	private constructor(private lastTickMs: number) {}
 
 	/** How often this process has resumed after a suspension. */
-	get wakeCount(): number {
-		return this.wokeCount;
+	get resumeCount(): number {
+		return this.currentResumeCount;
 	}
 
 	/**
@@ -26,22 +26,22 @@
 	@returns whether the process has just resumed.
 	*/
 	tick(nowMs: number): boolean {
-		const hasSlept = nowMs - this.lastTickMs > pauseThresholdMs;
+		const wasSuspended = nowMs - this.lastTickMs > suspendThresholdMs;
 		this.lastTickMs = nowMs;
-		if (hasSlept) {
-			this.wokeCount++;
+		if (wasSuspended) {
+			this.currentResumeCount++;
 		}
 
-		return hasSlept;
+		return wasSuspended;
 	}
 
 	/**
 	Confirms a connection that was opened, or that answered a ping.
 	@param connectionId - the connection.
-	@param wakeCount - how often the process had resumed when the ping was sent.
+	@param resumeCount - how often the process had resumed when the ping was sent.
 	*/
-	confirm(connectionId: number, wakeCount: number): void {
-		this.confirmed.set(connectionId, Math.max(wakeCount, this.confirmed.get(connectionId) ?? 0));
+	confirm(connectionId: number, resumeCount: number): void {
+		this.confirmed.set(connectionId, Math.max(resumeCount, this.confirmed.get(connectionId) ?? 0));
 	}
 
 	forget(connectionId: number): void {
@@ -53,6 +53,6 @@
 	@param connectionId - the connection.
 	*/
 	isStale(connectionId: number): boolean {
-		return (this.confirmed.get(connectionId) ?? -1) < this.wokeCount;
+		return (this.confirmed.get(connectionId) ?? -1) < this.currentResumeCount;
 	}
 }
--- a/src/agent/common/upstream-driver.ts
+++ b/src/agent/common/upstream-driver.ts
@@ -14,7 +14,7 @@
 	@param units - the number of tokens, or 1 for a chunk of bytes.
 	@param data - the chunk; not changed afterwards.
 	*/
-	piece(units: number, data: Uint8Array): void;
+	chunk(units: number, data: Uint8Array): void;
 	/** Resolves when the sink can accept more chunks. */
 	ready(): Promise<void>;
 };
@@ -23,7 +23,7 @@
 export type UpstreamState = {readonly slots?: number; readonly models: readonly LoadedModel[]};
 
 /** Outcome of an order. */
-export type OrderEnd = {readonly isAccepted: boolean; readonly reason?: string};
+export type OrderResult = {readonly isAccepted: boolean; readonly reason?: string};
 
 /** Calls one upstream. */
 export type UpstreamDriver = {
@@ -43,7 +43,7 @@
 	Forwards an order to the upstream.
 	@param order - the order; its fence has been checked.
 	*/
-	order(order: OrderMessage): Promise<OrderEnd>;
+	order(order: OrderMessage): Promise<OrderResult>;
 	/** Closes the connections to the upstream. */
 	dispose(): void;
 };
--- a/src/agent/node/agent-service.ts
+++ b/src/agent/node/agent-service.ts
@@ -15,20 +15,20 @@
 } from '../../wire/common/messages.js';
 import type {WireConnection} from '../../wire/node/wire-connection.js';
 import type {Endpoint, WireServer} from '../../wire/node/wire-server.js';
-import {PauseDetector} from '../common/pause-detector.js';
+import {SuspendDetector} from '../common/suspend-detector.js';
 import type {UpstreamDriver} from '../common/upstream-driver.js';
 import {CallRunner} from './call-runner.js';
-import {OrderDesk} from './order-desk.js';
+import {OrderHandler} from './order-handler.js';
 
 const tickMs = 20;
 /** Longer than the tick interval of a busy agent, but short enough that work which arrives meanwhile is refused in time. */
 const idleTickMs = 50;
-const stateReadMs = 2000;
-const orphanRetryMs = 1000;
+const stateReadIntervalMs = 2000;
+const orphanRetryDelayMs = 1000;
 /** How long a stopping agent keeps responding after its last work has ended, so that every entry learns that it is leaving. */
-const announceMs = 300;
+const announceLeavingMs = 300;
 /** Maximum time for which a dispatch waits for the settings revision that it was made with. */
-const settingsWaitMs = 300;
+const maxSettingsWaitMs = 300;
 
 export const defaultLimits: GateLimits = {slots: 8, maxQueue: 64};
 
@@ -47,7 +47,7 @@
 	readonly lifecycle: LifecycleManager;
 };
 
-type Waiting = {readonly connectionId: number; readonly dispatch: DispatchMessage; readonly untilMs: number};
+type WaitingDispatch = {readonly connectionId: number; readonly dispatch: DispatchMessage; readonly deadlineMs: number};
 
 /** Admits work from connected entries, runs it on the upstream and executes orders. */
 export class AgentService implements Disposable {
@@ -58,16 +58,16 @@
 	private readonly connections = new Map<number, WireConnection>();
 	private readonly owned = DisposableStore.create();
 	private readonly runner: CallRunner;
-	private readonly pause: PauseDetector;
-	private readonly orders: OrderDesk;
-	private waiting: Waiting[] = [];
+	private readonly suspendDetector: SuspendDetector;
+	private readonly orderHandler: OrderHandler;
+	private waiting: WaitingDispatch[] = [];
 	private nextConnectionId = 1;
 	private engineSlots: number | undefined;
 
 	private constructor(private readonly options: AgentOptions) {
 		const {gate, driver, clock, settings, lifecycle, server} = options;
-		this.pause = PauseDetector.create(clock.nowMs());
-		this.orders = OrderDesk.create(driver, options.table, options.log);
+		this.suspendDetector = SuspendDetector.create(clock.nowMs());
+		this.orderHandler = OrderHandler.create(driver, options.table, options.log);
 		this.runner = CallRunner.create(gate, driver, clock, actions => {
 			this.perform(actions);
 		});
@@ -83,7 +83,7 @@
 		this.owned.add(setRepeating(clock, () => gate.isIdle ? idleTickMs : tickMs, () => {
 			this.tick();
 		}));
-		this.owned.add(setRepeating(clock, () => stateReadMs, async () => this.readState()));
+		this.owned.add(setRepeating(clock, () => stateReadIntervalMs, async () => this.readState()));
 	}
 
 	/**
@@ -96,9 +96,9 @@
 		await this.options.sync.poll();
 		await this.readState();
 		this.applySettings();
-		const bound = await this.options.server.listen(endpoint);
-		this.options.log.info('The agent accepts work.', {upstream: this.options.identity.upstreamId, port: bound.port});
-		return bound;
+		const boundEndpoint = await this.options.server.listen(endpoint);
+		this.options.log.info('The agent accepts work.', {upstream: this.options.identity.upstreamId, port: boundEndpoint.port});
+		return boundEndpoint;
 	}
 
 	dispose(): void {
@@ -108,16 +108,16 @@
 	private accept(connection: WireConnection): void {
 		const connectionId = this.nextConnectionId++;
 		this.connections.set(connectionId, connection);
-		this.pause.confirm(connectionId, this.pause.wakeCount);
+		this.suspendDetector.confirm(connectionId, this.suspendDetector.resumeCount);
 		connection.onDidClose(() => {
 			this.connections.delete(connectionId);
-			this.pause.forget(connectionId);
+			this.suspendDetector.forget(connectionId);
 			this.perform(this.options.gate.connectionLost(connectionId, this.now()));
 		});
 		// The sync is attached first, so that settings in a message are applied before the message is handled.
 		this.options.sync.attach(connection);
 		connection.onDidReceive(message => {
-			this.checkPause();
+			this.checkSuspension();
 			this.receive(connectionId, connection, message);
 		});
 		this.report(connection);
@@ -155,7 +155,7 @@
 			}
 
 			case 'pong': {
-				this.pause.confirm(connectionId, message.nonce);
+				this.suspendDetector.confirm(connectionId, message.nonce);
 				break;
 			}
 
@@ -165,12 +165,12 @@
 			}
 
 			case 'order': {
-				void this.carryOut(connection, message);
+				void this.executeOrder(connection, message);
 				break;
 			}
 
 			case 'drain': {
-				this.leaveByRequest(message.incarnation);
+				this.handleDrainRequest(message.incarnation);
 				break;
 			}
 
@@ -183,18 +183,18 @@
 	/** Admits a dispatch; one made with newer settings than those in force here waits for them. */
 	private admit(connectionId: number, dispatch: DispatchMessage): void {
 		if (dispatch.settingsRevision > this.revision) {
-			this.waiting.push({connectionId, dispatch, untilMs: this.now() + Math.min(settingsWaitMs, dispatch.startWithinMs)});
+			this.waiting.push({connectionId, dispatch, deadlineMs: this.now() + Math.min(maxSettingsWaitMs, dispatch.startWithinMs)});
 		} else {
-			this.perform(this.options.gate.dispatch(connectionId, dispatch, this.pause.isStale(connectionId), this.now()));
+			this.perform(this.options.gate.dispatch(connectionId, dispatch, this.suspendDetector.isStale(connectionId), this.now()));
 		}
 	}
 
 	private admitWaiting(): void {
 		const {waiting} = this;
 		this.waiting = [];
-		for (const {connectionId, dispatch, untilMs} of waiting) {
+		for (const {connectionId, dispatch, deadlineMs} of waiting) {
 			if (dispatch.settingsRevision > this.revision) {
-				this.waiting.push({connectionId, dispatch, untilMs});
+				this.waiting.push({connectionId, dispatch, deadlineMs});
 			} else {
 				this.admit(connectionId, dispatch);
 			}
@@ -202,7 +202,7 @@
 	}
 
 	/** Refuses a dispatch as stale. Returns false, so that a filter drops it. */
-	private refuseWaiting({connectionId, dispatch}: Waiting): boolean {
+	private refuseWaiting({connectionId, dispatch}: WaitingDispatch): boolean {
 		this.perform(this.options.gate.dispatch(connectionId, dispatch, true, this.now()));
 		return false;
 	}
@@ -234,18 +234,18 @@
 	}
 
 	private tick(): void {
-		this.checkPause();
+		this.checkSuspension();
 		const nowMs = this.now();
-		this.waiting = this.waiting.filter(item => nowMs < item.untilMs || this.refuseWaiting(item));
+		this.waiting = this.waiting.filter(item => nowMs < item.deadlineMs || this.refuseWaiting(item));
 		this.perform(this.options.gate.tick(nowMs));
 	}
 
-	private checkPause(): void {
-		if (this.pause.tick(this.now())) {
+	private checkSuspension(): void {
+		if (this.suspendDetector.tick(this.now())) {
 			this.options.log.warn('This process was suspended; connections are confirmed before work is accepted from them.');
-			this.orders.suspect();
+			this.orderHandler.processSuspended();
 			for (const connection of this.connections.values()) {
-				connection.send({type: 'ping', nonce: this.pause.wakeCount, settingsRevision: this.revision});
+				connection.send({type: 'ping', nonce: this.suspendDetector.resumeCount, settingsRevision: this.revision});
 			}
 		}
 	}
@@ -268,7 +268,7 @@
 		}
 	}
 
-	private leaveByRequest(incarnation: string): void {
+	private handleDrainRequest(incarnation: string): void {
 		if (incarnation === this.options.identity.incarnation) {
 			this.leave();
 		}
@@ -280,14 +280,14 @@
 			await this.wait(tickMs);
 		}
 
-		await this.wait(announceMs);
+		await this.wait(announceLeavingMs);
 	}
 
-	private async carryOut(connection: WireConnection, order: OrderMessage): Promise<void> {
-		const end = await this.orders.carryOut(order);
+	private async executeOrder(connection: WireConnection, order: OrderMessage): Promise<void> {
+		const result = await this.orderHandler.execute(order);
 		await this.readState();
 		connection.send({
-			type: 'orderReply', orderId: order.orderId, ...end, models: [...this.options.gate.load.models],
+			type: 'orderReply', orderId: order.orderId, ...result, models: [...this.options.gate.load.models],
 		});
 	}
 
@@ -298,13 +298,13 @@
 				return;
 			} catch (error) {
 				this.options.log.warn('The calls that run on the upstream could not be listed or canceled; retrying.', {reason: messageOf(error)});
-				await this.wait(orphanRetryMs);
+				await this.wait(orphanRetryDelayMs);
 			}
 		}
 	}
 
 	private async readState(): Promise<void> {
-		await this.orders.learnFence();
+		await this.orderHandler.readLeaseEpoch();
 		const state = await this.options.driver.readState();
 		if (state) {
 			this.engineSlots = state.slots;
--- a/src/agent/node/call-runner.ts
+++ b/src/agent/node/call-runner.ts
@@ -10,7 +10,7 @@
 	readonly controller: AbortController;
 	isOpen: boolean;
 	/** Resumes the reader that waits for credit. */
-	wake: (() => void) | undefined;
+	resumeReader: (() => void) | undefined;
 };
 
 /** Manages the calls in flight on the upstream. */
@@ -36,7 +36,7 @@
 	) {}
 
 	start(dispatch: DispatchMessage): void {
-		const call: Call = {controller: new AbortController(), isOpen: true, wake: undefined};
+		const call: Call = {controller: new AbortController(), isOpen: true, resumeReader: undefined};
 		this.calls.set(dispatch.dispatchId, call);
 		void this.run(dispatch, call);
 	}
@@ -44,7 +44,7 @@
 	abort(dispatchId: string): void {
 		const call = this.calls.get(dispatchId);
 		call?.controller.abort();
-		call?.wake?.();
+		call?.resumeReader?.();
 	}
 
 	/** Resumes or pauses reading the response of the upstream. */
@@ -53,7 +53,7 @@
 		if (call) {
 			call.isOpen = isOpen;
 			if (isOpen) {
-				call.wake?.();
+				call.resumeReader?.();
 			}
 		}
 	}
@@ -76,13 +76,13 @@
 			started: http => {
 				this.perform(this.gate.callStarted(dispatchId, http, this.clock.nowMs()));
 			},
-			piece: (units, data) => {
+			chunk: (units, data) => {
 				this.perform(this.gate.callPiece(dispatchId, units, data, this.clock.nowMs()));
 			},
 			async ready() {
 				while (!call.isOpen && !call.controller.signal.aborted) {
 					await new Promise<void>(resolve => {
-						call.wake = resolve;
+						call.resumeReader = resolve;
 					});
 				}
 			},
--- a/src/agent/node/engine-driver.ts
+++ b/src/agent/node/engine-driver.ts
@@ -5,9 +5,9 @@
 import type {CallEnd} from '../../request/common/gate-actions.js';
 import type {DispatchMessage, OrderMessage} from '../../wire/common/messages.js';
 import type {
-	CallSink, OrderEnd, UpstreamDriver, UpstreamState,
+	CallSink, OrderResult, UpstreamDriver, UpstreamState,
 } from '../common/upstream-driver.js';
-import {endOfError} from './http-errors.js';
+import {callEndOfError} from './http-errors.js';
 
 const callTimeoutMs = 2000;
 const statusOk = 200;
@@ -28,7 +28,7 @@
 class TokenReader {
 	count: number;
 	isEnded = false;
-	private rest = '';
+	private partialLine = '';
 	private readonly decoder = new TextDecoder();
 	private readonly encoder = new TextEncoder();
 
@@ -38,8 +38,8 @@
 
 	/** Forwards the tokens of complete lines to the sink. Returns a description of the first problem in the stream, if any. */
 	read(bytes: Uint8Array, sink: CallSink): string | undefined {
-		const lines = `${this.rest}${this.decoder.decode(bytes, {stream: true})}`.split('\n');
-		this.rest = lines.pop() ?? '';
+		const lines = `${this.partialLine}${this.decoder.decode(bytes, {stream: true})}`.split('\n');
+		this.partialLine = lines.pop() ?? '';
 		let text = '';
 		let units = 0;
 		let problem: string | undefined;
@@ -64,7 +64,7 @@
 
 		if (units > 0) {
 			this.count += units;
-			sink.piece(units, this.encoder.encode(text));
+			sink.chunk(units, this.encoder.encode(text));
 		}
 
 		return problem;
@@ -120,7 +120,7 @@
 			sink.started();
 			return await readTokens(response.body, call.resumeOffset, sink);
 		} catch (error) {
-			return endOfError(error, dispatch.isRepeatable);
+			return callEndOfError(error, dispatch.isRepeatable);
 		}
 	}
 
@@ -143,7 +143,7 @@
 		}));
 	}
 
-	async order(order: OrderMessage): Promise<OrderEnd> {
+	async order(order: OrderMessage): Promise<OrderResult> {
 		const {epoch, sequence, kind, model, adapter, version} = order;
 		try {
 			const response = await this.pool.request({
@@ -155,13 +155,13 @@
 				}),
 				signal: AbortSignal.timeout(Math.max(1, order.timeLeftMs)),
 			});
-			const answer = refusalSchema.safeParse(await response.body.json()).data;
+			const refusal = refusalSchema.safeParse(await response.body.json()).data;
 			if (response.statusCode === statusOk) {
 				return {isAccepted: true};
 			}
 
-			const what = response.statusCode === statusConflict ? 'refused' : `status ${response.statusCode}`;
-			return {isAccepted: false, reason: `${what}: ${answer?.message ?? ''}`};
+			const outcome = response.statusCode === statusConflict ? 'refused' : `status ${response.statusCode}`;
+			return {isAccepted: false, reason: `${outcome}: ${refusal?.message ?? ''}`};
 		} catch (error) {
 			return {isAccepted: false, reason: messageOf(error)};
 		}
--- a/src/agent/node/http-driver.ts
+++ b/src/agent/node/http-driver.ts
@@ -4,16 +4,16 @@
 import type {CallEnd} from '../../request/common/gate-actions.js';
 import type {DispatchMessage, Header} from '../../wire/common/messages.js';
 import type {
-	CallSink, OrderEnd, UpstreamDriver, UpstreamState,
+	CallSink, OrderResult, UpstreamDriver, UpstreamState,
 } from '../common/upstream-driver.js';
-import {endOfError} from './http-errors.js';
+import {callEndOfError} from './http-errors.js';
 
 const callTimeoutMs = 2000;
 const statusOk = 200;
-const firstErrorStatus = 400;
+const minErrorStatus = 400;
 
 /** Hop-by-hop headers: they concern one connection, not the request or response, and are not forwarded. */
-const connectionHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-authenticate', 'proxy-authorization']);
+const hopByHopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-authenticate', 'proxy-authorization']);
 
 const stateSchema = z.object({slots: z.number()});
 
@@ -34,7 +34,7 @@
 		try {
 			const response = await this.pool.request({...requestOf(dispatch), signal});
 			const {statusCode: status} = response;
-			if (call.kind === 'run' && status >= firstErrorStatus) {
+			if (call.kind === 'run' && status >= minErrorStatus) {
 				await response.body.dump();
 				return {state: 'failed', reason: `status ${status}`};
 			}
@@ -43,14 +43,14 @@
 			sink.started(call.kind === 'http' ? {status, headers: headersOf(response)} : undefined);
 			for await (const bytes of response.body) {
 				if (bytes instanceof Uint8Array) {
-					sink.piece(1, bytes);
+					sink.chunk(1, bytes);
 					await sink.ready();
 				}
 			}
 
 			return {state: 'completed'};
 		} catch (error) {
-			return endOfError(error, dispatch.isRepeatable);
+			return callEndOfError(error, dispatch.isRepeatable);
 		}
 	}
 
@@ -68,7 +68,7 @@
 		// These upstreams have no API for it: a call ends with its connection, which was closed when the agent ended.
 	}
 
-	async order(): Promise<OrderEnd> {
+	async order(): Promise<OrderResult> {
 		return {isAccepted: false, reason: 'this upstream takes no orders'};
 	}
 
@@ -80,7 +80,7 @@
 function requestOf(dispatch: DispatchMessage): Dispatcher.RequestOptions {
 	const {call, requestId} = dispatch;
 	if (call.kind === 'http') {
-		const headers = call.headers.filter(header => !connectionHeaders.has(header.name));
+		const headers = call.headers.filter(header => !hopByHopHeaders.has(header.name));
 		return {
 
 			method: call.method,
@@ -101,6 +101,6 @@
 function headersOf(response: Dispatcher.ResponseData): Header[] {
 	return Object.entries(response.headers).flatMap(([name, value]) => {
 		const values = Array.isArray(value) ? value : [value ?? ''];
-		return connectionHeaders.has(name) ? [] : values.map(item => ({name, value: item}));
+		return hopByHopHeaders.has(name) ? [] : values.map(item => ({name, value: item}));
 	});
 }
--- a/src/agent/node/http-errors.ts
+++ b/src/agent/node/http-errors.ts
@@ -23,7 +23,7 @@
 @param isRepeatable - whether the work may run again.
 @returns `notRun` only if it is proven that the call did not run; otherwise `failed`, or `unknown` for work that may not run again.
 */
-export function endOfError(error: unknown, isRepeatable: boolean): CallEnd {
+export function callEndOfError(error: unknown, isRepeatable: boolean): CallEnd {
 	const reason = messageOf(error);
 	if (notWrittenCodes.has(codeOf(error))) {
 		return {state: 'notRun', reason};
--- a/src/agent/node/order-desk.ts
+++ b/src/agent/node/order-handler.ts
@@ -4,12 +4,12 @@
 import type {TableService} from '../../store/common/table-service.js';
 import type {OrderMessage} from '../../wire/common/messages.js';
 import {OrderFence} from '../common/order-fence.js';
-import type {OrderEnd, UpstreamDriver} from '../common/upstream-driver.js';
+import type {OrderResult, UpstreamDriver} from '../common/upstream-driver.js';
 
 /** Executes or refuses the orders for one upstream. */
-export class OrderDesk {
-	static create(driver: UpstreamDriver, table: TableService, log: Logger): OrderDesk {
-		return new OrderDesk(driver, table, log);
+export class OrderHandler {
+	static create(driver: UpstreamDriver, table: TableService, log: Logger): OrderHandler {
+		return new OrderHandler(driver, table, log);
 	}
 
 	private readonly fence = OrderFence.create();
@@ -17,21 +17,21 @@
 	private constructor(private readonly driver: UpstreamDriver, private readonly table: TableService, private readonly log: Logger) {}
 
 	/** Reads the epoch of the lease, if it isn't known yet: until then a new agent refuses all orders. */
-	async learnFence(): Promise<void> {
-		if (this.fence.isKnown) {
+	async readLeaseEpoch(): Promise<void> {
+		if (this.fence.hasEpoch) {
 			return;
 		}
 
 		const rows = await this.table.read([leaseKey]);
 		if (rows.ok) {
 			const [row] = rows.value;
-			this.fence.learn(row ? parseLease(row)?.epoch ?? 0 : 0);
+			this.fence.raiseEpoch(row ? parseLease(row)?.epoch ?? 0 : 0);
 		}
 	}
 
 	/** Called when this process was suspended: orders that it reads now may have been waiting. */
-	suspect(): void {
-		this.fence.suspect();
+	processSuspended(): void {
+		this.fence.processSuspended();
 	}
 
 	/**
@@ -39,12 +39,12 @@
 	@param order - the order.
 	@returns the outcome.
 	*/
-	async carryOut(order: OrderMessage): Promise<OrderEnd> {
+	async execute(order: OrderMessage): Promise<OrderResult> {
 		const reason = this.fence.check(order);
-		const end = reason === undefined ? await this.driver.order(order) : {isAccepted: false, reason};
+		const result = reason === undefined ? await this.driver.order(order) : {isAccepted: false, reason};
 		this.log.info('An order was carried out or refused.', {
-			kind: order.kind, model: order.model, epoch: order.epoch, sequence: order.sequence, isAccepted: end.isAccepted, reason: end.reason,
+			kind: order.kind, model: order.model, epoch: order.epoch, sequence: order.sequence, isAccepted: result.isAccepted, reason: result.reason,
 		});
-		return end;
+		return result;
 	}
 }
--- a/src/cli/common/quarantine-report.test.ts
+++ b/src/cli/common/quarantine-report.test.ts
@@ -10,7 +10,7 @@
 });
 
 t.test('tries, ends and refusals of one content are gathered over all hosts, each end once', async t => {
-	const {brokeOff, ended, barred} = quarantineLogMessages;
+	const {connectionLost: brokeOff, serverCrashed: ended, barred} = quarantineLogMessages;
 	const {lines} = readLogLines([
 		line('a', brokeOff, {request: 'r1', content: 'c1', server: 's1'}),
 		line('a', brokeOff, {request: 'other', content: 'c2', server: 's1'}),
--- a/src/cli/common/quarantine-report.ts
+++ b/src/cli/common/quarantine-report.ts
@@ -21,7 +21,7 @@
 
 const stateOfMessage = new Map<string, ContentState>([
 	[quarantineLogMessages.barred, contentStates.barred],
-	[quarantineLogMessages.tried, contentStates.barred],
+	[quarantineLogMessages.trial, contentStates.barred],
 	[quarantineLogMessages.lifted, contentStates.lifted],
 ]);
 
@@ -49,13 +49,13 @@
 function takeLine(report: ContentReport, line: LogLine): void {
 	report.state = stateOfMessage.get(line.message) ?? report.state;
 	switch (line.message) {
-		case quarantineLogMessages.ended: {
+		case quarantineLogMessages.serverCrashed: {
 			addOnce(report.servers, textOf(line, 'server'));
 
 			break;
 		}
 
-		case quarantineLogMessages.brokeOff: {
+		case quarantineLogMessages.connectionLost: {
 			addOnce(report.requests, textOf(line, 'request'));
 
 			break;
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -31,9 +31,9 @@
 import {BatchPool} from '../../preparation/node/batch-pool.js';
 import {Preparer} from '../../preparation/node/preparer.js';
 import {Quarantine, quarantineToken} from '../../quarantine/common/quarantine.js';
-import {ServerEnds} from '../../quarantine/common/server-ends.js';
-import {ConnectCheck} from '../../quarantine/node/address-check.js';
-import {QuarantineNews} from '../../quarantine/node/quarantine-news.js';
+import {CrashDetector} from '../../quarantine/common/crash-detector.js';
+import {TcpAddressCheck} from '../../quarantine/node/tcp-address-check.js';
+import {QuarantineUpdates} from '../../quarantine/node/quarantine-updates.js';
 import {RequestRunner} from '../../request/node/request-runner.js';
 import {EngineLoads} from '../../routing/common/engine-loads.js';
 import {roomOf} from '../../routing/common/host-room.js';
@@ -116,7 +116,7 @@
 /** Which requests end the servers that run them. */
 function registerQuarantine({lifecycle, clock, metrics, logOf, register, get}: Composition): void {
 	register(quarantineToken, () => lifecycle.register(Quarantine.create({
-		serverEnds: lifecycle.register(ServerEnds.create({registry: get(serverRegistryToken), check: ConnectCheck.create(), clock})),
+		crashDetector: lifecycle.register(CrashDetector.create({registry: get(serverRegistryToken), check: TcpAddressCheck.create(), clock})),
 		clock,
 		log: logOf('quarantine'),
 		metrics,
@@ -256,12 +256,12 @@
 			get(serverRegistryToken).hallReturned(hall, coldMsOf, revision, clock.nowMs());
 		}
 	});
-	get(quarantineToken).onDidHearOfEnd(serverId => {
+	get(quarantineToken).onDidServerCrash(serverId => {
 		get(routerToken).serverEnded(serverId, clock.nowMs());
 	});
 	lifecycle.register(LeavingNews.create({leaving: get(leavingServersToken), mesh: get(peerMeshToken)}));
 	lifecycle.register(LimitNews.create({limits: get(serverLimitsToken), mesh: get(peerMeshToken), clock}));
-	lifecycle.register(QuarantineNews.create({quarantine: get(quarantineToken), mesh: get(peerMeshToken), clock}));
+	lifecycle.register(QuarantineUpdates.create({quarantine: get(quarantineToken), mesh: get(peerMeshToken), clock}));
 	lifecycle.register(setRepeating(clock, () => sweepMs, () => {
 		get(serverRegistryToken).tick(clock.nowMs());
 	}));
--- a/src/daemon/node/compose-entry.ts
+++ b/src/daemon/node/compose-entry.ts
@@ -16,7 +16,7 @@
 import {MemberTable} from '../../membership/common/member-table.js';
 import {hostListToken} from '../../store/common/host-list.js';
 import {tableServiceToken} from '../../store/common/table-service.js';
-import {LeaseKeeper} from '../../placement/common/lease.js';
+import {PlacementLease} from '../../placement/common/lease.js';
 import {PlacementService} from '../../placement/common/placement-service.js';
 import {ClaimStore} from '../../request/common/claim-store.js';
 import {ClaimSweeper} from '../../request/common/claim-sweeper.js';
@@ -92,7 +92,7 @@
 	register(placementToken, () => {
 		const links = parts.resolve(linksToken);
 		const placement = lifecycle.register(PlacementService.create({
-			lease: LeaseKeeper.create(parts.resolve(tableServiceToken), parts.resolve(clockToken), parts.resolve(identityToken).incarnation),
+			lease: PlacementLease.create(parts.resolve(tableServiceToken), parts.resolve(clockToken), parts.resolve(identityToken).incarnation),
 			tree: parts.resolve(settingsServiceToken).tree,
 			fleet: LinkedOrderFleet.create(links, parts.resolve(membersToken), parts.resolve(routerToken), parts.resolve(clockToken)),
 			clock: parts.resolve(clockToken),
@@ -108,7 +108,7 @@
 		}));
 		lifecycle.register(links.onDidReceive(({message}) => {
 			if (message.type === 'orderReply') {
-				placement.replied(message);
+				placement.handleReply(message);
 			}
 		}));
 		return placement;
--- a/src/placement/common/lease.test.ts
+++ b/src/placement/common/lease.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
 import {MemoryTable} from '../../standins/common/memory-table.js';
-import {LeaseKeeper, leaseMs} from './lease.js';
+import {PlacementLease, leaseMs} from './lease.js';
 
 const holderCount = 3;
 const index = fc.nat(holderCount - 1);
@@ -15,8 +15,8 @@
 	byMs: fc.integer({min: 1, max: leaseMs}),
 });
 
-function makeHolders(clock: ManualClock, table: MemoryTable): LeaseKeeper[] {
-	return Array.from({length: holderCount}, (_, number) => LeaseKeeper.create(table, clock, `h${number}`));
+function makeHolders(clock: ManualClock, table: MemoryTable): PlacementLease[] {
+	return Array.from({length: holderCount}, (_, number) => PlacementLease.create(table, clock, `h${number}`));
 }
 
 async function run(steps: readonly Step[]): Promise<void> {
@@ -61,7 +61,7 @@
 			}
 		}
 
-		const epochs = holders.flatMap(keeper => keeper.epoch ?? []);
+		const epochs = holders.flatMap(lease => lease.epoch ?? []);
 		if (epochs.length > 1) {
 			throw new Error(`${epochs.length} holders at once, epochs ${epochs.join(', ')}`);
 		}
--- a/src/placement/common/lease.ts
+++ b/src/placement/common/lease.ts
@@ -12,9 +12,9 @@
 /** How long a lease is valid without being renewed. */
 export const leaseMs = 15_000;
 /** Subtracted from the lease time on the holder's side, as clocks run at different speeds. */
-const marginMs = 2000;
+const clockMarginMs = 2000;
 /** Holder of a lease that was released. */
-const nobody = 'nobody';
+const noHolder = 'nobody';
 
 const leaseSchema = z.strictObject({holder: z.string(), epoch: z.number().int().positive(), beat: z.number().int()});
 type LeaseRow = z.infer<typeof leaseSchema>;
@@ -33,9 +33,9 @@
 }
 
 /** Acquires, renews and releases the lease for one process. */
-export class LeaseKeeper {
-	static create(table: TableService, clock: Clock, holder: string): LeaseKeeper {
-		return new LeaseKeeper(table, clock, holder);
+export class PlacementLease {
+	static create(table: TableService, clock: Clock, holder: string): PlacementLease {
+		return new PlacementLease(table, clock, holder);
 	}
 
 	private heldUntilMs = -Infinity;
@@ -68,7 +68,7 @@
 			await this.write({holder: this.holder, epoch: 1, beat: 0}, row?.version ?? 0);
 		} else if (lease.holder === this.holder) {
 			await this.write({...lease, beat: lease.beat + 1}, row.version);
-		} else if (lease.holder === nobody || this.hasStoodStill(row.version)) {
+		} else if (lease.holder === noHolder || this.hasExpired(row.version)) {
 			await this.write({holder: this.holder, epoch: lease.epoch + 1, beat: 0}, row.version);
 		}
 	}
@@ -82,12 +82,12 @@
 		if (row && lease?.holder === this.holder) {
 			await this.table.transact({
 				conditions: [{key: leaseKey, version: row.version}],
-				writes: [{key: leaseKey, value: JSON.stringify({holder: nobody, epoch: lease.epoch, beat: 0})}],
+				writes: [{key: leaseKey, value: JSON.stringify({holder: noHolder, epoch: lease.epoch, beat: 0})}],
 			});
 		}
 	}
 
-	private hasStoodStill(version: number): boolean {
+	private hasExpired(version: number): boolean {
 		const nowMs = this.clock.nowMs();
 		if (version !== this.seenVersion) {
 			this.seenVersion = version;
@@ -100,13 +100,13 @@
 	private async write(lease: LeaseRow, version: number): Promise<void> {
 		// The lease time is counted from before the call, as the row may be written at any moment during it.
 		const sentMs = this.clock.nowMs();
-		const done = await this.table.transact({
+		const result = await this.table.transact({
 			conditions: [{key: leaseKey, version}],
 			writes: [{key: leaseKey, value: JSON.stringify(lease)}],
 		});
-		if (done.ok) {
+		if (result.ok) {
 			this.heldEpoch = lease.epoch;
-			this.heldUntilMs = sentMs + leaseMs - marginMs;
+			this.heldUntilMs = sentMs + leaseMs - clockMarginMs;
 		}
 		// Without a response the lease does not count as held: the next read shows whether the row was written.
 	}
--- a/src/placement/common/order-planner.ts
+++ b/src/placement/common/order-planner.ts
@@ -14,10 +14,10 @@
 	readonly adapter?: string;
 };
 
-type Wanted = NonNullable<PoolNode['models']>[number];
+type WantedModel = NonNullable<PoolNode['models']>[number];
 
 /** Maximum share of a pool's engines that change at once, so that the others go on serving. */
-const changingShare = 0.25;
+const maxChangingShare = 0.25;
 
 /**
 Plans the next orders of a pool.
@@ -26,13 +26,13 @@
 @param busy - ids of the engines whose last order is still running.
 @returns at most one order for each engine, for no more engines than may change at once.
 */
-export function planOrders(wanted: readonly Wanted[], engines: readonly EngineView[], busy: ReadonlySet<string>): OrderStep[] {
-	const most = Math.max(1, Math.floor(engines.length * changingShare));
+export function planOrders(wanted: readonly WantedModel[], engines: readonly EngineView[], busy: ReadonlySet<string>): OrderStep[] {
+	const maxChanging = Math.max(1, Math.floor(engines.length * maxChangingShare));
 	const steps: OrderStep[] = [];
 	let changing = engines.filter(engine => busy.has(engine.upstreamId)).length;
 	for (const engine of engines) {
 		const step = busy.has(engine.upstreamId) ? undefined : nextStep(wanted, engine);
-		if (step && changing < most) {
+		if (step && changing < maxChanging) {
 			steps.push(step);
 			changing++;
 		}
@@ -42,7 +42,7 @@
 }
 
 /** Plans loads before unloads, so that an engine never serves less than it could. */
-function nextStep(wanted: readonly Wanted[], {upstreamId, models}: EngineView): OrderStep | undefined {
+function nextStep(wanted: readonly WantedModel[], {upstreamId, models}: EngineView): OrderStep | undefined {
 	for (const {model, version, adapters} of wanted) {
 		const loaded = models.find(item => item.model === model);
 		if (loaded?.version !== version) {
@@ -59,10 +59,10 @@
 		}
 	}
 
-	return extraStep(wanted, upstreamId, models);
+	return unloadStep(wanted, upstreamId, models);
 }
 
-function extraStep(wanted: readonly Wanted[], upstreamId: string, models: readonly LoadedModel[]): OrderStep | undefined {
+function unloadStep(wanted: readonly WantedModel[], upstreamId: string, models: readonly LoadedModel[]): OrderStep | undefined {
 	for (const {model, version, adapters} of models) {
 		const want = wanted.find(item => item.model === model);
 		if (!want) {
--- a/src/placement/common/placement-service.ts
+++ b/src/placement/common/placement-service.ts
@@ -5,14 +5,14 @@
 import {jitter, type Random} from '../../base/common/random.js';
 import type {SettingsTree} from '../../settings/common/settings-tree.js';
 import type {OrderMessage, OrderReply} from '../../wire/common/messages.js';
-import type {LeaseKeeper} from './lease.js';
+import type {PlacementLease} from './lease.js';
 import {planOrders, type EngineView, type OrderStep} from './order-planner.js';
 
 const tickMs = 3000;
 /** Maximum duration of one order. No order is sent if the lease is held for less than this. */
-export const longestOrderMs = 8000;
+export const maxOrderMs = 8000;
 /** Maximum number of concurrent loads from the weight store, over all pools. */
-const mostLoads = 2;
+const maxConcurrentLoads = 2;
 
 /** The engines that placement sends orders to. */
 export type OrderFleet = {
@@ -24,7 +24,7 @@
 
 /** Dependencies of the placement service. */
 export type PlacementOptions = {
-	readonly lease: LeaseKeeper;
+	readonly lease: PlacementLease;
 	readonly tree: SettingsTree;
 	readonly fleet: OrderFleet;
 	readonly clock: Clock;
@@ -33,7 +33,7 @@
 	readonly newOrderId: () => string;
 };
 
-type Pending = {readonly step: OrderStep; readonly untilMs: number};
+type PendingOrder = {readonly step: OrderStep; readonly expiresAtMs: number};
 
 /** Sends fenced orders while it holds the lease; without the lease, engines go on serving the models that they have loaded. */
 export class PlacementService implements Disposable {
@@ -42,7 +42,7 @@
 	}
 
 	private readonly owned = DisposableStore.create();
-	private readonly pending = new Map<string, Pending>();
+	private readonly pending = new Map<string, PendingOrder>();
 	private epoch = 0;
 	private sequence = 0;
 
@@ -59,14 +59,14 @@
 	/** Renews the lease and sends the orders that are due. */
 	async tick(): Promise<void> {
 		await this.options.lease.tick();
-		this.giveOrders();
+		this.sendOrders();
 	}
 
 	/**
 	Handles an agent's reply to an order.
 	@param reply - the reply.
 	*/
-	replied(reply: OrderReply): void {
+	handleReply(reply: OrderReply): void {
 		const pending = this.pending.get(reply.orderId);
 		this.pending.delete(reply.orderId);
 		if (pending && !reply.isAccepted) {
@@ -84,7 +84,7 @@
 		this.owned.dispose();
 	}
 
-	private giveOrders(): void {
+	private sendOrders(): void {
 		const {lease, tree, fleet, clock, log} = this.options;
 		const {epoch} = lease;
 		this.dropOverdue();
@@ -104,35 +104,35 @@
 			const wanted = tree.pool(pool)?.models;
 			const busy = new Set(Array.from(this.pending.values(), item => item.step.upstreamId));
 			for (const step of wanted ? planOrders(wanted, fleet.engines(pool), busy) : []) {
-				this.give(step, epoch, clock.nowMs());
+				this.sendOrder(step, epoch, clock.nowMs());
 			}
 		}
 	}
 
-	private give(step: OrderStep, epoch: number, nowMs: number): void {
+	private sendOrder(step: OrderStep, epoch: number, nowMs: number): void {
 		const {lease, fleet, newOrderId} = this.options;
 		const loads = [...this.pending.values()].filter(item => item.step.kind === 'load').length;
-		const isOverRate = step.kind === 'load' && loads >= mostLoads;
+		const isAtLoadLimit = step.kind === 'load' && loads >= maxConcurrentLoads;
 		// An order must finish while the lease is still valid, because not every engine checks fences.
-		if (isOverRate || lease.remainingMs < longestOrderMs) {
+		if (isAtLoadLimit || lease.remainingMs < maxOrderMs) {
 			return;
 		}
 
 		this.sequence++;
 		const orderId = newOrderId();
-		const {upstreamId, ...what} = step;
+		const {upstreamId, ...command} = step;
 		const isSent = fleet.send(upstreamId, {
-			type: 'order', orderId, epoch, sequence: this.sequence, timeLeftMs: longestOrderMs, ...what,
+			type: 'order', orderId, epoch, sequence: this.sequence, timeLeftMs: maxOrderMs, ...command,
 		});
 		if (isSent) {
-			this.pending.set(orderId, {step, untilMs: nowMs + (2 * longestOrderMs)});
+			this.pending.set(orderId, {step, expiresAtMs: nowMs + (2 * maxOrderMs)});
 		}
 	}
 
 	/** Drops orders that got no reply in time; the engine's own report shows what became of them. */
 	private dropOverdue(): void {
-		for (const [orderId, {untilMs}] of this.pending) {
-			if (this.options.clock.nowMs() >= untilMs) {
+		for (const [orderId, {expiresAtMs}] of this.pending) {
+			if (this.options.clock.nowMs() >= expiresAtMs) {
 				this.pending.delete(orderId);
 			}
 		}
--- a/src/preparation/common/batch-machine.test.ts
+++ b/src/preparation/common/batch-machine.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
-import {cautions, type Caution} from '../../quarantine/common/quarantine.js';
+import {pieceHandlings, type PieceHandling} from '../../quarantine/common/quarantine.js';
 import type {BatchCall} from './batch-call.js';
 import {BatchMachine} from './batch-machine.js';
 import {pieceFailures, type BatchWork, type PieceOutcome} from './work.js';
@@ -229,8 +229,8 @@
 });
 
 t.test('pieces of a request that may end upstreams go alone, wait, or go nowhere; all others go as ever', async t => {
-	const cautionsOf = new Map<string, Caution>([['alone', cautions.alone], ['wait', cautions.wait], ['barred', cautions.barred]]);
-	const machine = BatchMachine.create(contentId => cautionsOf.get(contentId) ?? cautions.none);
+	const cautionsOf = new Map<string, PieceHandling>([['alone', pieceHandlings.alone], ['wait', pieceHandlings.wait], ['barred', pieceHandlings.barred]]);
+	const machine = BatchMachine.create(contentId => cautionsOf.get(contentId) ?? pieceHandlings.none);
 	for (const [index, workId] of ['wait', 'barred', 'alone', 'a', 'b'].entries()) {
 		machine.add(workOf(workId, 1, {dueMs: 500 + index}), 0);
 	}
--- a/src/preparation/common/batch-machine.ts
+++ b/src/preparation/common/batch-machine.ts
@@ -4,7 +4,7 @@
 */
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
-import {cautions} from '../../quarantine/common/quarantine.js';
+import {pieceHandlings} from '../../quarantine/common/quarantine.js';
 import type {
 	BatchCall, BatchPiece, CallFailure, PieceEnd,
 } from './batch-call.js';
@@ -38,7 +38,7 @@
 
 /** Holds the waiting pieces and the calls of one pool. */
 export class BatchMachine {
-	static create(cautionOf: CautionSource = () => cautions.none, allowanceOf: AllowanceSource = () => ({left: Infinity, perS: Infinity})): BatchMachine {
+	static create(cautionOf: CautionSource = () => pieceHandlings.none, allowanceOf: AllowanceSource = () => ({left: Infinity, perS: Infinity})): BatchMachine {
 		return new BatchMachine(cautionOf, allowanceOf);
 	}
 
--- a/src/preparation/common/piece-queue.ts
+++ b/src/preparation/common/piece-queue.ts
@@ -1,11 +1,11 @@
 /** The pieces of all requests that wait for one pool. */
-import {cautions, type Caution} from '../../quarantine/common/quarantine.js';
+import {pieceHandlings, type PieceHandling} from '../../quarantine/common/quarantine.js';
 import type {BatchPiece, PieceEnd} from './batch-call.js';
 import {isLate, urgencyOf} from './piece-order.js';
 import {pieceFailures, type BatchWork, type PieceFailure} from './work.js';
 
 /** Tells how pieces of a request may be handed to an upstream, by the request's content. */
-export type CautionSource = (contentId: string) => Caution;
+export type CautionSource = (contentId: string) => PieceHandling;
 
 /** Holds what waits, in the order in which it goes. */
 export class PieceQueue {
@@ -74,9 +74,9 @@
 		}
 
 		const {contentId} = first.work;
-		return this.cautionOf(contentId) === cautions.alone
+		return this.cautionOf(contentId) === pieceHandlings.alone
 			? this.pieces.filter(({work}) => work.contentId === contentId)
-			: this.pieces.filter(({work}) => this.cautionOf(work.contentId) === cautions.none);
+			: this.pieces.filter(({work}) => this.cautionOf(work.contentId) === pieceHandlings.none);
 	}
 
 	/**
@@ -87,7 +87,7 @@
 		this.dropExpired(nowMs);
 		const {expired} = this;
 		this.expired = [];
-		const barred = new Set(this.pieces.filter(({work}) => this.cautionOf(work.contentId) === cautions.barred));
+		const barred = new Set(this.pieces.filter(({work}) => this.cautionOf(work.contentId) === pieceHandlings.barred));
 		if (barred.size > 0) {
 			this.remove(barred);
 		}
@@ -142,7 +142,7 @@
 
 	private mayGo({contentId}: BatchWork): boolean {
 		const caution = this.cautionOf(contentId);
-		return caution === cautions.none || caution === cautions.alone;
+		return caution === pieceHandlings.none || caution === pieceHandlings.alone;
 	}
 
 	private dropExpired(nowMs: number): void {
--- a/src/quarantine/common/server-ends.ts
+++ b/src/quarantine/common/crash-detector.ts
@@ -30,7 +30,7 @@
 	@param server - the server whose address is checked.
 	@returns what the attempt showed.
 	*/
-	tryOnce(server: UpstreamServer): Promise<AddressState>;
+	probe(server: UpstreamServer): Promise<AddressState>;
 };
 
 /**
@@ -40,50 +40,50 @@
 */
 const checkDelaysMs = [30, 200];
 /** How long the registry may take to report the server as gone; longer than its entry takes to expire. */
-const doubtMs = 5000;
+const suspicionTimeoutMs = 5000;
 
 /** Reasons which show that a server process that was not leaving is gone for good. */
-const endReasons = new Set<string>([goneReasons.startedAgain, goneReasons.dropped, goneReasons.addressTaken]);
+const crashReasons = new Set<string>([goneReasons.startedAgain, goneReasons.dropped, goneReasons.addressTaken]);
 
-type Doubt = {readonly limit: Disposable; check: Disposable; isBeingChecked: boolean};
+type Suspicion = {readonly timeout: Disposable; nextCheck: Disposable; isBeingChecked: boolean};
 
 /** Dependencies of the crash detection. */
-export type ServerEndsOptions = {
+export type CrashDetectorOptions = {
 	readonly registry: Pick<ServerRegistry, 'get' | 'isMissing' | 'onDidChange'>;
 	readonly check: AddressCheck;
 	readonly clock: Clock;
 };
 
 /** Watches servers to which the connection of a call was lost, and reports those that crashed. */
-export class ServerEnds implements Disposable {
-	static create(options: ServerEndsOptions): ServerEnds {
-		return new ServerEnds(options);
+export class CrashDetector implements Disposable {
+	static create(options: CrashDetectorOptions): CrashDetector {
+		return new CrashDetector(options);
 	}
 
-	private readonly doubts = new Map<string, Doubt>();
-	private readonly didEnd = Emitter.create<string>();
-	private readonly didSettle = Emitter.create<string>();
+	private readonly suspicions = new Map<string, Suspicion>();
+	private readonly didCrash = Emitter.create<string>();
+	private readonly didConclude = Emitter.create<string>();
 	private readonly owned = DisposableStore.create();
 
-	private constructor(private readonly options: ServerEndsOptions) {
+	private constructor(private readonly options: CrashDetectorOptions) {
 		this.owned.add(options.registry.onDidChange(change => {
-			this.listChanged(change);
+			this.handleRegistryChange(change);
 		}));
 	}
 
 	/** Fires with the id of a server process that crashed. */
 	get onDidEnd() {
-		return this.didEnd.event;
+		return this.didCrash.event;
 	}
 
 	/** Fires with the id of a server process that is no longer watched, whether or not it crashed. */
 	get onDidSettle() {
-		return this.didSettle.event;
+		return this.didConclude.event;
 	}
 
 	/** Whether the address of a suspect server is being checked, so that a result is imminent. */
 	isBeingChecked(serverId: string): boolean {
-		return this.doubts.get(serverId)?.isBeingChecked === true;
+		return this.suspicions.get(serverId)?.isBeingChecked === true;
 	}
 
 	/**
@@ -98,83 +98,83 @@
 		}
 
 		// Calls lost before an earlier, inconclusive check are not blamed for a crash that is found from now on.
-		this.settle(serverId);
+		this.conclude(serverId);
 		const listed = this.options.registry.get(serverId);
 		if (!listed || listed.isLeaving || this.options.registry.isMissing(serverId)) {
 			return false;
 		}
 
 		const {clock} = this.options;
-		const doubt: Doubt = {
-			limit: clock.setTimer(doubtMs, () => {
-				this.settle(serverId);
+		const suspicion: Suspicion = {
+			timeout: clock.setTimer(suspicionTimeoutMs, () => {
+				this.conclude(serverId);
 			}),
-			check: this.checkLater(server, 0),
+			nextCheck: this.scheduleCheck(server, 0),
 			isBeingChecked: true,
 		};
-		this.doubts.set(serverId, doubt);
+		this.suspicions.set(serverId, suspicion);
 		return true;
 	}
 
 	dispose(): void {
 		this.owned.dispose();
-		for (const serverId of [...this.doubts.keys()]) {
+		for (const serverId of [...this.suspicions.keys()]) {
 			this.forget(serverId);
 		}
 	}
 
-	private checkLater(server: UpstreamServer, attempt: number): Disposable {
+	private scheduleCheck(server: UpstreamServer, attempt: number): Disposable {
 		return this.options.clock.setTimer(checkDelaysMs[attempt], () => {
-			void this.tryAddress(server, attempt);
+			void this.checkAddress(server, attempt);
 		});
 	}
 
-	private async tryAddress(server: UpstreamServer, attempt: number): Promise<void> {
+	private async checkAddress(server: UpstreamServer, attempt: number): Promise<void> {
 		const {serverId} = server;
-		const doubt = this.doubts.get(serverId);
-		const state = await this.options.check.tryOnce(server);
-		if (!doubt || this.doubts.get(serverId) !== doubt) {
+		const suspicion = this.suspicions.get(serverId);
+		const state = await this.options.check.probe(server);
+		if (!suspicion || this.suspicions.get(serverId) !== suspicion) {
 			return;
 		}
 
 		if (state === addressStates.refused) {
-			this.end(serverId);
+			this.concludeCrashed(serverId);
 		} else if (state === addressStates.silent && attempt + 1 < checkDelaysMs.length) {
-			doubt.check = this.checkLater(server, attempt + 1);
+			suspicion.nextCheck = this.scheduleCheck(server, attempt + 1);
 		} else {
-			doubt.isBeingChecked = false;
+			suspicion.isBeingChecked = false;
 		}
 	}
 
-	private listChanged({server: {serverId}, change, reason}: ServerChange): void {
-		if (!this.doubts.has(serverId)) {
+	private handleRegistryChange({server: {serverId}, change, reason}: ServerChange): void {
+		if (!this.suspicions.has(serverId)) {
 			return;
 		}
 
-		if (change === 'gone' && reason !== undefined && endReasons.has(reason)) {
-			this.end(serverId);
+		if (change === 'gone' && reason !== undefined && crashReasons.has(reason)) {
+			this.concludeCrashed(serverId);
 		} else if (change !== 'joined') {
-			this.settle(serverId);
+			this.conclude(serverId);
 		}
 	}
 
-	private end(serverId: string): void {
+	private concludeCrashed(serverId: string): void {
 		this.forget(serverId);
-		this.didEnd.fire(serverId);
-		this.didSettle.fire(serverId);
+		this.didCrash.fire(serverId);
+		this.didConclude.fire(serverId);
 	}
 
-	private settle(serverId: string): void {
-		if (this.doubts.has(serverId)) {
+	private conclude(serverId: string): void {
+		if (this.suspicions.has(serverId)) {
 			this.forget(serverId);
-			this.didSettle.fire(serverId);
+			this.didConclude.fire(serverId);
 		}
 	}
 
 	private forget(serverId: string): void {
-		const doubt = this.doubts.get(serverId);
-		doubt?.limit.dispose();
-		doubt?.check.dispose();
-		this.doubts.delete(serverId);
+		const suspicion = this.suspicions.get(serverId);
+		suspicion?.timeout.dispose();
+		suspicion?.nextCheck.dispose();
+		this.suspicions.delete(serverId);
 	}
 }
--- a/src/quarantine/common/end-record.ts
+++ b/src/quarantine/common/crash-record.ts
@@ -8,7 +8,7 @@
 */
 
 /** What is recorded for one content, as hosts send it to each other. */
-export type ContentEnds = {
+export type ContentCrashes = {
 	readonly contentId: string;
 	/** Server processes that crashed, and how long ago. */
 	readonly ends: ReadonlyArray<{readonly serverId: string; readonly ageMs: number}>;
@@ -19,36 +19,36 @@
 };
 
 /** Retention of a content after its last crash or trial request; longer than the longest time for which it is barred. */
-export const rememberMs = 7_200_000;
+export const retentionMs = 7_200_000;
 /** Maximum number of recorded contents, about 300 bytes each. Beyond it, contents that are not barred are evicted first. */
-const mostContents = 10_000;
+const maxContents = 10_000;
 /** Maximum number of crashes recorded for one content, and of cleared ones: a content that is requested all day is present at many. */
-const mostEnds = 64;
+const maxCrashes = 64;
 
 /** How long a content is barred before its first trial request: one that is harmless and was only present at crashes is served again after that. */
-const firstBarMs = 60_000;
+const initialBarMs = 60_000;
 /**
 Maximum time for which a content is barred. The time doubles with each trial request, or with each further crash where pieces of
 batches were tried: a request that crashes servers costs six of them in the first hour after it was barred, then one an hour.
 */
-const longestBarMs = 3_600_000;
+const maxBarMs = 3_600_000;
 
-type Entry = {readonly ends: Map<string, number>; readonly cleared: Set<string>; trialCount: number; triedMs: number; keptUntilMs: number};
+type Entry = {readonly crashes: Map<string, number>; readonly cleared: Set<string>; trialCount: number; lastTrialMs: number; expiresAtMs: number};
 
 /** Holds the crashes of all contents. */
-export class EndRecord {
+export class CrashRecord {
 	/**
 	Creates an empty record.
-	@param barredAfter - number of crashes of one content after which it is barred.
+	@param crashesToBar - number of crashes of one content after which it is barred.
 	*/
-	static create(barredAfter: number): EndRecord {
-		return new EndRecord(barredAfter);
+	static create(crashesToBar: number): CrashRecord {
+		return new CrashRecord(crashesToBar);
 	}
 
 	/** By content id; the least recently changed first. */
 	private readonly entries = new Map<string, Entry>();
 
-	private constructor(private readonly barredAfter: number) {}
+	private constructor(private readonly crashesToBar: number) {}
 
 	get size(): number {
 		return this.entries.size;
@@ -59,8 +59,8 @@
 	@param contentId - the content.
 	@param nowMs - the current time.
 	*/
-	countOf(contentId: string, nowMs: number): number {
-		return this.current(contentId, nowMs)?.ends.size ?? 0;
+	crashCountOf(contentId: string, nowMs: number): number {
+		return this.liveEntry(contentId, nowMs)?.crashes.size ?? 0;
 	}
 
 	/** The ids of all recorded contents, expired ones included. */
@@ -75,13 +75,13 @@
 	@returns a time in the past if the content is not barred, or if a trial request may be sent.
 	*/
 	barredUntilMs(contentId: string, nowMs: number): number {
-		const entry = this.current(contentId, nowMs);
-		if (!entry || entry.ends.size < this.barredAfter) {
+		const entry = this.liveEntry(contentId, nowMs);
+		if (!entry || entry.crashes.size < this.crashesToBar) {
 			return -Infinity;
 		}
 
-		const doublings = Math.max(entry.trialCount, entry.ends.size - this.barredAfter);
-		return lastMs(entry) + Math.min(longestBarMs, firstBarMs * (2 ** doublings));
+		const doublings = Math.max(entry.trialCount, entry.crashes.size - this.crashesToBar);
+		return lastEventMs(entry) + Math.min(maxBarMs, initialBarMs * (2 ** doublings));
 	}
 
 	/**
@@ -90,9 +90,9 @@
 	@param nowMs - the current time.
 	@returns the update for peers, or `undefined` if the content has too few crashes to be barred.
 	*/
-	trial(contentId: string, nowMs: number): ContentEnds | undefined {
-		const entry = this.current(contentId, nowMs);
-		return entry && entry.ends.size >= this.barredAfter
+	recordTrial(contentId: string, nowMs: number): ContentCrashes | undefined {
+		const entry = this.liveEntry(contentId, nowMs);
+		return entry && entry.crashes.size >= this.crashesToBar
 			? this.merge({
 				contentId, ends: [], cleared: [], trials: {count: entry.trialCount + 1, ageMs: 0},
 			}, nowMs)
@@ -105,32 +105,32 @@
 	@param nowMs - the current time.
 	@returns the part that was not known here, or `undefined` if there was none.
 	*/
-	merge({contentId, ends, cleared, trials}: ContentEnds, nowMs: number): ContentEnds | undefined {
-		const entry = this.current(contentId, nowMs) ?? emptyEntry();
+	merge({contentId, ends, cleared, trials}: ContentCrashes, nowMs: number): ContentCrashes | undefined {
+		const entry = this.liveEntry(contentId, nowMs) ?? emptyEntry();
 		const newlyCleared = cleared.filter(serverId => !entry.cleared.has(serverId));
 		for (const serverId of newlyCleared) {
-			entry.ends.delete(serverId);
+			entry.crashes.delete(serverId);
 			entry.cleared.add(serverId);
 		}
 
-		const newEnds = ends.filter(({serverId, ageMs}) => ageMs < rememberMs && !entry.ends.has(serverId) && !entry.cleared.has(serverId));
-		for (const {serverId, ageMs} of newEnds) {
-			entry.ends.set(serverId, nowMs - ageMs);
+		const newCrashes = ends.filter(({serverId, ageMs}) => ageMs < retentionMs && !entry.crashes.has(serverId) && !entry.cleared.has(serverId));
+		for (const {serverId, ageMs} of newCrashes) {
+			entry.crashes.set(serverId, nowMs - ageMs);
 		}
 
-		const isTriedMore = trials !== undefined && trials.count > entry.trialCount;
-		if (isTriedMore) {
+		const hasNewTrials = trials !== undefined && trials.count > entry.trialCount;
+		if (hasNewTrials) {
 			entry.trialCount = trials.count;
-			entry.triedMs = nowMs - trials.ageMs;
+			entry.lastTrialMs = nowMs - trials.ageMs;
 		}
 
-		if (newEnds.length === 0 && newlyCleared.length === 0 && !isTriedMore) {
+		if (newCrashes.length === 0 && newlyCleared.length === 0 && !hasNewTrials) {
 			return undefined;
 		}
 
-		this.keep(contentId, entry, nowMs);
+		this.storeEntry(contentId, entry, nowMs);
 		return {
-			contentId, ends: newEnds, cleared: newlyCleared, ...(isTriedMore && {trials}),
+			contentId, ends: newCrashes, cleared: newlyCleared, ...(hasNewTrials && {trials}),
 		};
 	}
 
@@ -139,27 +139,27 @@
 	@param contentId - the content.
 	@param nowMs - the current time.
 	*/
-	serversOf(contentId: string, nowMs: number): string[] {
-		return [...this.current(contentId, nowMs)?.ends.keys() ?? []];
+	crashedServersOf(contentId: string, nowMs: number): string[] {
+		return [...this.liveEntry(contentId, nowMs)?.crashes.keys() ?? []];
 	}
 
 	/**
 	Lists all contents that have crashes, for a host that may not know them.
 	@param nowMs - the current time.
 	*/
-	all(nowMs: number): ContentEnds[] {
-		const kept = [...this.entries].filter(([, {ends, keptUntilMs}]) => ends.size > 0 && nowMs < keptUntilMs);
-		return kept.map(([contentId, {ends, cleared, trialCount, triedMs}]) => ({
+	all(nowMs: number): ContentCrashes[] {
+		const live = [...this.entries].filter(([, {crashes, expiresAtMs}]) => crashes.size > 0 && nowMs < expiresAtMs);
+		return live.map(([contentId, {crashes, cleared, trialCount, lastTrialMs}]) => ({
 			contentId,
-			ends: [...ends].map(([serverId, endedMs]) => ({serverId, ageMs: nowMs - endedMs})),
+			ends: [...crashes].map(([serverId, crashedMs]) => ({serverId, ageMs: nowMs - crashedMs})),
 			cleared: [...cleared],
-			...(trialCount > 0 && {trials: {count: trialCount, ageMs: nowMs - triedMs}}),
+			...(trialCount > 0 && {trials: {count: trialCount, ageMs: nowMs - lastTrialMs}}),
 		}));
 	}
 
-	private current(contentId: string, nowMs: number): Entry | undefined {
+	private liveEntry(contentId: string, nowMs: number): Entry | undefined {
 		const entry = this.entries.get(contentId);
-		if (entry && nowMs >= entry.keptUntilMs) {
+		if (entry && nowMs >= entry.expiresAtMs) {
 			this.entries.delete(contentId);
 			return undefined;
 		}
@@ -167,27 +167,27 @@
 		return entry;
 	}
 
-	private keep(contentId: string, entry: Entry, nowMs: number): void {
-		trim(entry);
-		entry.keptUntilMs = rememberMs + (entry.ends.size > 0 ? lastMs(entry) : nowMs);
+	private storeEntry(contentId: string, entry: Entry, nowMs: number): void {
+		dropOldest(entry);
+		entry.expiresAtMs = retentionMs + (entry.crashes.size > 0 ? lastEventMs(entry) : nowMs);
 		this.entries.delete(contentId);
 		this.entries.set(contentId, entry);
-		this.makeRoom();
+		this.evict();
 	}
 
-	private makeRoom(): void {
-		for (const [contentId, {ends}] of this.entries) {
-			if (this.entries.size <= mostContents) {
+	private evict(): void {
+		for (const [contentId, {crashes}] of this.entries) {
+			if (this.entries.size <= maxContents) {
 				return;
 			}
 
-			if (ends.size < this.barredAfter) {
+			if (crashes.size < this.crashesToBar) {
 				this.entries.delete(contentId);
 			}
 		}
 
 		for (const contentId of this.entries.keys()) {
-			if (this.entries.size <= mostContents) {
+			if (this.entries.size <= maxContents) {
 				return;
 			}
 
@@ -198,27 +198,27 @@
 
 function emptyEntry(): Entry {
 	return {
-		ends: new Map(), cleared: new Set(), trialCount: 0, triedMs: -Infinity, keptUntilMs: 0,
+		crashes: new Map(), cleared: new Set(), trialCount: 0, lastTrialMs: -Infinity, expiresAtMs: 0,
 	};
 }
 
 /** Returns the time of the last crash or trial request of a content. */
-function lastMs({ends, triedMs}: Entry): number {
-	return Math.max(triedMs, ...ends.values());
+function lastEventMs({crashes, lastTrialMs}: Entry): number {
+	return Math.max(lastTrialMs, ...crashes.values());
 }
 
 /** Drops the oldest crashes beyond the maximum. */
-function trim({ends, cleared}: Entry): void {
-	for (const serverId of ends.keys()) {
-		if (ends.size <= mostEnds) {
+function dropOldest({crashes, cleared}: Entry): void {
+	for (const serverId of crashes.keys()) {
+		if (crashes.size <= maxCrashes) {
 			break;
 		}
 
-		ends.delete(serverId);
+		crashes.delete(serverId);
 	}
 
 	for (const serverId of cleared) {
-		if (cleared.size <= mostEnds) {
+		if (cleared.size <= maxCrashes) {
 			break;
 		}
 
--- a/src/quarantine/common/quarantine-log-messages.ts
+++ b/src/quarantine/common/quarantine-log-messages.ts
@@ -1,8 +1,8 @@
 /** Log messages that `pumicehatch logs quarantine` looks for, shared by the code that writes them and the command. */
 export const quarantineLogMessages = {
-	brokeOff: 'A call broke off; whether its server has ended is being found out.',
-	ended: 'A server ended while it ran a request.',
+	connectionLost: 'A call broke off; whether its server has ended is being found out.',
+	serverCrashed: 'A server ended while it ran a request.',
 	barred: 'A request is in quarantine: it is sent to no server any more.',
-	tried: 'A request in quarantine is tried once more.',
+	trial: 'A request in quarantine is tried once more.',
 	lifted: 'A request is out of quarantine: it has run to a whole answer.',
 } as const;
--- a/src/quarantine/common/quarantine.test.ts
+++ b/src/quarantine/common/quarantine.test.ts
@@ -16,7 +16,7 @@
 import {Quarantine} from './quarantine.js';
 import {contentIdOf, type ContentSource} from './request-content.js';
 
-const newsMs = 60;
+const updateDelayMs = 60;
 
 function sourceOf(body: string, workspace = 'w'): ContentSource {
 	return {
@@ -34,22 +34,22 @@
 
 /** A host. The test decides whether a server whose connection was lost has crashed. */
 class Host {
-	readonly ends = Emitter.create<string>();
-	readonly settled = Emitter.create<string>();
-	readonly checked = new Set<string>();
+	readonly didCrash = Emitter.create<string>();
+	readonly didConclude = Emitter.create<string>();
+	readonly suspectServers = new Set<string>();
 	readonly barred: string[] = [];
 	readonly quarantine: Quarantine;
 
 	constructor(clock: ManualClock) {
 		this.quarantine = Quarantine.create({
-			serverEnds: {
+			crashDetector: {
 				brokeOff: ({serverId}) => {
-					this.checked.add(serverId);
+					this.suspectServers.add(serverId);
 					return true;
 				},
-				isBeingChecked: serverId => this.checked.has(serverId),
-				onDidEnd: this.ends.event,
-				onDidSettle: this.settled.event,
+				isBeingChecked: serverId => this.suspectServers.has(serverId),
+				onDidEnd: this.didCrash.event,
+				onDidSettle: this.didConclude.event,
 			},
 			clock,
 			log: silentLoggers.for('test'),
@@ -61,13 +61,13 @@
 	}
 
 	/** Ends the check of a suspect server. */
-	settle(serverId: string, hasEnded: boolean): void {
-		this.checked.delete(serverId);
-		if (hasEnded) {
-			this.ends.fire(serverId);
+	conclude(serverId: string, hasCrashed: boolean): void {
+		this.suspectServers.delete(serverId);
+		if (hasCrashed) {
+			this.didCrash.fire(serverId);
 		}
 
-		this.settled.fire(serverId);
+		this.didConclude.fire(serverId);
 	}
 }
 
@@ -80,10 +80,10 @@
 		const known = hosts.find((_, other) => other !== index);
 		host.quarantine.hear(known?.quarantine.all() ?? [], 'peer');
 		hosts[index] = host;
-		host.quarantine.onDidLearn(news => {
-			clock.setTimer(newsMs, () => {
+		host.quarantine.onDidLearn(update => {
+			clock.setTimer(updateDelayMs, () => {
 				for (const other of hosts) {
-					other.quarantine.hear([news], 'peer');
+					other.quarantine.hear([update], 'peer');
 				}
 			});
 		});
@@ -97,19 +97,19 @@
 }
 
 /** Simulates a server that crashes while it runs requests of a host. */
-function end(host: Host, serverId: string, ...sources: ContentSource[]): void {
+function crashServer(host: Host, serverId: string, ...sources: ContentSource[]): void {
 	for (const source of sources) {
 		host.quarantine.brokeOff(contentIdOf(source), serverOf(serverId), 'r');
 	}
 
-	host.settle(serverId, true);
+	host.conclude(serverId, true);
 }
 
 t.test('three crashes on three hosts bar a request on all hosts; requests with another body or workspace are not affected', async t => {
 	const {clock, hosts} = makeHosts(4);
 	for (const index of [0, 1, 2]) {
-		end(hosts[index], `s${index}`, sourceOf('fatal'));
-		clock.advance(newsMs);
+		crashServer(hosts[index], `s${index}`, sourceOf('fatal'));
+		clock.advance(updateDelayMs);
 	}
 
 	t.same(hosts.map(({quarantine}) => quarantine.standingOf(sourceOf('fatal')).type), ['barred', 'barred', 'barred', 'barred']);
@@ -123,45 +123,45 @@
 
 t.test('a request that may have crashed its third server waits until that is known', async t => {
 	const {hosts: [host]} = makeHosts(1);
-	end(host, 's0', sourceOf('fatal'));
-	end(host, 's1', sourceOf('fatal'));
+	crashServer(host, 's0', sourceOf('fatal'));
+	crashServer(host, 's1', sourceOf('fatal'));
 	host.quarantine.brokeOff(contentIdOf(sourceOf('fatal')), serverOf('s2'), 'r');
 	t.equal(host.quarantine.standingOf(sourceOf('fatal')).type, 'inDoubt');
-	host.settle('s2', false);
+	host.conclude('s2', false);
 	t.equal(host.quarantine.standingOf(sourceOf('fatal')).type, 'clear', 'only the connection was lost');
 });
 
 t.test('a request that gets a complete response is cleared on all hosts, although it was barred', async t => {
 	const {clock, hosts} = makeHosts(2);
 	for (const serverId of ['s0', 's1', 's2']) {
-		end(hosts[0], serverId, sourceOf('polled'));
+		crashServer(hosts[0], serverId, sourceOf('polled'));
 	}
 
-	clock.advance(newsMs);
+	clock.advance(updateDelayMs);
 	t.equal(hosts[1].quarantine.standingOf(sourceOf('polled')).type, 'barred');
 	hosts[1].quarantine.completed(sourceOf('polled'));
-	clock.advance(newsMs);
+	clock.advance(updateDelayMs);
 	t.same(hosts.map(({quarantine}) => quarantine.standingOf(sourceOf('polled')).type), ['clear', 'clear']);
 });
 
 t.test('after a minute one host tries a barred request, and no other host does at the same time', async t => {
 	const {clock, hosts} = makeHosts(3);
 	for (const serverId of ['s0', 's1', 's2']) {
-		end(hosts[0], serverId, sourceOf('unlucky'));
+		crashServer(hosts[0], serverId, sourceOf('unlucky'));
 	}
 
-	clock.advance(60_000 + newsMs);
+	clock.advance(60_000 + updateDelayMs);
 	t.equal(hosts[1].quarantine.standingOf(sourceOf('unlucky')).type, 'clear');
 	hosts[1].quarantine.sent(sourceOf('unlucky'));
-	clock.advance(newsMs);
+	clock.advance(updateDelayMs);
 	t.same(hosts.map(({quarantine}) => quarantine.standingOf(sourceOf('unlucky')).type), ['barred', 'barred', 'barred']);
 	hosts[1].quarantine.completed(sourceOf('unlucky'));
-	clock.advance(newsMs);
+	clock.advance(updateDelayMs);
 	t.same(hosts.map(({quarantine}) => quarantine.standingOf(sourceOf('unlucky')).type), ['clear', 'clear', 'clear']);
 });
 
 /** One request of a random sequence. */
-type Try = {
+type Attempt = {
 	readonly host: number;
 	readonly body: string;
 	/** Harmless requests that run on the same server at the same time. */
@@ -176,10 +176,10 @@
 Sends the requests 0.1 s apart, then each harmless request once a second for two minutes. Returns how many servers crashed, and
 whether all harmless requests were served in the last second.
 */
-function playDay(tries: readonly Try[]) {
+function playAttempts(tries: readonly Attempt[]) {
 	const {clock, hosts, startHost} = makeHosts(5);
-	let ended = 0;
-	const play = ({host: index, body, beside, isCut}: Try) => {
+	let crashCount = 0;
+	const play = ({host: index, body, beside, isCut}: Attempt) => {
 		const {quarantine} = hosts[index];
 		const source = sourceOf(body);
 		if (quarantine.standingOf(source).type !== 'clear') {
@@ -188,11 +188,11 @@
 
 		quarantine.sent(source);
 		if (body === 'fatal') {
-			ended++;
-			end(hosts[index], `s${ended}`, source, ...beside.map(item => sourceOf(item)));
+			crashCount++;
+			crashServer(hosts[index], `s${crashCount}`, source, ...beside.map(item => sourceOf(item)));
 		} else if (isCut) {
 			quarantine.brokeOff(contentIdOf(source), serverOf(`live-${body}`), 'r');
-			hosts[index].settle(`live-${body}`, false);
+			hosts[index].conclude(`live-${body}`, false);
 		} else {
 			quarantine.completed(source);
 		}
@@ -216,15 +216,15 @@
 		})).every(Boolean);
 	}
 
-	return {ended, isServed};
+	return {ended: crashCount, isServed};
 }
 
 t.test('random sequences: a fatal request reaches three servers at most, and harmless requests are served in the end', async () => {
 	const tries = fc.array(fc.record({
 		host: fc.nat(4), body: fc.constantFrom('fatal', 'fatal', 'a', 'b', 'c'), beside: fc.subarray(['a', 'b', 'c']), isCut: fc.boolean(), startsAnew: fc.nat(9).map(value => value === 0),
 	}), {minLength: 60, maxLength: 60});
-	fc.assert(fc.property(tries, day => {
-		const {ended, isServed} = playDay(day);
+	fc.assert(fc.property(tries, attempts => {
+		const {ended, isServed} = playAttempts(attempts);
 		return ended <= 3 && isServed;
 	}), {seed: 1, numRuns: 300});
 });
--- a/src/quarantine/common/quarantine.ts
+++ b/src/quarantine/common/quarantine.ts
@@ -14,24 +14,24 @@
 import type {Logger} from '../../base/common/logger.js';
 import type {Metrics} from '../../base/common/metrics.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
-import {EndRecord, type ContentEnds} from './end-record.js';
+import {CrashRecord, type ContentCrashes} from './crash-record.js';
 import {
 	contentIdOf, headDigestOf, headOfContentId, type ContentSource,
 } from './request-content.js';
 import {quarantineLogMessages} from './quarantine-log-messages.js';
-import type {ServerEnds} from './server-ends.js';
+import type {CrashDetector} from './crash-detector.js';
 
 /** Number of server crashes under one content after which it is barred. */
-const barredAfter = 3;
+const crashesToBar = 3;
 /**
 Number of crashes after which a piece is sent in a call of its own. After a single crash dozens of pieces would be sent alone,
 although a call with a full batch takes no longer than a call with one piece.
 */
-const aloneAfter = 2;
+const crashesToIsolate = 2;
 /** Number of head digests at which the set is rebuilt from the contents that are still recorded or suspect. */
-const mostHeads = 20_000;
+const maxHeadDigests = 20_000;
 /** Text about a barred request, for callers and logs. */
-export const barredText = `this request is in quarantine, as ${barredAfter} servers ended while they ran it`;
+export const barredText = `this request is in quarantine, as ${crashesToBar} servers ended while they ran it`;
 
 /** Whether a request may be sent, judged by the crashes recorded for the same content. */
 export type Standing
@@ -43,7 +43,7 @@
 export const clearStanding: Standing = {type: 'clear'};
 
 /** How a piece of a request may be sent to a server that processes pieces of several requests in one call. */
-export const cautions = {
+export const pieceHandlings = {
 	none: 'none',
 	/** The request was present when servers crashed: in a call of its own it can harm no other request, and a crash shows which one caused it. */
 	alone: 'alone',
@@ -52,13 +52,13 @@
 	/** The piece may be sent to no server. */
 	barred: 'barred',
 } as const;
-export type Caution = typeof cautions[keyof typeof cautions];
+export type PieceHandling = typeof pieceHandlings[keyof typeof pieceHandlings];
 
 export const quarantineToken: InjectionToken<Quarantine> = Symbol('Quarantine');
 
 /** Dependencies of the quarantine. */
 export type QuarantineOptions = {
-	readonly serverEnds: Pick<ServerEnds, 'brokeOff' | 'isBeingChecked' | 'onDidEnd' | 'onDidSettle'>;
+	readonly crashDetector: Pick<CrashDetector, 'brokeOff' | 'isBeingChecked' | 'onDidEnd' | 'onDidSettle'>;
 	readonly clock: Clock;
 	readonly log: Logger;
 	readonly metrics: Metrics;
@@ -70,34 +70,34 @@
 		return new Quarantine(options);
 	}
 
-	private readonly record = EndRecord.create(barredAfter);
+	private readonly record = CrashRecord.create(crashesToBar);
 	/** Head digests of all contents that were ever suspect on this host; any other request is clear without reading its body. */
-	private heads = new Set<string>();
+	private headDigests = new Set<string>();
 	/** Contents of calls whose connection was lost, by the id of the suspect server. */
-	private readonly suspects = new Map<string, Set<string>>();
-	private readonly didLearn = Emitter.create<ContentEnds>();
+	private readonly suspectContents = new Map<string, Set<string>>();
+	private readonly didObserve = Emitter.create<ContentCrashes>();
 	private readonly didBar = Emitter.create<string>();
-	private readonly didHearOfEnd = Emitter.create<string>();
+	private readonly didServerCrash = Emitter.create<string>();
 	private readonly owned = DisposableStore.create();
 
 	private constructor(private readonly options: QuarantineOptions) {
-		const {serverEnds} = options;
-		this.owned.add(serverEnds.onDidEnd(serverId => {
-			this.serverEnded(serverId);
+		const {crashDetector} = options;
+		this.owned.add(crashDetector.onDidEnd(serverId => {
+			this.handleServerCrash(serverId);
 		}));
-		this.owned.add(serverEnds.onDidSettle(serverId => {
-			this.suspects.delete(serverId);
+		this.owned.add(crashDetector.onDidSettle(serverId => {
+			this.suspectContents.delete(serverId);
 		}));
 	}
 
 	/** Fires with what this host has observed itself, for its peers. */
 	get onDidLearn() {
-		return this.didLearn.event;
+		return this.didObserve.event;
 	}
 
 	/** Fires with the id of a server process that crashed, as observed by this host or a peer. */
-	get onDidHearOfEnd() {
-		return this.didHearOfEnd.event;
+	get onDidServerCrash() {
+		return this.didServerCrash.event;
 	}
 
 	/** Fires with the id of a content when it becomes barred. */
@@ -110,7 +110,7 @@
 	@param source - the request.
 	*/
 	standingOf(source: ContentSource): Standing {
-		if (!this.mayBeKnown(source)) {
+		if (!this.mayBeRecorded(source)) {
 			return clearStanding;
 		}
 
@@ -121,17 +121,17 @@
 	Determines how a piece of a request may be sent.
 	@param contentId - the content id of the request.
 	*/
-	cautionOf(contentId: string): Caution {
-		if (this.heads.size === 0 || !this.heads.has(headOfContentId(contentId))) {
-			return cautions.none;
+	cautionOf(contentId: string): PieceHandling {
+		if (this.headDigests.size === 0 || !this.headDigests.has(headOfContentId(contentId))) {
+			return pieceHandlings.none;
 		}
 
 		const {type} = this.standingOfContent(contentId);
 		if (type !== 'clear') {
-			return type === 'barred' ? cautions.barred : cautions.wait;
+			return type === 'barred' ? pieceHandlings.barred : pieceHandlings.wait;
 		}
 
-		return this.record.countOf(contentId, this.options.clock.nowMs()) >= aloneAfter ? cautions.alone : cautions.none;
+		return this.record.crashCountOf(contentId, this.options.clock.nowMs()) >= crashesToIsolate ? pieceHandlings.alone : pieceHandlings.none;
 	}
 
 	/**
@@ -140,13 +140,13 @@
 	@param source - the request.
 	*/
 	sent(source: ContentSource): void {
-		if (this.mayBeKnown(source)) {
+		if (this.mayBeRecorded(source)) {
 			const {clock, log} = this.options;
 			const contentId = contentIdOf(source);
-			const news = this.record.trial(contentId, clock.nowMs());
-			if (news) {
-				log.warn(quarantineLogMessages.tried, {content: contentId, trial: news.trials?.count});
-				this.didLearn.fire(news);
+			const update = this.record.recordTrial(contentId, clock.nowMs());
+			if (update) {
+				log.warn(quarantineLogMessages.trial, {content: contentId, trial: update.trials?.count});
+				this.didObserve.fire(update);
 			}
 		}
 	}
@@ -158,12 +158,12 @@
 	@param requestId - the caller's id of this attempt.
 	*/
 	brokeOff(contentId: string, server: UpstreamServer, requestId: string): void {
-		if (this.options.serverEnds.brokeOff(server)) {
-			this.options.log.info(quarantineLogMessages.brokeOff, {request: requestId, content: contentId, server: server.serverId});
-			this.addHead(contentId);
-			const contents = this.suspects.get(server.serverId) ?? new Set();
+		if (this.options.crashDetector.brokeOff(server)) {
+			this.options.log.info(quarantineLogMessages.connectionLost, {request: requestId, content: contentId, server: server.serverId});
+			this.addHeadDigest(contentId);
+			const contents = this.suspectContents.get(server.serverId) ?? new Set();
 			contents.add(contentId);
-			this.suspects.set(server.serverId, contents);
+			this.suspectContents.set(server.serverId, contents);
 		}
 	}
 
@@ -172,18 +172,18 @@
 	@param source - the request.
 	*/
 	completed(source: ContentSource): void {
-		if (!this.mayBeKnown(source)) {
+		if (!this.mayBeRecorded(source)) {
 			return;
 		}
 
 		const contentId = contentIdOf(source);
-		for (const contents of this.suspects.values()) {
+		for (const contents of this.suspectContents.values()) {
 			contents.delete(contentId);
 		}
 
-		const cleared = this.record.serversOf(contentId, this.options.clock.nowMs());
+		const cleared = this.record.crashedServersOf(contentId, this.options.clock.nowMs());
 		if (cleared.length > 0) {
-			this.learn({contentId, ends: [], cleared}, 'this host');
+			this.observe({contentId, ends: [], cleared}, 'this host');
 		}
 	}
 
@@ -192,14 +192,14 @@
 	@param known - the crashes of some contents.
 	@param hostId - the peer.
 	*/
-	hear(known: readonly ContentEnds[], hostId: string): void {
+	hear(known: readonly ContentCrashes[], hostId: string): void {
 		for (const item of known) {
-			this.take(item, hostId);
+			this.merge(item, hostId);
 		}
 	}
 
 	/** Lists all recorded contents, for a host that may not know them. */
-	all(): ContentEnds[] {
+	all(): ContentCrashes[] {
 		return this.record.all(this.options.clock.nowMs());
 	}
 
@@ -214,72 +214,72 @@
 			return {type: 'barred', forMs, contentId};
 		}
 
-		const doubtful = this.doubtfulCount(contentId);
-		const mayBeBarred = doubtful > 0 && this.record.countOf(contentId, nowMs) + doubtful >= barredAfter;
+		const unconfirmed = this.unconfirmedCrashCount(contentId);
+		const mayBeBarred = unconfirmed > 0 && this.record.crashCountOf(contentId, nowMs) + unconfirmed >= crashesToBar;
 		return mayBeBarred ? {type: 'inDoubt'} : clearStanding;
 	}
 
 	/** Cheap check on the head of a request. It is true for few requests, and only their bodies are hashed. */
-	private mayBeKnown(source: ContentSource): boolean {
-		return this.heads.size > 0 && this.heads.has(headDigestOf(source));
+	private mayBeRecorded(source: ContentSource): boolean {
+		return this.headDigests.size > 0 && this.headDigests.has(headDigestOf(source));
 	}
 
 	/** Counts the suspect servers of a content whose address is being checked: crashes that may be confirmed shortly. */
-	private doubtfulCount(contentId: string): number {
-		return [...this.suspects].filter(([serverId, contents]) => contents.has(contentId) && this.options.serverEnds.isBeingChecked(serverId)).length;
+	private unconfirmedCrashCount(contentId: string): number {
+		return [...this.suspectContents].filter(([serverId, contents]) => contents.has(contentId) && this.options.crashDetector.isBeingChecked(serverId)).length;
 	}
 
-	private addHead(contentId: string): void {
-		if (this.heads.size >= mostHeads) {
-			const needed = [...this.record.contentIds, ...[...this.suspects.values()].flatMap(contents => [...contents])];
-			this.heads = new Set(needed.map(item => headOfContentId(item)));
+	private addHeadDigest(contentId: string): void {
+		if (this.headDigests.size >= maxHeadDigests) {
+			const needed = [...this.record.contentIds, ...[...this.suspectContents.values()].flatMap(contents => [...contents])];
+			this.headDigests = new Set(needed.map(item => headOfContentId(item)));
 		}
 
-		this.heads.add(headOfContentId(contentId));
+		this.headDigests.add(headOfContentId(contentId));
 	}
 
-	private serverEnded(serverId: string): void {
-		for (const contentId of this.suspects.get(serverId) ?? []) {
-			this.learn({contentId, ends: [{serverId, ageMs: 0}], cleared: []}, 'this host');
+	private handleServerCrash(serverId: string): void {
+		for (const contentId of this.suspectContents.get(serverId) ?? []) {
+			this.observe({contentId, ends: [{serverId, ageMs: 0}], cleared: []}, 'this host');
 		}
 	}
 
-	private learn(known: ContentEnds, source: string): void {
-		const news = this.take(known, source);
-		if (news) {
-			this.didLearn.fire(news);
+	private observe(known: ContentCrashes, source: string): void {
+		const update = this.merge(known, source);
+		if (update) {
+			this.didObserve.fire(update);
 		}
 	}
 
-	private take(known: ContentEnds, source: string): ContentEnds | undefined {
+	private merge(known: ContentCrashes, source: string): ContentCrashes | undefined {
 		const {clock, log, metrics} = this.options;
 		const {contentId} = known;
 		const nowMs = clock.nowMs();
-		const countBefore = this.record.countOf(contentId, nowMs);
-		const news = this.record.merge(known, nowMs);
-		if (!news) {
+		const countBefore = this.record.crashCountOf(contentId, nowMs);
+		const update = this.record.merge(known, nowMs);
+		if (!update) {
 			return undefined;
 		}
 
-		this.addHead(contentId);
-		const count = this.record.countOf(contentId, nowMs);
-		for (const {serverId} of news.ends) {
-			log.info(quarantineLogMessages.ended, {
+		this.addHeadDigest(contentId);
+		const count = this.record.crashCountOf(contentId, nowMs);
+		for (const {serverId} of update.ends) {
+			log.info(quarantineLogMessages.serverCrashed, {
 				content: contentId, server: serverId, ends: count, source,
 			});
-			this.didHearOfEnd.fire(serverId);
+			this.didServerCrash.fire(serverId);
 		}
 
-		if (count >= barredAfter && countBefore < barredAfter) {
-			const servers = this.record.serversOf(contentId, nowMs);
+		if (count >= crashesToBar && countBefore < crashesToBar) {
+			const servers = this.record.crashedServersOf(contentId, nowMs);
 			log.warn(quarantineLogMessages.barred, {content: contentId, servers: servers.join(' '), source});
 			metrics.increment('quarantine.barred', 1);
 			this.didBar.fire(contentId);
-		} else if (count < barredAfter && countBefore >= barredAfter) {
+		} else if (count < crashesToBar && countBefore >= crashesToBar) {
 			log.warn(quarantineLogMessages.lifted, {content: contentId, source});
 			metrics.increment('quarantine.lifted', 1);
 		}
 
-		return news;
+		return update;
 	}
 }
--- a/src/quarantine/node/quarantine-news.test.ts
+++ b/src/quarantine/node/quarantine-updates.test.ts
@@ -2,21 +2,21 @@
 import {ManualClock} from '../../base/common/clock.js';
 import {Emitter} from '../../base/common/emitter.js';
 import {MeshStandin} from '../../../test/mesh-standin.js';
-import type {ContentEnds} from '../common/end-record.js';
-import {QuarantineNews} from './quarantine-news.js';
+import type {ContentCrashes} from '../common/crash-record.js';
+import {QuarantineUpdates} from './quarantine-updates.js';
 
-const newsOf = (digit: string): ContentEnds => ({contentId: digit.repeat(32), ends: [{serverId: 's@1', ageMs: 5}], cleared: ['r@1']});
+const updateOf = (digit: string): ContentCrashes => ({contentId: digit.repeat(32), ends: [{serverId: 's@1', ageMs: 5}], cleared: ['r@1']});
 
-function makeNews(known: ContentEnds[] = []) {
+function makeUpdates(known: ContentCrashes[] = []) {
 	const clock = ManualClock.create();
-	const learned = Emitter.create<ContentEnds>();
-	const heard: Array<readonly ContentEnds[]> = [];
+	const observed = Emitter.create<ContentCrashes>();
+	const received: Array<readonly ContentCrashes[]> = [];
 	const mesh = MeshStandin.create();
-	QuarantineNews.create({
+	QuarantineUpdates.create({
 		quarantine: {
-			onDidLearn: learned.event,
+			onDidLearn: observed.event,
 			hear(contents) {
-				heard.push(contents);
+				received.push(contents);
 			},
 			all: () => known,
 		},
@@ -24,26 +24,26 @@
 		clock,
 	});
 	return {
-		clock, learned, heard, mesh,
+		clock, observed, received, mesh,
 	};
 }
 
 t.test('updates that arise within a short time are broadcast to all peers in one message, and are received unchanged', async t => {
-	const {clock, learned, heard, mesh} = makeNews();
-	learned.fire(newsOf('a'));
-	learned.fire({...newsOf('b'), trials: {count: 1, ageMs: 0}});
+	const {clock, observed, received, mesh} = makeUpdates();
+	observed.fire(updateOf('a'));
+	observed.fire({...updateOf('b'), trials: {count: 1, ageMs: 0}});
 	t.same(mesh.sent, []);
 	clock.advance(10);
 	t.equal(mesh.sent.length, 1);
 	const [{to, message}] = mesh.sent;
 	t.equal(to, 'all');
 	mesh.receive('peer', message);
-	t.same(heard, [[newsOf('a'), {...newsOf('b'), trials: {count: 1, ageMs: 0}}]]);
+	t.same(received, [[updateOf('a'), {...updateOf('b'), trials: {count: 1, ageMs: 0}}]]);
 });
 
 t.test('a host that connects, for the first time or again, gets the full record', async t => {
-	const known = Array.from({length: 1100}, (_, index) => ({...newsOf('a'), contentId: String(index).padStart(32, '0')}));
-	const {mesh} = makeNews(known);
+	const known = Array.from({length: 1100}, (_, index) => ({...updateOf('a'), contentId: String(index).padStart(32, '0')}));
+	const {mesh} = makeUpdates(known);
 	mesh.connect('late');
 	t.same(mesh.sent.map(({to, message}) => [to, message.type === 'fatalContents' ? message.contents.length : 0]), [['late', 500], ['late', 500], ['late', 100]]);
 });
--- a/src/routing/common/sleep.test.ts
+++ b/src/routing/common/sleep.test.ts
@@ -12,7 +12,7 @@
 import {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {FirstTries} from '../../direct/common/first-tries.js';
 import {FleetMemory} from '../../peers/common/fleet-memory.js';
-import {EndRecord} from '../../quarantine/common/end-record.js';
+import {CrashRecord} from '../../quarantine/common/crash-record.js';
 import {boundOfCold} from './rate-bound.js';
 import {directWork, SendBounds} from './send-bounds.js';
 import {SendShare} from './send-share.js';
@@ -41,7 +41,7 @@
 
 t.test('a bar of a content ends while the host sleeps', async t => {
 	const clock = ManualClock.create();
-	const record = EndRecord.create(1);
+	const record = CrashRecord.create(1);
 	const contentId = 'c'.repeat(32);
 	record.merge({contentId, ends: [{serverId: 'a', ageMs: 0}], cleared: []}, clock.nowMs());
 	const untilMs = record.barredUntilMs(contentId, clock.nowMs());
