--- a/src/direct/node/direct-links.ts
+++ b/src/direct/node/direct-links.ts
@@ -43,7 +43,7 @@
 	/** Something came from a server. */
 	readonly heard: (serverId: string, dispatchId: string) => void;
 	/** Learns which requests end the servers that run them, and which do not. */
-	readonly quarantine: Pick<Quarantine, 'sent' | 'brokeOff' | 'completed'>;
+	readonly quarantine: Pick<Quarantine, 'sent' | 'connectionLost' | 'completed'>;
 };
 
 /** A call about to be made. */
@@ -217,7 +217,7 @@
 				this.receive(server, event);
 			},
 			brokeOff() {
-				quarantine.brokeOff(contentIdOf(source), server, facts.callerRequestId);
+				quarantine.connectionLost(contentIdOf(source), server, facts.callerRequestId);
 			},
 			reached(eventId) {
 				facts.resumeAfter = eventId;
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -41,7 +41,7 @@
 	readonly bounds: Pick<SendBounds, 'allowance' | 'sent'>;
 	readonly protocol: BatchProtocol;
 	readonly budget: WindowedBudget;
-	readonly quarantine: Pick<Quarantine, 'brokeOff' | 'cautionOf'>;
+	readonly quarantine: Pick<Quarantine, 'connectionLost' | 'handlingOf'>;
 	readonly clock: Clock;
 	readonly log: Logger;
 	readonly metrics: Metrics;
@@ -64,7 +64,7 @@
 
 	private constructor(private readonly options: BatchPoolOptions) {
 		this.log = PoolLog.create(options);
-		this.machine = BatchMachine.create(contentId => options.quarantine.cautionOf(contentId), (server, nowMs) => options.bounds.allowance(server, soleWork, nowMs));
+		this.machine = BatchMachine.create(contentId => options.quarantine.handlingOf(contentId), (server, nowMs) => options.bounds.allowance(server, soleWork, nowMs));
 		this.releases = this.owned.add(ResultReleases.create({
 			registry: options.registry,
 			clock: options.clock,
@@ -215,7 +215,7 @@
 	/** Any of the requests with a piece in the call may have ended its upstream. */
 	private brokeOff({server, pieces}: BatchCall): void {
 		for (const {contentId, callerRequestId} of new Map(pieces.map(({work}) => [work.contentId, work])).values()) {
-			this.options.quarantine.brokeOff(contentId, server, callerRequestId);
+			this.options.quarantine.connectionLost(contentId, server, callerRequestId);
 		}
 	}
 
--- a/src/quarantine/common/crash-detector.test.ts
+++ b/src/quarantine/common/crash-detector.test.ts
@@ -24,7 +24,7 @@
 		clock,
 	});
 	const crashed: string[] = [];
-	detector.onDidEnd(serverId => {
+	detector.onDidCrash(serverId => {
 		crashed.push(serverId);
 	});
 	const pass = async (byMs: number) => {
@@ -46,7 +46,7 @@
 
 t.test('a lost connection proves nothing about a server that still listens', async t => {
 	const {detector, state, crashed, pass} = makeDetector();
-	detector.brokeOff(server);
+	detector.connectionLost(server);
 	t.ok(detector.isBeingChecked('s@1'));
 	await pass(30);
 	t.notOk(detector.isBeingChecked('s@1'), 'requests wait no longer');
@@ -58,7 +58,7 @@
 t.test('an address that does not respond proves nothing, and is checked a second time', async t => {
 	const {detector, state, crashed, pass} = makeDetector();
 	state.address = addressStates.silent;
-	detector.brokeOff(server);
+	detector.connectionLost(server);
 	await pass(30);
 	t.ok(detector.isBeingChecked('s@1'));
 	await pass(200);
@@ -71,7 +71,7 @@
 	const {detector, state, crashed, pass} = makeDetector();
 	state.address = addressStates.refused;
 	for (let index = 0; index < 20; index++) {
-		detector.brokeOff(server);
+		detector.connectionLost(server);
 	}
 
 	await pass(30);
@@ -82,14 +82,14 @@
 t.test('a connection lost later causes a new check, and calls lost earlier are not blamed for its result', async t => {
 	const {detector, state, crashed, pass} = makeDetector();
 	const settled: string[] = [];
-	detector.onDidSettle(serverId => {
+	detector.onDidConclude(serverId => {
 		settled.push(serverId);
 	});
-	detector.brokeOff(server);
+	detector.connectionLost(server);
 	await pass(30);
 	await pass(200);
 	state.address = addressStates.refused;
-	detector.brokeOff(server);
+	detector.connectionLost(server);
 	t.same(settled, ['s@1']);
 	await pass(30);
 	t.same(crashed, ['s@1']);
@@ -98,7 +98,7 @@
 t.test('the registry proves a crash that the address does not show: the server has restarted already, or its entry expired', async t => {
 	for (const reason of [goneReasons.startedAgain, goneReasons.dropped, goneReasons.addressTaken]) {
 		const {detector, crashed, pass, reportChange} = makeDetector();
-		detector.brokeOff(server);
+		detector.connectionLost(server);
 		await pass(3000);
 		reportChange('gone', reason);
 		t.same(crashed, ['s@1'], reason);
@@ -108,7 +108,7 @@
 t.test('a server that leaves, or disappears while the store is unavailable, was not crashed by a call', async t => {
 	for (const [change, reason] of [['leaving', undefined], ['missing', undefined], ['gone', goneReasons.lapsed], ['gone', goneReasons.unreadable]] as const) {
 		const {detector, state, crashed, pass, reportChange} = makeDetector();
-		detector.brokeOff(server);
+		detector.connectionLost(server);
 		reportChange(change, reason);
 		state.address = addressStates.refused;
 		await pass(10_000);
@@ -116,5 +116,5 @@
 	}
 
 	const leaving = makeDetector({...server, isLeaving: true});
-	t.notOk(leaving.detector.brokeOff(server));
+	t.notOk(leaving.detector.connectionLost(server));
 });
--- a/src/quarantine/common/crash-detector.ts
+++ b/src/quarantine/common/crash-detector.ts
@@ -72,12 +72,12 @@
 	}
 
 	/** Fires with the id of a server process that crashed. */
-	get onDidEnd() {
+	get onDidCrash() {
 		return this.didCrash.event;
 	}
 
 	/** Fires with the id of a server process that is no longer watched, whether or not it crashed. */
-	get onDidSettle() {
+	get onDidConclude() {
 		return this.didConclude.event;
 	}
 
@@ -91,7 +91,7 @@
 	@param server - the server.
 	@returns whether the call may have crashed the server, which is now being found out.
 	*/
-	brokeOff(server: UpstreamServer): boolean {
+	connectionLost(server: UpstreamServer): boolean {
 		const {serverId} = server;
 		if (this.isBeingChecked(serverId)) {
 			return true;
--- a/src/quarantine/common/quarantine.test.ts
+++ b/src/quarantine/common/quarantine.test.ts
@@ -43,13 +43,13 @@
 	constructor(clock: ManualClock) {
 		this.quarantine = Quarantine.create({
 			crashDetector: {
-				brokeOff: ({serverId}) => {
+				connectionLost: ({serverId}) => {
 					this.suspectServers.add(serverId);
 					return true;
 				},
 				isBeingChecked: serverId => this.suspectServers.has(serverId),
-				onDidEnd: this.didCrash.event,
-				onDidSettle: this.didConclude.event,
+				onDidCrash: this.didCrash.event,
+				onDidConclude: this.didConclude.event,
 			},
 			clock,
 			log: silentLoggers.for('test'),
@@ -78,12 +78,12 @@
 	const startHost = (index: number) => {
 		const host = new Host(clock);
 		const known = hosts.find((_, other) => other !== index);
-		host.quarantine.hear(known?.quarantine.all() ?? [], 'peer');
+		host.quarantine.handlePeerReport(known?.quarantine.all() ?? [], 'peer');
 		hosts[index] = host;
-		host.quarantine.onDidLearn(update => {
+		host.quarantine.onDidObserve(update => {
 			clock.setTimer(updateDelayMs, () => {
 				for (const other of hosts) {
-					other.quarantine.hear([update], 'peer');
+					other.quarantine.handlePeerReport([update], 'peer');
 				}
 			});
 		});
@@ -99,7 +99,7 @@
 /** Simulates a server that crashes while it runs requests of a host. */
 function crashServer(host: Host, serverId: string, ...sources: ContentSource[]): void {
 	for (const source of sources) {
-		host.quarantine.brokeOff(contentIdOf(source), serverOf(serverId), 'r');
+		host.quarantine.connectionLost(contentIdOf(source), serverOf(serverId), 'r');
 	}
 
 	host.conclude(serverId, true);
@@ -117,7 +117,7 @@
 	t.equal(hosts[0].quarantine.standingOf(sourceOf('other')).type, 'clear');
 	t.equal(hosts[0].quarantine.standingOf(sourceOf('fatal', 'someone else')).type, 'clear', 'a workspace can\'t get the requests of another one barred');
 	const late = new Host(clock);
-	late.quarantine.hear(hosts[3].quarantine.all(), 'peer');
+	late.quarantine.handlePeerReport(hosts[3].quarantine.all(), 'peer');
 	t.equal(late.quarantine.standingOf(sourceOf('fatal')).type, 'barred', 'on a host that starts later');
 });
 
@@ -125,7 +125,7 @@
 	const {hosts: [host]} = makeHosts(1);
 	crashServer(host, 's0', sourceOf('fatal'));
 	crashServer(host, 's1', sourceOf('fatal'));
-	host.quarantine.brokeOff(contentIdOf(sourceOf('fatal')), serverOf('s2'), 'r');
+	host.quarantine.connectionLost(contentIdOf(sourceOf('fatal')), serverOf('s2'), 'r');
 	t.equal(host.quarantine.standingOf(sourceOf('fatal')).type, 'inDoubt');
 	host.conclude('s2', false);
 	t.equal(host.quarantine.standingOf(sourceOf('fatal')).type, 'clear', 'only the connection was lost');
@@ -191,7 +191,7 @@
 			crashCount++;
 			crashServer(hosts[index], `s${crashCount}`, source, ...beside.map(item => sourceOf(item)));
 		} else if (isCut) {
-			quarantine.brokeOff(contentIdOf(source), serverOf(`live-${body}`), 'r');
+			quarantine.connectionLost(contentIdOf(source), serverOf(`live-${body}`), 'r');
 			hosts[index].conclude(`live-${body}`, false);
 		} else {
 			quarantine.completed(source);
--- a/src/quarantine/common/quarantine.ts
+++ b/src/quarantine/common/quarantine.ts
@@ -58,7 +58,7 @@
 
 /** Dependencies of the quarantine. */
 export type QuarantineOptions = {
-	readonly crashDetector: Pick<CrashDetector, 'brokeOff' | 'isBeingChecked' | 'onDidEnd' | 'onDidSettle'>;
+	readonly crashDetector: Pick<CrashDetector, 'connectionLost' | 'isBeingChecked' | 'onDidCrash' | 'onDidConclude'>;
 	readonly clock: Clock;
 	readonly log: Logger;
 	readonly metrics: Metrics;
@@ -82,16 +82,16 @@
 
 	private constructor(private readonly options: QuarantineOptions) {
 		const {crashDetector} = options;
-		this.owned.add(crashDetector.onDidEnd(serverId => {
+		this.owned.add(crashDetector.onDidCrash(serverId => {
 			this.handleServerCrash(serverId);
 		}));
-		this.owned.add(crashDetector.onDidSettle(serverId => {
+		this.owned.add(crashDetector.onDidConclude(serverId => {
 			this.suspectContents.delete(serverId);
 		}));
 	}
 
 	/** Fires with what this host has observed itself, for its peers. */
-	get onDidLearn() {
+	get onDidObserve() {
 		return this.didObserve.event;
 	}
 
@@ -121,7 +121,7 @@
 	Determines how a piece of a request may be sent.
 	@param contentId - the content id of the request.
 	*/
-	cautionOf(contentId: string): PieceHandling {
+	handlingOf(contentId: string): PieceHandling {
 		if (this.headDigests.size === 0 || !this.headDigests.has(headOfContentId(contentId))) {
 			return pieceHandlings.none;
 		}
@@ -157,8 +157,8 @@
 	@param server - the server that ran it.
 	@param requestId - the caller's id of this attempt.
 	*/
-	brokeOff(contentId: string, server: UpstreamServer, requestId: string): void {
-		if (this.options.crashDetector.brokeOff(server)) {
+	connectionLost(contentId: string, server: UpstreamServer, requestId: string): void {
+		if (this.options.crashDetector.connectionLost(server)) {
 			this.options.log.info(quarantineLogMessages.connectionLost, {request: requestId, content: contentId, server: server.serverId});
 			this.addHeadDigest(contentId);
 			const contents = this.suspectContents.get(server.serverId) ?? new Set();
@@ -192,7 +192,7 @@
 	@param known - the crashes of some contents.
 	@param hostId - the peer.
 	*/
-	hear(known: readonly ContentCrashes[], hostId: string): void {
+	handlePeerReport(known: readonly ContentCrashes[], hostId: string): void {
 		for (const item of known) {
 			this.merge(item, hostId);
 		}
--- a/src/quarantine/node/quarantine-updates.test.ts
+++ b/src/quarantine/node/quarantine-updates.test.ts
@@ -14,8 +14,8 @@
 	const mesh = MeshStandin.create();
 	QuarantineUpdates.create({
 		quarantine: {
-			onDidLearn: observed.event,
-			hear(contents) {
+			onDidObserve: observed.event,
+			handlePeerReport(contents) {
 				received.push(contents);
 			},
 			all: () => known,
--- a/src/quarantine/node/quarantine-updates.ts
+++ b/src/quarantine/node/quarantine-updates.ts
@@ -13,7 +13,7 @@
 
 /** Dependencies of the quarantine updates. */
 export type QuarantineUpdatesOptions = {
-	readonly quarantine: Pick<Quarantine, 'onDidLearn' | 'hear' | 'all'>;
+	readonly quarantine: Pick<Quarantine, 'onDidObserve' | 'handlePeerReport' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 	readonly clock: Clock;
 };
@@ -30,12 +30,12 @@
 
 	private constructor(private readonly options: QuarantineUpdatesOptions) {
 		const {quarantine, mesh} = options;
-		this.owned.add(quarantine.onDidLearn(update => {
+		this.owned.add(quarantine.onDidObserve(update => {
 			this.scheduleBroadcast(update);
 		}));
 		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
 			if (message.type === 'fatalContents') {
-				quarantine.hear(message.contents, hostId);
+				quarantine.handlePeerReport(message.contents, hostId);
 			}
 		}));
 		this.owned.add(mesh.onDidConnect(hostId => {
