--- a/src/quarantine/common/crash-detector.test.ts
+++ b/src/quarantine/common/crash-detector.test.ts
@@ -81,16 +81,16 @@
 
 t.test('a connection lost later causes a new check, and calls lost earlier are not blamed for its result', async t => {
 	const {detector, state, crashed, pass} = makeDetector();
-	const settled: string[] = [];
+	const concluded: string[] = [];
 	detector.onDidConclude(serverId => {
-		settled.push(serverId);
+		concluded.push(serverId);
 	});
 	detector.connectionLost(server);
 	await pass(30);
 	await pass(200);
 	state.address = addressStates.refused;
 	detector.connectionLost(server);
-	t.same(settled, ['s@1']);
+	t.same(concluded, ['s@1']);
 	await pass(30);
 	t.same(crashed, ['s@1']);
 });
--- a/src/quarantine/common/crash-record.test.ts
+++ b/src/quarantine/common/crash-record.test.ts
@@ -75,8 +75,8 @@
 	}
 
 	t.equal(record.barredUntilMs(content, 1000), 61_000);
-	const news = record.recordTrial(content, 61_000);
-	t.match(news, {trials: {count: 1}});
+	const update = record.recordTrial(content, 61_000);
+	t.match(update, {trials: {count: 1}});
 	t.equal(record.barredUntilMs(content, 61_000), 61_000 + 120_000, 'it is barred again at once');
 	const peer = CrashRecord.create(3);
 	for (const item of record.all(62_000)) {
--- a/src/quarantine/common/quarantine.test.ts
+++ b/src/quarantine/common/quarantine.test.ts
@@ -176,7 +176,7 @@
 Sends the requests 0.1 s apart, then each harmless request once a second for two minutes. Returns how many servers crashed, and
 whether all harmless requests were served in the last second.
 */
-function playAttempts(tries: readonly Attempt[]) {
+function playAttempts(attempts: readonly Attempt[]) {
 	const {clock, hosts, startHost} = makeHosts(5);
 	let crashCount = 0;
 	const play = ({host: index, body, beside, isCut}: Attempt) => {
@@ -200,7 +200,7 @@
 		return true;
 	};
 
-	for (const item of tries) {
+	for (const item of attempts) {
 		clock.advance(100);
 		play(item);
 		if (item.startsAnew) {
@@ -216,15 +216,15 @@
 		})).every(Boolean);
 	}
 
-	return {ended: crashCount, isServed};
+	return {crashCount, isServed};
 }
 
 t.test('random sequences: a fatal request reaches three servers at most, and harmless requests are served in the end', async () => {
-	const tries = fc.array(fc.record({
+	const attemptsArbitrary = fc.array(fc.record({
 		host: fc.nat(4), body: fc.constantFrom('fatal', 'fatal', 'a', 'b', 'c'), beside: fc.subarray(['a', 'b', 'c']), isCut: fc.boolean(), startsAnew: fc.nat(9).map(value => value === 0),
 	}), {minLength: 60, maxLength: 60});
-	fc.assert(fc.property(tries, attempts => {
-		const {ended, isServed} = playAttempts(attempts);
-		return ended <= 3 && isServed;
+	fc.assert(fc.property(attemptsArbitrary, attempts => {
+		const {crashCount, isServed} = playAttempts(attempts);
+		return crashCount <= 3 && isServed;
 	}), {seed: 1, numRuns: 300});
 });
