--- a/src/agent/common/order-fence.ts
+++ b/src/agent/common/order-fence.ts
@@ -27,7 +27,10 @@
 		}
 	}
 
-	/** Called when this process was suspended: an order read now may have been waiting, so the next one is refused, and newer ones pass again. */
+	/**
+	Called when this process was suspended. An order read now may have been waiting, so the next one is refused; newer ones pass
+	again.
+	*/
 	processSuspended(): void {
 		this.isNextSuspect = true;
 	}
--- a/src/quarantine/common/crash-detector.ts
+++ b/src/quarantine/common/crash-detector.ts
@@ -35,8 +35,8 @@
 
 /**
 Delays before the address is checked after a connection was lost. A process that exits closes its connections and its listening
-socket together, so the first check is conclusive unless a packet is lost or the machine is busy. Each check costs
-the server a new connection: after a reset of all connections, one from each host to each server.
+socket together, so the first check is conclusive unless a packet is lost or the machine is busy. Each check costs the server a new
+connection: after a reset of all connections, one from each host to each server.
 */
 const checkDelaysMs = [30, 200];
 /** How long the registry may take to report the server as gone; longer than its entry takes to expire. */
--- a/src/quarantine/common/crash-record.ts
+++ b/src/quarantine/common/crash-record.ts
@@ -22,10 +22,16 @@
 export const retentionMs = 7_200_000;
 /** Maximum number of recorded contents, about 300 bytes each. Beyond it, contents that are not barred are evicted first. */
 const maxContents = 10_000;
-/** Maximum number of crashes recorded for one content, and of cleared ones: a content that is requested all day is present at many. */
+/**
+Maximum number of crashes recorded for one content, and of those cleared for it. There is a limit because a content that is
+requested all day is present at many crashes.
+*/
 const maxCrashes = 64;
 
-/** How long a content is barred before its first trial request: one that is harmless and was only present at crashes is served again after that. */
+/**
+How long a content is barred before its first trial request. A harmless content that was only present at crashes is served again
+after that.
+*/
 const initialBarMs = 60_000;
 /**
 Maximum time for which a content is barred. The time doubles with each trial request, or with each further crash where pieces of
--- a/src/quarantine/common/quarantine.ts
+++ b/src/quarantine/common/quarantine.ts
@@ -45,7 +45,10 @@
 /** How a piece of a request may be sent to a server that processes pieces of several requests in one call. */
 export const pieceHandlings = {
 	none: 'none',
-	/** The request was present when servers crashed: in a call of its own it can harm no other request, and a crash shows which one caused it. */
+	/**
+	The request was present when servers crashed. In a call of its own it can harm no other request, and a crash shows which request
+	caused it.
+	*/
 	alone: 'alone',
 	/** The request may have crashed the last server that ran it; a check is under way. */
 	wait: 'wait',
