--- a/src/agent/node/call-runner.ts
+++ b/src/agent/node/call-runner.ts
@@ -1,4 +1,4 @@
-/** Runs the calls that the gate starts, and reports them back to it. */
+/** Runs the calls that the gate starts, and reports their progress to it. */
 import type {Clock} from '../../base/common/clock.js';
 import {messageOf} from '../../base/common/errors.js';
 import type {CallEnd, GateAction} from '../../request/common/gate-actions.js';
@@ -9,18 +9,18 @@
 type Call = {
 	readonly controller: AbortController;
 	isOpen: boolean;
-	/** Wakes the reader that waits for credit. */
-	wake: (() => void) | undefined;
+	/** Resumes the reader that waits for credit. */
+	resumeReader: (() => void) | undefined;
 };
 
-/** Holds the calls in flight at the upstream. */
+/** Manages the calls in flight on the upstream. */
 export class CallRunner {
 	/**
-	Makes a runner.
-	@param gate - told of each call's progress.
+	Creates a runner.
+	@param gate - notified of the progress of each call.
 	@param driver - calls the upstream.
-	@param clock - the time.
-	@param perform - carries out what the gate says.
+	@param clock - the source of the current time.
+	@param perform - carries out the actions that the gate returns.
 	*/
 	static create(gate: GateStateMachine, driver: UpstreamDriver, clock: Clock, perform: (actions: readonly GateAction[]) => void): CallRunner {
 		return new CallRunner(gate, driver, clock, perform);
@@ -36,7 +36,7 @@
 	) {}
 
 	start(dispatch: DispatchMessage): void {
-		const call: Call = {controller: new AbortController(), isOpen: true, wake: undefined};
+		const call: Call = {controller: new AbortController(), isOpen: true, resumeReader: undefined};
 		this.calls.set(dispatch.dispatchId, call);
 		void this.run(dispatch, call);
 	}
@@ -44,16 +44,16 @@
 	abort(dispatchId: string): void {
 		const call = this.calls.get(dispatchId);
 		call?.controller.abort();
-		call?.wake?.();
+		call?.resumeReader?.();
 	}
 
-	/** Lets the upstream's stream go on, or holds it. */
+	/** Resumes or pauses reading the response of the upstream. */
 	setFlow(dispatchId: string, isOpen: boolean): void {
 		const call = this.calls.get(dispatchId);
 		if (call) {
 			call.isOpen = isOpen;
 			if (isOpen) {
-				call.wake?.();
+				call.resumeReader?.();
 			}
 		}
 	}
@@ -76,13 +76,13 @@
 			started: http => {
 				this.perform(this.gate.callStarted(dispatchId, http, this.clock.nowMs()));
 			},
-			piece: (units, data) => {
+			chunk: (units, data) => {
 				this.perform(this.gate.callChunkReceived(dispatchId, units, data, this.clock.nowMs()));
 			},
 			async ready() {
 				while (!call.isOpen && !call.controller.signal.aborted) {
 					await new Promise<void>(resolve => {
-						call.wake = resolve;
+						call.resumeReader = resolve;
 					});
 				}
 			},
--- a/src/agent/node/engine-driver.ts
+++ b/src/agent/node/engine-driver.ts
@@ -1,13 +1,13 @@
-/** Drives a model engine: start, stream, cancel, resume, orders. */
+/** Driver for model engines: starts, streams, cancels and resumes generations, and forwards orders. */
 import {Pool} from 'undici';
 import {z} from 'zod';
 import {messageOf} from '../../base/common/errors.js';
 import type {CallEnd} from '../../request/common/gate-actions.js';
 import type {DispatchMessage, OrderMessage} from '../../wire/common/messages.js';
 import type {
-	CallSink, OrderEnd, UpstreamDriver, UpstreamState,
+	CallSink, OrderResult, UpstreamDriver, UpstreamState,
 } from '../common/upstream-driver.js';
-import {endOfError} from './http-errors.js';
+import {callEndOfError} from './http-errors.js';
 
 const callTimeoutMs = 2000;
 const statusOk = 200;
@@ -24,11 +24,11 @@
 	slots: z.number(), models: z.array(z.object({model: z.string(), version: z.string(), adapters: z.array(z.string())})),
 });
 
-/** Follows the numbered tokens of one stream. */
+/** Parses one stream of numbered tokens, and checks that none is missing or repeated. */
 class TokenReader {
 	count: number;
 	isEnded = false;
-	private rest = '';
+	private partialLine = '';
 	private readonly decoder = new TextDecoder();
 	private readonly encoder = new TextEncoder();
 
@@ -36,10 +36,10 @@
 		this.count = offset;
 	}
 
-	/** Passes whole lines on; returns what is wrong with the stream, if anything. */
+	/** Forwards the tokens of complete lines to the sink. Returns a description of the first problem in the stream, if any. */
 	read(bytes: Uint8Array, sink: CallSink): string | undefined {
-		const lines = `${this.rest}${this.decoder.decode(bytes, {stream: true})}`.split('\n');
-		this.rest = lines.pop() ?? '';
+		const lines = `${this.partialLine}${this.decoder.decode(bytes, {stream: true})}`.split('\n');
+		this.partialLine = lines.pop() ?? '';
 		let text = '';
 		let units = 0;
 		let problem: string | undefined;
@@ -64,7 +64,7 @@
 
 		if (units > 0) {
 			this.count += units;
-			sink.piece(units, this.encoder.encode(text));
+			sink.chunk(units, this.encoder.encode(text));
 		}
 
 		return problem;
@@ -79,7 +79,7 @@
 	}
 }
 
-/** A model engine on its own host. */
+/** Calls a model engine on the host of the agent. */
 export class EngineDriver implements UpstreamDriver {
 	static create(origin: string): EngineDriver {
 		return new EngineDriver(new Pool(origin, {bodyTimeout: 0, headersTimeout: 0}));
@@ -107,7 +107,7 @@
 					maxTokens: call.maxTokens,
 					seed: call.seed,
 					offset: call.resumeOffset,
-					// Work that can still be in time, or that others have paid for, goes before the rest.
+					// Work that can still meet its deadline, or on which another engine has already spent effort, goes first.
 					priority: (dispatch.dueInMs > 0 ? inTimePriority : 0) + (call.resumeOffset > 0 ? 1 : 0),
 				}),
 				signal,
@@ -120,7 +120,7 @@
 			sink.started();
 			return await readTokens(response.body, call.resumeOffset, sink);
 		} catch (error) {
-			return endOfError(error, dispatch.isRepeatable);
+			return callEndOfError(error, dispatch.isRepeatable);
 		}
 	}
 
@@ -143,7 +143,7 @@
 		}));
 	}
 
-	async order(order: OrderMessage): Promise<OrderEnd> {
+	async order(order: OrderMessage): Promise<OrderResult> {
 		const {epoch, sequence, kind, model, adapter, version} = order;
 		try {
 			const response = await this.pool.request({
@@ -155,13 +155,13 @@
 				}),
 				signal: AbortSignal.timeout(Math.max(1, order.timeLeftMs)),
 			});
-			const answer = refusalSchema.safeParse(await response.body.json()).data;
+			const refusal = refusalSchema.safeParse(await response.body.json()).data;
 			if (response.statusCode === statusOk) {
 				return {isAccepted: true};
 			}
 
-			const what = response.statusCode === statusConflict ? 'refused' : `status ${response.statusCode}`;
-			return {isAccepted: false, reason: `${what}: ${answer?.message ?? ''}`};
+			const outcome = response.statusCode === statusConflict ? 'refused' : `status ${response.statusCode}`;
+			return {isAccepted: false, reason: `${outcome}: ${refusal?.message ?? ''}`};
 		} catch (error) {
 			return {isAccepted: false, reason: messageOf(error)};
 		}
--- a/src/agent/node/http-driver.ts
+++ b/src/agent/node/http-driver.ts
@@ -1,23 +1,23 @@
-/** Drives workers and plain services: one HTTP call, its answer passed on as it comes. */
+/** Driver for workers and plain services: one HTTP call each, whose response is forwarded as it arrives. */
 import {Pool, type Dispatcher} from 'undici';
 import {z} from 'zod';
 import type {CallEnd} from '../../request/common/gate-actions.js';
 import type {DispatchMessage, Header} from '../../wire/common/messages.js';
 import type {
-	CallSink, OrderEnd, UpstreamDriver, UpstreamState,
+	CallSink, OrderResult, UpstreamDriver, UpstreamState,
 } from '../common/upstream-driver.js';
-import {endOfError} from './http-errors.js';
+import {callEndOfError} from './http-errors.js';
 
 const callTimeoutMs = 2000;
 const statusOk = 200;
-const firstErrorStatus = 400;
+const minErrorStatus = 400;
 
-/** Headers that speak of one connection, not of the answer. */
-const connectionHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-authenticate', 'proxy-authorization']);
+/** Hop-by-hop headers: they concern one connection, not the request or response, and are not forwarded. */
+const hopByHopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-authenticate', 'proxy-authorization']);
 
 const stateSchema = z.object({slots: z.number()});
 
-/** A worker or a plain service on its own host. */
+/** Calls a worker or a plain service on the host of the agent. */
 export class HttpDriver implements UpstreamDriver {
 	static create(origin: string): HttpDriver {
 		return new HttpDriver(new Pool(origin, {bodyTimeout: 0, headersTimeout: 0}));
@@ -34,23 +34,23 @@
 		try {
 			const response = await this.pool.request({...requestOf(dispatch), signal});
 			const {statusCode: status} = response;
-			if (call.kind === 'run' && status >= firstErrorStatus) {
+			if (call.kind === 'run' && status >= minErrorStatus) {
 				await response.body.dump();
 				return {state: 'failed', reason: `status ${status}`};
 			}
 
-			// A plain service's answer is passed on whatever its status: it did run.
+			// The response of a plain service is forwarded whatever its status, because the call did run.
 			sink.started(call.kind === 'http' ? {status, headers: headersOf(response)} : undefined);
 			for await (const bytes of response.body) {
 				if (bytes instanceof Uint8Array) {
-					sink.piece(1, bytes);
+					sink.chunk(1, bytes);
 					await sink.ready();
 				}
 			}
 
 			return {state: 'completed'};
 		} catch (error) {
-			return endOfError(error, dispatch.isRepeatable);
+			return callEndOfError(error, dispatch.isRepeatable);
 		}
 	}
 
@@ -65,10 +65,10 @@
 	}
 
 	async cancelOrphans(): Promise<void> {
-		// These upstreams have no call for it: a call ends with its connection, which died with the agent.
+		// These upstreams have no API for it: a call ends with its connection, which was closed when the agent ended.
 	}
 
-	async order(): Promise<OrderEnd> {
+	async order(): Promise<OrderResult> {
 		return {isAccepted: false, reason: 'this upstream takes no orders'};
 	}
 
@@ -80,7 +80,7 @@
 function requestOf(dispatch: DispatchMessage): Dispatcher.RequestOptions {
 	const {call, requestId} = dispatch;
 	if (call.kind === 'http') {
-		const headers = call.headers.filter(header => !connectionHeaders.has(header.name));
+		const headers = call.headers.filter(header => !hopByHopHeaders.has(header.name));
 		return {
 
 			method: call.method,
@@ -101,6 +101,6 @@
 function headersOf(response: Dispatcher.ResponseData): Header[] {
 	return Object.entries(response.headers).flatMap(([name, value]) => {
 		const values = Array.isArray(value) ? value : [value ?? ''];
-		return connectionHeaders.has(name) ? [] : values.map(item => ({name, value: item}));
+		return hopByHopHeaders.has(name) ? [] : values.map(item => ({name, value: item}));
 	});
 }
--- a/src/placement/common/lease.test.ts
+++ b/src/placement/common/lease.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
 import {MemoryTable} from '../../standins/common/memory-table.js';
-import {LeaseKeeper, leaseMs} from './lease.js';
+import {PlacementLease, leaseMs} from './lease.js';
 
 const holderCount = 3;
 const index = fc.nat(holderCount - 1);
@@ -15,8 +15,8 @@
 	byMs: fc.integer({min: 1, max: leaseMs}),
 });
 
-function makeHolders(clock: ManualClock, table: MemoryTable): LeaseKeeper[] {
-	return Array.from({length: holderCount}, (_, number) => LeaseKeeper.create(table, clock, `h${number}`));
+function makeHolders(clock: ManualClock, table: MemoryTable): PlacementLease[] {
+	return Array.from({length: holderCount}, (_, number) => PlacementLease.create(table, clock, `h${number}`));
 }
 
 async function run(steps: readonly Step[]): Promise<void> {
@@ -61,7 +61,7 @@
 			}
 		}
 
-		const epochs = holders.flatMap(keeper => keeper.epoch ?? []);
+		const epochs = holders.flatMap(lease => lease.epoch ?? []);
 		if (epochs.length > 1) {
 			throw new Error(`${epochs.length} holders at once, epochs ${epochs.join(', ')}`);
 		}
@@ -79,7 +79,7 @@
 	t.equal(details.failed, false, String(details.errorInstance));
 });
 
-t.test('a holder that slept no longer holds, and the next one has a higher epoch', async t => {
+t.test('a holder that was suspended no longer holds the lease, and the next holder has a higher epoch', async t => {
 	const clock = ManualClock.create();
 	const [first, second] = makeHolders(clock, MemoryTable.create());
 	await first.tick();
@@ -93,7 +93,7 @@
 	t.equal(first.epoch, undefined);
 });
 
-t.test('a lease that was given up is taken at once', async t => {
+t.test('a released lease can be taken at once', async t => {
 	const clock = ManualClock.create();
 	const [first, second] = makeHolders(clock, MemoryTable.create());
 	await first.tick();
--- a/src/placement/common/placement-service.ts
+++ b/src/placement/common/placement-service.ts
@@ -1,30 +1,30 @@
-/** Brings engines to what the settings want, from whichever entry holds the lease. */
+/** Brings engines to the models in the settings, from whichever entry holds the placement lease. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {Logger} from '../../base/common/logger.js';
 import {jitter, type Random} from '../../base/common/random.js';
 import type {SettingsTree} from '../../settings/common/settings-tree.js';
 import type {OrderMessage, OrderReply} from '../../wire/common/messages.js';
-import type {LeaseKeeper} from './lease.js';
+import type {PlacementLease} from './lease.js';
 import {planOrders, type EngineView, type OrderStep} from './order-planner.js';
 
 const tickMs = 3000;
-/** Longest time of one order; with less of the lease left none is sent. */
-export const longestOrderMs = 8000;
-/** Loads from the weight store at once, over all pools. */
-const mostLoads = 2;
+/** Maximum duration of one order. No order is sent if the lease is held for less than this. */
+export const maxOrderMs = 8000;
+/** Maximum number of concurrent loads from the weight store, over all pools. */
+const maxConcurrentLoads = 2;
 
-/** What placement needs of the fleet. */
+/** The engines that placement sends orders to. */
 export type OrderFleet = {
-	/** Live engines of a pool, as last reported. */
+	/** Returns the live engines of a pool, as last reported. */
 	engines(pool: string): EngineView[];
-	/** Sends an order; false if nothing was written. */
+	/** Sends an order; returns false if nothing was written. */
 	send(upstreamId: string, order: OrderMessage): boolean;
 };
 
-/** What placement is made of. */
+/** Dependencies of the placement service. */
 export type PlacementOptions = {
-	readonly lease: LeaseKeeper;
+	readonly lease: PlacementLease;
 	readonly tree: SettingsTree;
 	readonly fleet: OrderFleet;
 	readonly clock: Clock;
@@ -33,16 +33,16 @@
 	readonly newOrderId: () => string;
 };
 
-type Pending = {readonly step: OrderStep; readonly untilMs: number};
+type PendingOrder = {readonly step: OrderStep; readonly expiresAtMs: number};
 
-/** Gives fenced orders while it holds the lease; without it, serving goes on as placed. */
+/** Sends fenced orders while it holds the lease; without the lease, engines go on serving the models that they have loaded. */
 export class PlacementService implements Disposable {
 	static create(options: PlacementOptions): PlacementService {
 		return new PlacementService(options);
 	}
 
 	private readonly owned = DisposableStore.create();
-	private readonly pending = new Map<string, Pending>();
+	private readonly pending = new Map<string, PendingOrder>();
 	private epoch = 0;
 	private sequence = 0;
 
@@ -51,22 +51,22 @@
 		this.owned.add(setRepeating(clock, () => jitter(random, tickMs), async () => this.tick()));
 	}
 
-	/** The epoch held, or nothing. */
+	/** The epoch of the lease, or `undefined` while it is not held. */
 	get leaseEpoch(): number | undefined {
 		return this.options.lease.epoch;
 	}
 
-	/** Renews the lease and gives the orders that are due. */
+	/** Renews the lease and sends the orders that are due. */
 	async tick(): Promise<void> {
 		await this.options.lease.tick();
-		this.giveOrders();
+		this.sendOrders();
 	}
 
 	/**
-	An agent answered an order.
-	@param reply - its answer.
+	Handles an agent's reply to an order.
+	@param reply - the reply.
 	*/
-	replied(reply: OrderReply): void {
+	handleReply(reply: OrderReply): void {
 		const pending = this.pending.get(reply.orderId);
 		this.pending.delete(reply.orderId);
 		if (pending && !reply.isAccepted) {
@@ -74,7 +74,7 @@
 		}
 	}
 
-	/** Gives the lease up, as at a planned stop. */
+	/** Stops and releases the lease, as at a planned shutdown. */
 	async release(): Promise<void> {
 		this.owned.dispose();
 		await this.options.lease.release();
@@ -84,7 +84,7 @@
 		this.owned.dispose();
 	}
 
-	private giveOrders(): void {
+	private sendOrders(): void {
 		const {lease, tree, fleet, clock, log} = this.options;
 		const {epoch} = lease;
 		this.dropOverdue();
@@ -104,35 +104,35 @@
 			const wanted = tree.pool(pool)?.models;
 			const busy = new Set(Array.from(this.pending.values(), item => item.step.upstreamId));
 			for (const step of wanted ? planOrders(wanted, fleet.engines(pool), busy) : []) {
-				this.give(step, epoch, clock.nowMs());
+				this.sendOrder(step, epoch, clock.nowMs());
 			}
 		}
 	}
 
-	private give(step: OrderStep, epoch: number, nowMs: number): void {
+	private sendOrder(step: OrderStep, epoch: number, nowMs: number): void {
 		const {lease, fleet, newOrderId} = this.options;
 		const loads = [...this.pending.values()].filter(item => item.step.kind === 'load').length;
-		const isOverRate = step.kind === 'load' && loads >= mostLoads;
-		// An order must end while the lease still holds: not every engine checks fences.
-		if (isOverRate || lease.remainingMs < longestOrderMs) {
+		const isAtLoadLimit = step.kind === 'load' && loads >= maxConcurrentLoads;
+		// An order must finish while the lease is still valid, because not every engine checks fences.
+		if (isAtLoadLimit || lease.remainingMs < maxOrderMs) {
 			return;
 		}
 
 		this.sequence++;
 		const orderId = newOrderId();
-		const {upstreamId, ...what} = step;
+		const {upstreamId, ...command} = step;
 		const isSent = fleet.send(upstreamId, {
-			type: 'order', orderId, epoch, sequence: this.sequence, timeLeftMs: longestOrderMs, ...what,
+			type: 'order', orderId, epoch, sequence: this.sequence, timeLeftMs: maxOrderMs, ...command,
 		});
 		if (isSent) {
-			this.pending.set(orderId, {step, untilMs: nowMs + (2 * longestOrderMs)});
+			this.pending.set(orderId, {step, expiresAtMs: nowMs + (2 * maxOrderMs)});
 		}
 	}
 
-	/** An order without an answer is forgotten; the engine's own report tells what became of it. */
+	/** Drops orders that got no reply in time; the engine's own report shows what became of them. */
 	private dropOverdue(): void {
-		for (const [orderId, {untilMs}] of this.pending) {
-			if (this.options.clock.nowMs() >= untilMs) {
+		for (const [orderId, {expiresAtMs}] of this.pending) {
+			if (this.options.clock.nowMs() >= expiresAtMs) {
 				this.pending.delete(orderId);
 			}
 		}
--- a/src/routing/common/suspend.test.ts
+++ b/src/routing/common/suspend.test.ts
@@ -12,7 +12,7 @@
 import {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {FirstTries} from '../../direct/common/first-tries.js';
 import {FleetTracker} from '../../peers/common/fleet-tracker.js';
-import {EndRecord} from '../../quarantine/common/end-record.js';
+import {CrashRecord} from '../../quarantine/common/crash-record.js';
 import {coldUpstreamBound} from './rate-bound.js';
 import {directWork, SendBounds} from './send-bounds.js';
 import {SendShare} from './send-share.js';
@@ -41,7 +41,7 @@
 
 t.test('a quarantine of a content expires during a suspend', async t => {
 	const clock = ManualClock.create();
-	const record = EndRecord.create(1);
+	const record = CrashRecord.create(1);
 	const contentId = 'c'.repeat(32);
 	record.merge({contentId, ends: [{serverId: 'a', ageMs: 0}], cleared: []}, clock.nowMs());
 	const untilMs = record.barredUntilMs(contentId, clock.nowMs());
