--- a/src/direct/common/bounded-admission.test.ts
+++ b/src/direct/common/bounded-admission.test.ts
@@ -9,37 +9,37 @@
 	return {state, admission, isAdmitted: (rank: number, nowMs: number) => admission.admit('p', rank, nowMs) === undefined};
 }
 
-t.test('a pool that is not bounded admits all', async t => {
+t.test('a pool that is not bounded admits all requests', async t => {
 	const {admission, isAdmitted} = makeAdmission(Infinity);
 	admission.reserve('p');
 	t.ok(isAdmitted(9, 0));
 });
 
-t.test('a bounded pool admits what may be sent, less what has begun', async t => {
+t.test('a bounded pool admits what may be sent, less what is reserved by started requests', async t => {
 	const {state, admission, isAdmitted} = makeAdmission(2);
 	const reservations = [admission.reserve('p'), admission.reserve('p')];
 	t.same(admission.admit('p', 0, 0), text);
 	reservations[0].dispose();
 	reservations[0].dispose();
-	t.ok(isAdmitted(0, 0), 'a reservation ends once');
+	t.ok(isAdmitted(0, 0), 'a reservation is released only once');
 	state.left = 0;
 	reservations[1].dispose();
 	t.notOk(isAdmitted(0, 0));
 });
 
-t.test('less urgent work leaves what urgent work asks for in a moment, as far as that came of late', async t => {
+t.test('less urgent requests leave the sends that urgent ones are expected to need, given their recent rate', async t => {
 	const {isAdmitted, state} = makeAdmission(1);
-	t.ok(isAdmitted(3, 0), 'nothing urgent came');
+	t.ok(isAdmitted(3, 0), 'no urgent request arrived');
 	for (let index = 0; index < 8; index++) {
 		t.ok(isAdmitted(1, 100 * index));
 	}
 
 	state.left = 3;
-	t.notOk(isAdmitted(3, 900), 'eight of late ask for three sends more');
+	t.notOk(isAdmitted(3, 900), 'eight recent ones are expected to need three more sends');
 	state.left = 4;
 	t.ok(isAdmitted(3, 900));
 	state.left = 1;
 	t.ok(isAdmitted(0, 900));
 	state.left = 1.01;
-	t.ok(isAdmitted(3, 40_000), 'long ago');
+	t.ok(isAdmitted(3, 40_000), 'the urgent requests are too long ago to count');
 });
--- a/src/direct/common/bounded-admission.ts
+++ b/src/direct/common/bounded-admission.ts
@@ -1,46 +1,46 @@
 /**
-Which requests may begin where each upstream of their pool is bounded, being cold or naming a limit: the most urgent ones first, and none
-whose steps would be done in vain.
+Admission of requests to pools in which the send rate of every upstream is bounded, because the upstream is cold or states a
+limit. Admits the most urgent requests first, and none whose preparation steps would be wasted.
 
-A send is kept for each request whose steps are being worked on. Besides, sends are kept back for what more urgent work is
-expected to ask for in the next moment, by what came of it of late: a few that stay unused cost less than an urgent request that
-finds none left, since what is bounded is taken by whoever comes first otherwise.
+One send is reserved for each request whose steps are running. Further sends are held back for the more urgent requests that
+are expected shortly, estimated from their recent rate. Bounded sends would otherwise go to whichever request arrives first,
+and a few unused sends cost less than an urgent request that is refused because none remain.
 */
 import {toDisposable, type Disposable} from '../../base/common/disposable.js';
 import type {Unavailability} from '../../request/common/request-router.js';
 import type {PoolAvailability} from './pool-availability.js';
 
-/** How far back what came counts: as long as the usual window of a bound. */
+/** Time constant with which counted requests decay: as long as the typical window of a send bound. */
 const demandMs = 4000;
-/** Urgent work of this time is provided for: a host's next send to a pool of a few limited upstreams is due within it. */
+/** Sends are held back for the urgent requests expected within this time, in which a host's next send to a pool of a few limited upstreams becomes due. */
 const providedMs = 1500;
 
-/** Requests of one rank: how many came, each fading with its age. */
+/** Exponentially decayed number of requests of one rank. */
 type Demand = {count: number; atMs: number};
 
-/** Decides at the door of one host. */
+/** Admits requests on one host. */
 export class BoundedAdmission {
 	/**
-	Makes one that has admitted nothing.
-	@param availability - tells what a pool takes from this host.
+	Creates an instance without reservations or recorded demand.
+	@param availability - provides what this host may send to a pool.
 	*/
 	static create(availability: Pick<PoolAvailability, 'left' | 'boundedText'>): BoundedAdmission {
 		return new BoundedAdmission(availability);
 	}
 
-	/** What came of late, by pool and rank; counted while nothing is bounded as well, as bounds begin in a moment. */
+	/** Recent requests by pool and rank; also counted while a pool is not bounded, since bounds can take effect at any moment. */
 	private readonly demands = new Map<string, Map<number, Demand>>();
-	/** Requests by pool that have begun and will be sent to it. */
+	/** Number of requests by pool that have started and have yet to be sent to it. */
 	private readonly reserved = new Map<string, number>();
 
 	private constructor(private readonly availability: Pick<PoolAvailability, 'left' | 'boundedText'>) {}
 
 	/**
-	Decides whether a request may begin.
-	@param pool - that is to serve it.
-	@param rank - of the request; 0 is the most urgent.
-	@param nowMs - the time.
-	@returns why not, or nothing where it may.
+	Decides whether a request may start.
+	@param pool - the pool that is to serve the request.
+	@param rank - rank of the request; 0 is the most urgent.
+	@param nowMs - the current time.
+	@returns why it may not start, or undefined if it may.
 	*/
 	admit(pool: string, rank: number, nowMs: number): Unavailability | undefined {
 		this.count(pool, rank, nowMs);
@@ -54,9 +54,9 @@
 	}
 
 	/**
-	Keeps a send for a request that has begun and is sent once its steps are done.
-	@param pool - that is to serve it.
-	@returns disposing gives the send up, as once it is made.
+	Reserves a send for a request that has started and is sent once its preparation steps are complete.
+	@param pool - the pool that is to serve the request.
+	@returns a disposable that releases the reservation, also to be disposed once the request is sent.
 	*/
 	reserve(pool: string): Disposable {
 		this.reserved.set(pool, this.reservedOf(pool) + 1);
@@ -79,7 +79,7 @@
 		byRank.set(rank, {count: countNow(byRank.get(rank), nowMs) + 1, atMs: nowMs});
 	}
 
-	/** Sends that more urgent work is expected to ask for in a moment. */
+	/** Number of sends that more urgent requests are expected to need shortly. */
 	private urgentSends(pool: string, rank: number, nowMs: number): number {
 		let count = 0;
 		for (const [otherRank, demand] of this.demands.get(pool) ?? []) {
--- a/src/direct/common/bounded-pool.test.ts
+++ b/src/direct/common/bounded-pool.test.ts
@@ -1,7 +1,8 @@
 /**
-Seen: where all engines of a pool named limits, urgent requests were refused as often as others, 10 of 16 beside ten times as many of these.
-Pattern: urgent requests ask for half of what the limits allow, others for five times as much; callers come in no order and to any
-host. Figures: 3 hosts and 3 upstreams that name 2 requests a second each, 5 hosts and 13 that name 1, 31 hosts and 39 that name 1.
+Guards against urgent requests being refused as often as others in a pool in which all engines state limits: 10 of 16 were,
+beside ten times as many others. Urgent requests need half of what the limits allow, others five times as much, and callers
+arrive at random on any host. Covers 3 hosts and 3 upstreams that state 2 requests a second each, 5 hosts and 13 upstreams
+that state 1, and 31 hosts and 39 upstreams that state 1.
 */
 import t from 'tap';
 import {SeededRandom, type Random} from '../../base/common/random.js';
@@ -34,7 +35,7 @@
 		});
 		const admission = BoundedAdmission.create(PoolAvailability.create({registry: {usable: () => servers, isPoolClosed: () => false}, bounds}));
 		return {
-			/** Whether a request is taken; it is sent at once then. */
+			/** Admits a request and sends it immediately; returns whether it was sent. */
 			take(rank: number, nowMs: number): boolean {
 				const isAdmitted = admission.admit(pool, rank, nowMs) === undefined;
 				const server = isAdmitted ? servers.find(each => bounds.mayGet(each, anyWork, nowMs)) : undefined;
@@ -48,7 +49,7 @@
 	});
 }
 
-/** Plays callers that come at given rates; gives which part of each kind is taken, and of what the limits allow is used. */
+/** Simulates callers that arrive at the given rates. Returns the share of each kind that is admitted, and the used share of what the limits allow. */
 function play(fleet: Fleet, random: Random, urgentShare: number, otherShare: number) {
 	const hosts = makeHosts(fleet);
 	const allowedPerS = fleet.serverCount * fleet.limitPerS;
@@ -62,7 +63,7 @@
 	];
 	for (let nowMs = 0; nowMs < playedMs; nowMs += stepMs) {
 		for (const kind of kinds) {
-			// Several may come at once.
+			// Several may arrive in one step.
 			for (let chance = kind.perMs * stepMs; chance > 0; chance--) {
 				if (random.next() < chance) {
 					kind.asked++;
--- a/src/direct/common/caller-protocol.ts
+++ b/src/direct/common/caller-protocol.ts
@@ -1,35 +1,35 @@
-/** Port to the way callers of a deployment speak: what a request says besides its body. */
+/** Port to the protocol of a deployment's callers: what the headers of a request state. */
 import type {InjectionToken} from 'tsyringe';
 import type {Header} from '../../wire/common/messages.js';
 
-/** What a caller's request says of itself. */
+/** What the headers of a caller's request state. */
 export type CallerAsk = {
-	/** Names this try of the request; empty where the caller gave none. */
+	/** The caller's id of this try of the request; empty where the caller gave none. */
 	readonly requestId: string;
-	/** How long the caller waits. */
+	/** How long the caller will still wait; undefined where it doesn't state that. */
 	readonly remainingMs: number | undefined;
-	/** Proves on whose behalf the request comes. */
+	/** Secret that identifies the workspace on whose behalf the request is made. */
 	readonly key: string | undefined;
-	/** Headers that go on to the upstream as they came. */
+	/** Headers that are forwarded to the upstream unchanged. */
 	readonly passedHeaders: readonly Header[];
-	/** Parts of the prompt, first to last; the last one is the request's own or its session's. */
+	/** Parts of the prompt in order; the last one belongs to this request or its session alone. */
 	readonly promptParts: ReadonlyArray<{readonly id: string; readonly tokens: number}>;
-	/** Pieces of each step of preparation. */
+	/** Number of pieces in each preparation step. */
 	readonly pieceCounts: readonly number[];
-	/** What the first steps work on. */
+	/** Key of the content that the first steps process. */
 	readonly pieceKey: string;
-	/** The last event the caller has of an earlier answer. */
+	/** Id of the last event that the caller has received of an earlier answer. */
 	readonly resumeAfter: string | undefined;
-	/** What is wrong with the headers; such a request goes no further. */
+	/** What is wrong with the headers; such a request is rejected. */
 	readonly problem: string | undefined;
 };
 
-/** Reads callers' requests. */
+/** Interprets the requests of callers. */
 export type CallerProtocol = {
 	/**
-	Reads the headers of a request.
-	@param headers - in the order in which they came.
-	@param hasKeys - whether the deployment wants keys, which then go no further.
+	Interprets the headers of a request.
+	@param headers - the headers in the order in which they were received.
+	@param hasKeys - whether the deployment requires keys, which are then not forwarded.
 	*/
 	read(headers: readonly Header[], hasKeys: boolean): CallerAsk;
 };
--- a/src/direct/common/direct-plan.ts
+++ b/src/direct/common/direct-plan.ts
@@ -1,4 +1,4 @@
-/** The plan of a request that goes straight to upstreams: one stage, with the route's bounds. */
+/** Builds the plan of a request that is sent to upstreams directly: a single stage with the limits of its route. */
 import type {Random} from '../../base/common/random.js';
 import {routeKinds, type Route} from '../../deployment/common/declaration.js';
 import {makePrompt} from '../../routing/common/engine-loads.js';
@@ -7,16 +7,16 @@
 import {policyDefaults, type EffectivePolicy} from '../../settings/common/schema.js';
 import type {HttpCall} from '../../wire/common/messages.js';
 
-/** Share of the target that a request may wait while no upstream can be chosen: a caller told sooner can come back in time. */
+/** Share of the target for which a request may wait while no upstream can be chosen. A caller that is refused early can still retry in time. */
 const holdTargetShare = 0.2;
-/** Silence of a stream that can be taken up elsewhere after which it is: callers give a stream up after two seconds. */
+/** Time without data after which a resumable stream is resumed on another upstream: callers give up on a stream after two seconds. */
 const streamSilenceMs = 1200;
 const unboundedMs = 600_000;
-/** Kept back from the caller's own limit, so that a last answer still reaches it. */
+/** Subtracted from the caller's own time limit, so that a final answer still reaches it. */
 const answerMarginMs = 15;
 const defaultSlots = 8;
 
-/** What a plan is made of. */
+/** What a plan is built from. */
 export type DirectAsk = {
 	readonly requestId: string;
 	readonly workspace: string;
@@ -31,10 +31,10 @@
 };
 
 /**
-Chooses one of a route's pools by weight.
+Chooses one of a route's pools at random by weight.
 @param route - the route.
-@param random - the source of chance.
-@param isUsable - tells whether a pool has upstreams that may get work; one that has none is left out if another has.
+@param random - source of random numbers.
+@param isUsable - whether a pool has upstreams that may receive work; pools without any are ignored if another pool has some.
 @returns the pool's name.
 */
 export function choosePool({targets}: Route, random: Random, isUsable: (pool: string) => boolean): string {
@@ -52,9 +52,9 @@
 }
 
 /**
-Makes a plan.
+Builds the plan of a request.
 @param ask - the request and its route.
-@param nowMs - when it was received.
+@param nowMs - when the request was received.
 */
 export function makeDirectPlan(ask: DirectAsk, nowMs: number): RequestPlan {
 	const {route} = ask;
--- a/src/direct/common/direct-router.test.ts
+++ b/src/direct/common/direct-router.test.ts
@@ -76,7 +76,7 @@
 	return plan.stages[0];
 }
 
-/** Sends one prompt at a time; its head comes at once, its first token once it is read, and its end long after. */
+/** Sends one prompt at a time. Its head arrives immediately, its first token once the prompt is read, and its end much later. */
 function play(router: DirectRouter, count: number, msPerToken: number): void {
 	for (let index = 0; index < count; index++) {
 		const sentAtMs = index * 5000;
@@ -94,7 +94,7 @@
 	}
 }
 
-t.test('the time to the first token is learned from first tokens, not from heads or ends', async t => {
+t.test('the time to the first token is estimated from first tokens, not from heads or ends', async t => {
 	for (const msPerToken of [0.01, 0.05]) {
 		const router = makeRouter();
 		play(router, 30, msPerToken);
@@ -104,21 +104,21 @@
 	}
 });
 
-t.test('a server that has ended gets nothing while others can take it, also before its entry is gone', async t => {
+t.test('a crashed server receives nothing while others can, even before its entry is removed', async t => {
 	const router = makeRouter();
 	router.serverEnded('e1', 1000);
 	const chosenAt = (nowMs: number, excluded: string[] = []) => router.choose(stageOf('same', 1000), new Set(excluded), 0, nowMs)!.chosen.upstreamId;
 	t.same([1000, 2000, 4900].map(nowMs => chosenAt(nowMs)), ['e2', 'e2', 'e2']);
-	t.equal(chosenAt(2000, ['e2']), 'e1', 'better than nothing');
+	t.equal(chosenAt(2000, ['e2']), 'e1', 'the crashed server is used where there is no other');
 	router.heard('e1', 'd', 2000);
 	t.equal(chosenAt(2000, ['e2']), 'e1');
 });
 
 /*
-Found by reading: with one warm server left that had ended, or gave no sign, work went to it again and again while cold ones that
-could have taken some stood idle.
+Guards against work being sent repeatedly to the only warm server although it has crashed or is silent, while cold servers that
+could take some of it are idle.
 */
-t.test('a cold server goes before a warm one that is in doubt, and a sound warm one before both', async t => {
+t.test('a cold server is preferred to a suspect warm one, and a healthy warm one to both', async t => {
 	const servers = ServerRegistry.create({log: silentLoggers.for('test'), leavingWithinMs: 2000});
 	servers.replaceAll({
 		revision: 1,
@@ -134,7 +134,7 @@
 	t.equal(choose(1000), 'cold');
 });
 
-/** Sends one request to the server that is chosen, which refuses it or not. */
+/** Sends one request to the chosen server, which refuses or completes it; returns the server's id. */
 function sendOne(router: DirectRouter, isRefused: (serverId: string) => boolean, nowMs: number, excluded: ReadonlySet<string> = new Set()): string {
 	const stage = {...stageOf('one', 1), prompt: undefined};
 	const {upstreamId} = router.choose(stage, excluded, 0, nowMs)!.chosen;
@@ -150,14 +150,15 @@
 }
 
 /*
-Seen: an upstream that refuses at once has nothing to do, and was chosen again and again for that; callers were refused while others of its pool were free.
+Guards against an upstream being chosen repeatedly because it refuses immediately and so appears idle: callers were refused while
+others of its pool were free.
 */
-t.test('refusals count against who refuses, until it takes work again', async t => {
+t.test('an upstream that refuses work is avoided until it accepts work again', async t => {
 	const router = makeRouter();
 	const times = Array.from({length: 500}, (_, index) => index * 20);
 	const refused = times.filter(nowMs => sendOne(router, serverId => serverId === 'e1', nowMs) === 'e1');
 	t.ok(refused.length <= 14, `${refused.length} of 500 sends in ten seconds`);
-	t.equal(router.retryAfterMs(stageOf('one', 1), 10_000), undefined, 'another one takes work');
+	t.equal(router.retryAfterMs(stageOf('one', 1), 10_000), undefined, 'another upstream accepts work');
 	sendOne(router, () => true, 10_500, new Set(['e1']));
 	sendOne(router, () => true, 10_501, new Set(['e2']));
 	const comeBackMs = router.retryAfterMs(stageOf('one', 1), 10_502) ?? 0;
--- a/src/direct/common/direct-router.ts
+++ b/src/direct/common/direct-router.ts
@@ -1,4 +1,4 @@
-/** Routing for upstreams without an agent: joins the list of servers, signs of life, statistics and budgets. */
+/** Routing for upstreams without an agent: combines the server list, liveness, statistics and retry budgets. */
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import type {Attempt} from '../../request/common/attempt.js';
@@ -19,53 +19,53 @@
 import type {EngineChooser, PromptNeed} from './engine-chooser.js';
 import type {PoolAvailability} from './pool-availability.js';
 
-/** Expected answer time until eight answers were measured: in the range of a plain service that answers at once. */
+/** Expected answer time until eight answers have been measured: that of a plain service which answers immediately. */
 const defaultAnswerMs = 60;
-/** Time without any sign after which an upstream counts as silent, at least: several usual answer times. */
+/** Lower bound of the time without data after which an upstream counts as silent: several typical answer times. */
 const fewestSilentMs = 400;
-/** The same in usual answer times. */
+/** The time without data after which an upstream counts as silent, as a multiple of the typical answer time. */
 const silentAnswers = 6;
-/** First while without new work after a connection failed; a restarted server is listed anew sooner than this doubles. */
+/** Initial backoff after a failed connection; it doubles with each failure. A restarted server is listed again before it has doubled. */
 const unreachableMs = 400;
 const longestUnreachableMs = 4000;
-/** How long a server that has ended is left alone: longer than its entry takes to lapse. Each call to it would cost a repeat. */
+/** How long a crashed server is avoided: longer than its entry takes to expire. Each call to it would cost a retry. */
 const endedMs = 4000;
-/** A repeatable plain call is sent a second time after this share of its target, or when it is unusually slow. */
+/** A repeatable non-streaming call is hedged after this share of its target, or after this multiple of a slow answer time if that is later. */
 const hedgeTargetShare = 0.5;
 const hedgeSlowFactor = 1.3;
-/** An error is often the request's own, so more of them are needed than by default. */
+/** Errors are often caused by the request itself, so more of them are required than by default. */
 const outlierOptions: OutlierOptions = {
 	consecutiveFailures: 6, errorShare: 0.5, slowFactor: 3, baseEjectionMs: 1500, longestEjectionMs: 6000, mostEjectedShare: 0.5,
 };
 
-/** Ends of attempts that say nothing about the upstream. */
+/** Reasons for which an attempt ends without any indication about its upstream. */
 const innocentReasons = new Set(['lostRace', 'abandoned', 'cancelled']);
 
-/** What the router is made of. */
+/** Dependencies of the router. */
 export type DirectRouterOptions = {
 	readonly hall: string;
 	readonly registry: ServerRegistry;
 	readonly chooser: UpstreamChooser;
 	readonly bounds: RepeatBounds;
-	/** Hosts that share the budget of repeats. */
+	/** Number of hosts that share the retry budget. */
 	readonly hostCount: () => number;
 	readonly newDispatchId: () => string;
 	readonly engines: EngineChooser;
-	/** A prompt was sent to an engine: peers reckon with it too. */
+	/** Called when a prompt was sent to an engine, so that peers take it into account too. */
 	readonly assigned: (serverId: string, prompt: readonly PromptPart[]) => void;
 	readonly quarantine: Pick<Quarantine, 'standingOf'>;
-	/** Which upstreams may get something at all. */
+	/** Which upstreams may receive requests at all. */
 	readonly availability: PoolAvailability;
-	/** Which upstreams refuse work of late. */
+	/** Which upstreams have recently refused work. */
 	readonly refusals: ServerRefusals;
 };
 
-/** Where a request will most likely run, and how soon its first token comes once it is sent. */
+/** The data hall in which a request will most likely run, and the expected time from its send to its first token. */
 export type LikelyPlace = {readonly hall: string; readonly firstMs: number};
 
 type Known = {readonly candidate: Candidate; readonly signs: ServerSigns};
 
-/** Chooses servers for one host. */
+/** Chooses upstream servers for the requests of one host. */
 export class DirectRouter implements RequestRouter {
 	static create(options: DirectRouterOptions): DirectRouter {
 		return new DirectRouter(options);
@@ -84,7 +84,7 @@
 			}
 
 			if (change === 'gone' || change === 'cold') {
-				// What it kept is gone, or may be.
+				// Its prompt cache is lost, or may be.
 				options.engines.forget(server.serverId);
 			}
 		});
@@ -140,11 +140,12 @@
 		return Math.max(targetMs * hedgeTargetShare, (this.answerTimes.slowMs(stage.key) ?? 0) * hedgeSlowFactor);
 	}
 
-	/** Requests are not refused by predicted time here: the batches and the servers' own queues say when there is no room. */
+	/** Always 0: requests are not refused by predicted time here, since batches and the servers' own queues indicate when they are full. */
 	optimisticRunMs(): number {
 		return 0;
 	}
 
+	/** Always 0, for the same reason as `optimisticRunMs`. */
 	optimisticFinishMs(): number {
 		return 0;
 	}
@@ -180,10 +181,10 @@
 	}
 
 	/**
-	A peer has sent a prompt to an engine.
-	@param serverId - the engine.
-	@param prompt - its parts.
-	@param nowMs - the time.
+	Records that a peer has sent a prompt to an engine.
+	@param serverId - id of the engine.
+	@param prompt - the parts of the prompt.
+	@param nowMs - the current time.
 	*/
 	promptSent(serverId: string, prompt: readonly PromptPart[], nowMs: number): void {
 		const server = this.options.registry.get(serverId);
@@ -236,7 +237,7 @@
 	}
 
 	didComplete(): void {
-		// Times are taken from each attempt: they say more about its server.
+		// Times are recorded per attempt, which says more about its server.
 	}
 
 	newDispatchId(): string {
@@ -244,10 +245,10 @@
 	}
 
 	/**
-	Tells where a request with a prompt will most likely run.
-	@param stage - its stage.
-	@param nowMs - the time.
-	@returns the data hall, empty where it can't be told, and the time to the first token, about.
+	Predicts where a request with a prompt will most likely run.
+	@param stage - the request's stage.
+	@param nowMs - the current time.
+	@returns the data hall, empty if it can't be predicted, and the approximate time to the first token.
 	*/
 	likelyPlace(stage: StagePlan, nowMs: number): LikelyPlace {
 		const candidate = this.chooseByPrompt(stage, this.usable(stage, new Set(), nowMs), nowMs);
@@ -260,25 +261,25 @@
 	}
 
 	/**
-	A server has ended, as this host or a peer found out; its entry may be listed for some seconds more.
-	@param serverId - which start.
-	@param nowMs - the time.
+	Records that a server has crashed, as detected by this host or a peer. Its entry may remain listed for some seconds.
+	@param serverId - id of the server, which is new for each start.
+	@param nowMs - the current time.
 	*/
 	serverEnded(serverId: string, nowMs: number): void {
 		this.knownOf(serverId, nowMs)?.signs.ended(nowMs, endedMs);
 	}
 
 	/**
-	Something came from a server.
-	@param serverId - which.
-	@param dispatchId - for which attempt.
-	@param nowMs - the time.
+	Records that data was received from a server.
+	@param serverId - id of the server.
+	@param dispatchId - id of the attempt to which the data belongs.
+	@param nowMs - the current time.
 	*/
 	heard(serverId: string, dispatchId: string, nowMs: number): void {
 		this.known.get(serverId)?.signs.heard(dispatchId, nowMs);
 	}
 
-	/** Servers of the pool that may be chosen: those that may get something now, sound ones first, cold ones only where none of them is warm. */
+	/** Servers of the pool that may be chosen now. Suspect servers are included only if there is no other, and cold ones only if none of the rest is warm. */
 	private usable(stage: StagePlan, excluded: ReadonlySet<string>, nowMs: number): readonly Candidate[] {
 		const {availability} = this.options;
 		const all = this.candidatesOf(stage.pool, nowMs).filter(candidate => !excluded.has(candidate.upstreamId));
@@ -332,7 +333,7 @@
 	}
 }
 
-/** What a stage asks of an engine, where it has a prompt. */
+/** Returns what a stage requires of an engine, or undefined if it has no prompt. */
 function needOf({pool, prompt, inputBytesByHall}: StagePlan): PromptNeed | undefined {
 	return prompt && {pool, prompt, ...(inputBytesByHall && {inputBytesByHall})};
 }
--- a/src/direct/common/engine-chooser.ts
+++ b/src/direct/common/engine-chooser.ts
@@ -1,40 +1,41 @@
-/** Chooses engines for prompts: joins what they have to read and keep with how fast they are seen to read. */
+/** Chooses engines for prompts from the tokens they have to read, the prompt parts they cache and their measured reading speed. */
 import type {Candidate} from '../../routing/common/chooser.js';
 import type {EngineLoads, EngineSpeed, PromptPart} from '../../routing/common/engine-loads.js';
 import {crossingCostMs} from '../../routing/common/hall-cost.js';
 import {ReadingSpeed} from '../../routing/common/reading-speed.js';
 import {rendezvousOrder} from '../../routing/common/rendezvous.js';
 
-/** A prompt, and what its engine fetches besides. */
+/** A prompt and the results that its engine has to fetch. */
 export type PromptNeed = {
 	readonly pool: string;
 	readonly prompt: readonly PromptPart[];
-	/** Bytes of results to fetch, by the data hall where they lie. */
+	/** Bytes of results to fetch, by the data hall in which they are stored. */
 	readonly inputBytesByHall?: ReadonlyMap<string, number>;
 };
 
-/** Knows the engines of all pools. */
+/** Chooses among the engines of all pools. */
 export class EngineChooser {
 	static create(loads: EngineLoads): EngineChooser {
 		return new EngineChooser(loads);
 	}
 
-	/** How fast the engines of each pool read. */
+	/** Measured reading speed of the engines of each pool. */
 	private readonly readings = new Map<string, ReadingSpeed>();
-	/** Tokens that an engine had to read for an attempt until its first token, as reckoned when it was sent. */
+	/** Tokens that an engine has to read for an attempt before its first token, by dispatch id, as estimated when the attempt was sent. */
 	private readonly sentTokens = new Map<string, number>();
 
 	private constructor(private readonly loads: EngineLoads) {}
 
 	/**
-	Chooses the engine that gives the first token soonest, with what it costs to read shared parts again and to fetch
-	results from other halls.
+	Chooses the engine with the earliest first token, including the cost of reading shared parts again and of fetching results
+	from other data halls.
 	@param need - the prompt.
 	@param candidates - the engines.
-	@param nowMs - the time.
+	@param nowMs - the current time.
+	@returns the engine, or undefined where there is no candidate.
 	*/
 	choose({pool, prompt, inputBytesByHall}: PromptNeed, candidates: readonly Candidate[], nowMs: number): Candidate | undefined {
-		// What other requests may share comes before the last part.
+		// The parts before the last one may be shared with other requests.
 		const shared = prompt.at(-2) ?? prompt[0];
 		const ordered = rendezvousOrder(String(shared.key), candidates, candidate => candidate.upstreamId);
 		let inputBytes = 0;
@@ -49,21 +50,21 @@
 	}
 
 	/**
-	Tells how soon the first token of a prompt would come.
+	Estimates the time to the first token of a prompt, in milliseconds.
 	@param need - the prompt.
-	@param engine - where it would be sent.
-	@param nowMs - the time.
+	@param engine - the engine to which it would be sent.
+	@param nowMs - the current time.
 	*/
 	firstTokenMs({pool, prompt}: PromptNeed, engine: Candidate, nowMs: number): number {
 		return this.loads.estimate(engine.upstreamId, prompt, this.speedOf(pool, engine), nowMs).firstMs + this.readingOf(pool).overheadMs;
 	}
 
 	/**
-	This host sends a prompt.
-	@param dispatchId - of the attempt; `began` or `ended` names it again.
+	Records that this host sends a prompt.
+	@param dispatchId - id of the attempt, to be passed to `began` and `ended` later.
 	@param need - the prompt.
-	@param engine - where it goes.
-	@param nowMs - the time.
+	@param engine - the engine that receives it.
+	@param nowMs - the current time.
 	*/
 	sent(dispatchId: string, need: PromptNeed, engine: Candidate, nowMs: number): void {
 		const {tokens} = this.loads.estimate(engine.upstreamId, need.prompt, this.speedOf(need.pool, engine), nowMs);
@@ -72,21 +73,21 @@
 	}
 
 	/**
-	A prompt was sent to an engine, by this host or a peer.
+	Records that this host or a peer has sent a prompt to an engine.
 	@param need - the prompt.
-	@param engine - where it went.
-	@param nowMs - the time.
+	@param engine - the engine that received it.
+	@param nowMs - the current time.
 	*/
 	assigned({pool, prompt}: PromptNeed, engine: Candidate, nowMs: number): void {
 		this.loads.assign(engine.upstreamId, prompt, this.speedOf(pool, engine), nowMs);
 	}
 
 	/**
-	The first token came: it tells how fast its engine reads; what comes after it says nothing of that.
-	@param dispatchId - of the attempt.
-	@param pool - of the engine.
-	@param engine - that gave it.
-	@param tookMs - from the send to the token.
+	Records the first token of an attempt, which measures how fast its engine reads; later tokens don't.
+	@param dispatchId - id of the attempt.
+	@param pool - pool of the engine.
+	@param engine - the engine that produced the token.
+	@param tookMs - time from the send to the token.
 	*/
 	began(dispatchId: string, pool: string, engine: Candidate, tookMs: number): void {
 		const tokens = this.sentTokens.get(dispatchId);
@@ -99,12 +100,12 @@
 		engine.stats.observeTime(tookMs, (tokens * reading.msPerToken) + reading.overheadMs);
 	}
 
-	/** An attempt has ended. */
+	/** Discards what is kept for an attempt that has ended. */
 	ended(dispatchId: string): void {
 		this.sentTokens.delete(dispatchId);
 	}
 
-	/** An engine is gone, and what it kept with it. */
+	/** Discards what is known of an engine that is gone, together with its cache. */
 	forget(serverId: string): void {
 		this.loads.forget(serverId);
 	}
--- a/src/direct/common/event-splitter.test.ts
+++ b/src/direct/common/event-splitter.test.ts
@@ -4,7 +4,7 @@
 const bytes = (text: string) => new TextEncoder().encode(text);
 const textOf = (data: Uint8Array | undefined) => data && new TextDecoder().decode(data);
 
-t.test('events come out whole, however the bytes are cut', async t => {
+t.test('events are returned complete, wherever the bytes are split', async t => {
 	const stream = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n';
 	for (let cut = 1; cut < stream.length; cut++) {
 		const splitter = EventSplitter.create();
@@ -16,7 +16,7 @@
 	}
 });
 
-t.test('an unfinished event is held back', async t => {
+t.test('an incomplete event is buffered', async t => {
 	const splitter = EventSplitter.create();
 	t.equal(textOf(splitter.push(bytes('id: 1\ndata: a\n\nid: 2\nda'))?.data), 'id: 1\ndata: a\n\n');
 	t.ok(splitter.hasPartialEvent);
--- a/src/direct/common/event-splitter.ts
+++ b/src/direct/common/event-splitter.ts
@@ -1,13 +1,13 @@
-/** Cuts an event stream (text/event-stream) into whole events, so that a cut stream never ends inside one. */
+/** Splits an event stream (text/event-stream) into complete events, so that a stream that breaks off never ends within an event. */
 import {joinBytes} from '../../base/common/bytes.js';
 
 const newline = 0x0A;
 const mostPendingBytes = 1024 * 1024;
 
-/** Whole events that came together. */
+/** One or more consecutive complete events. */
 export type EventPiece = {readonly data: Uint8Array; readonly units: number; readonly lastId: string | undefined};
 
-/** Follows one stream. */
+/** Splits one stream. */
 export class EventSplitter {
 	static create(): EventSplitter {
 		return new EventSplitter();
@@ -15,20 +15,20 @@
 
 	private rest = new Uint8Array(0);
 
-	/** Whether bytes of an unfinished event are held. */
+	/** Whether bytes of an incomplete event are buffered. */
 	get hasPartialEvent(): boolean {
 		return this.rest.byteLength > 0;
 	}
 
-	/** Whether an event is larger than is taken. */
+	/** Whether the incomplete event exceeds the maximum size. */
 	get isOverfull(): boolean {
 		return this.rest.byteLength > mostPendingBytes;
 	}
 
 	/**
-	Takes the next bytes.
-	@param bytes - as they came.
-	@returns the events that are whole now, or nothing.
+	Appends received bytes.
+	@param bytes - the next bytes of the stream.
+	@returns the events that these bytes completed, or undefined if there are none.
 	*/
 	push(bytes: Uint8Array): EventPiece | undefined {
 		const all = this.rest.byteLength === 0 ? bytes : joinBytes([this.rest, bytes]);
--- a/src/direct/common/first-tries.test.ts
+++ b/src/direct/common/first-tries.test.ts
@@ -1,15 +1,15 @@
 import t from 'tap';
 import {FirstTries} from './first-tries.js';
 
-t.test('a caller that has less time left than others of its route has asked before', async t => {
+t.test('a caller with less remaining time than others of its route is a returning one', async t => {
 	const tries = FirstTries.create();
 	t.equal(tries.sinceFirstTryMs('r', 6000, 6000, 0), 0);
 	t.equal(tries.sinceFirstTryMs('r', 6000, 5200, 10), 800);
-	t.equal(tries.sinceFirstTryMs('r', 6000, 6100, 20), 0, 'more than the route allows is no debt');
-	t.equal(tries.sinceFirstTryMs('r', 6000, undefined, 30), 0, 'nothing said, nothing known');
+	t.equal(tries.sinceFirstTryMs('r', 6000, 6100, 20), 0, 'more time than the route allows gives no negative result');
+	t.equal(tries.sinceFirstTryMs('r', 6000, undefined, 30), 0, 'no remaining time was stated');
 });
 
-t.test('callers that always wait less than their route allows are not taken for returning ones', async t => {
+t.test('callers that always wait for less than their route allows are not taken for returning ones', async t => {
 	const tries = FirstTries.create();
 	for (let index = 0; index < 30; index++) {
 		tries.sinceFirstTryMs('r', 9000, 6000, index);
@@ -17,21 +17,21 @@
 
 	t.equal(tries.sinceFirstTryMs('r', 9000, 6000, 100), 0);
 	t.equal(tries.sinceFirstTryMs('r', 9000, 5000, 100), 1000);
-	t.equal(tries.sinceFirstTryMs('other', 9000, 5000, 100), 4000, 'each route for itself');
+	t.equal(tries.sinceFirstTryMs('other', 9000, 5000, 100), 4000, 'routes are independent of each other');
 	for (let index = 0; index < 60; index++) {
 		tries.sinceFirstTryMs('r', 9000, 3000, 12_000 + (index * 300));
 	}
 
-	t.equal(tries.sinceFirstTryMs('r', 9000, 3000, 32_000), 0, 'a change is followed within two windows');
+	t.equal(tries.sinceFirstTryMs('r', 9000, 3000, 32_000), 0, 'a change of the limit takes effect within two windows');
 });
 
 /*
-Pattern: callers of one route have time limits of their own, spread evenly over 15% of the longest; nobody comes back. Seen on a calm
-day: half of all first tries were taken for callers that had first asked 300 ms ago or more of a target of 1,600 ms, a tenth for
-700 ms; their steps went behind those of others as late, or were given up.
-Cause: what one has less than the longest time seen was taken for time that had passed.
+Guards against first tries being taken for returning callers. Callers of one route had different time limits, spread evenly over
+15% of the longest, and none was returning. The difference to the longest remaining time was taken for time that had passed, so
+under normal load half of all first tries counted as first sent 300 ms ago or more, of a target of 1,600 ms, and a tenth as 700 ms.
+Their steps were queued behind others as late, or abandoned.
 */
-t.test('callers whose limits differ are not taken for returning ones, but for those that have far less than any', async t => {
+t.test('callers with different limits are not taken for returning ones, except those with far less time than any other', async t => {
 	const tries = FirstTries.create();
 	const sinceMs = [];
 	for (let index = 0; index < 60; index++) {
@@ -43,7 +43,7 @@
 	t.ok(backMs >= 2000 && backMs <= 3500, `${backMs}`);
 });
 
-t.test('after an outage in which a third came back, those that come for the first time are still told apart', async t => {
+t.test('after an outage in which a third of the callers return, first tries are still recognized', async t => {
 	const tries = FirstTries.create();
 	for (let index = 0; index < 60; index++) {
 		tries.sinceFirstTryMs('r', 10_000, index % 3 === 0 ? 7000 - (index * 10) : 10_000, index * 100);
--- a/src/direct/common/first-tries.ts
+++ b/src/direct/common/first-tries.ts
@@ -1,47 +1,49 @@
 /**
-How long callers of each route wait in all, learned from the time they say they still have: most come for the first
-time and have all of it. What less one has tells how long ago it first asked.
+Estimates how long ago a caller first sent a request, from the remaining time that callers of its route state. Most requests
+are first tries and state their full time limit, so a shorter remaining time indicates how much of it has passed.
 
-Which way fits is found out for each route. Where most say the same, that is the limit of all, and what is missing has
-passed. Where callers have limits of their own, having less than the longest says nothing: on a route whose limits are spread
-over 15%, half of all first tries would count as a fifth of their target late. Only who has less than nearly all others is
-taken for a returning caller then, one of usual limit.
+The estimate is chosen per route. Where most callers state the same remaining time, that is the limit of all callers, and
+the difference to it has passed. Where callers have different limits, a remaining time below the longest one indicates
+nothing: on a route whose limits vary by 15%, half of all first tries would count as late by a fifth of their target. In
+that case only a caller with less time than nearly all others is taken for a returning one, with a typical limit.
 */
 
-/** What callers said is kept for this long at least, twice as long at most. */
+/** Samples are kept for at least this long, and at most twice as long. */
 const windowMs = 10_000;
 /**
-Below this many requests in the windows the route's own bound stands in, as after a start, when most who come have asked
-before. Few, since taking a first try for a returning one puts it behind others, and the other mistake costs nothing.
+With fewer samples than this in both windows the route's own time limit is used, as after a start, when most callers are
+returning. The value is small because a first try that is taken for a returning caller is queued behind others, whereas the
+opposite mistake costs nothing.
 */
 const fewestSeen = 5;
-/** Values kept of each window: enough for a tenth to be told from the rest. */
+/** Samples kept per window: enough to determine the lowest tenth. */
 const mostKept = 100;
-/** Callers have the same limit where this part of them have the longest one, but for the part that is the way's. */
+/** Callers are taken to have the same limit where at least this share of them state the longest remaining time. */
 const sameShare = 0.5;
+/** Share of the longest remaining time that may have passed in transit; shorter by no more counts as equal to it. */
 const wayShare = 0.01;
-/** Part of first tries that has less time than is taken for a first try's, where limits differ. */
+/** Where limits differ, first tries within this lowest share of remaining times are taken for returning callers. */
 const lowShare = 0.1;
 
-/** The times that callers said they still have; never more than the route's bound. */
+/** Remaining times that callers stated, each capped at the route's time limit. */
 type Window = {readonly sinceMs: number; readonly remainingMs: number[]};
 
-/** Learns the limits of callers. */
+/** Learns the time limits of callers by route. */
 export class FirstTries {
 	static create(): FirstTries {
 		return new FirstTries();
 	}
 
-	/** The present window of each route, and the one before it. */
+	/** The current and the previous window of each route. */
 	private readonly windows = new Map<string, readonly [Window, Window]>();
 
 	/**
-	A request came; tells how long ago its caller first asked.
-	@param route - its route's name.
-	@param boundMs - the longest time the route holds a request.
-	@param remainingMs - how long the caller still waits; absent where it doesn't say.
-	@param nowMs - the time.
-	@returns 0 for a first try.
+	Records a request and estimates how long ago its caller first sent it.
+	@param route - name of the route.
+	@param boundMs - the longest time for which the route holds a request.
+	@param remainingMs - how long the caller will still wait; undefined where it doesn't state that.
+	@param nowMs - the current time.
+	@returns the time in milliseconds; 0 for a first try.
 	*/
 	sinceFirstTryMs(route: string, boundMs: number, remainingMs: number | undefined, nowMs: number): number {
 		if (remainingMs === undefined) {
@@ -73,9 +75,10 @@
 }
 
 /**
-Tells how long ago a caller first asked.
-@param leftMs - the time that it has left.
-@param seenMs - what callers of its route had left, the least first.
+Estimates how long ago a caller first sent its request.
+@param leftMs - the caller's remaining time.
+@param seenMs - remaining times of callers of its route, in ascending order.
+@returns the time in milliseconds; 0 for a first try.
 */
 function sinceOf(leftMs: number, seenMs: readonly number[]): number {
 	const longestMs = seenMs.at(-1)!;
--- a/src/direct/common/news-buffer.ts
+++ b/src/direct/common/news-buffer.ts
@@ -1,37 +1,37 @@
 /**
-Which host passes on to all what each has sent to model engines, and what it passes on. Where every host told every
-other, each of 68 hosts heard some 140 of these messages a second and sent as many; through one host that gathers them it
-hears 20, however many hosts there are. What is told so is up to a twentieth of a second older: short against the time
-in which an engine reads a long prompt.
+Elects the host that relays prompt updates (which prompts each host has sent to which model engines) to all hosts, and
+collects what it relays. When every host notified every other, each of 68 hosts received about 140 of these messages a
+second and sent as many. Through a relay that combines them a host receives 20, regardless of the number of hosts. Relaying
+delays an update by up to 50 ms, which is short compared with the time in which an engine reads a long prompt.
 */
 import {roomiestHosts} from '../../routing/common/host-room.js';
 import {rendezvousOwner} from '../../routing/common/rendezvous.js';
 import type {PromptsSentMessage} from '../../wire/common/messages.js';
 
 /**
-With fewer hosts than this each tells all others itself. Passing on costs the one that does it some 20 messages a second
-to each host; among 18 hosts of an eighth of a core each, days were worth more with it as often as less.
+With fewer hosts than this each host notifies all others itself. Relaying costs the relay about 20 messages a second to each
+host; with 18 hosts of an eighth of a core each it made results worse as often as better.
 */
 const fewestHosts = 32;
-/** Spreads the duty away from hosts that do other things for all. */
+/** Hash key of the election, so that the relay is not also the host that has other shared tasks. */
 const dutyKey = 'news of prompts';
 
-/** Prompts that were sent to engines. */
+/** Prompts that were sent to engines, as in the message to peers. */
 export type SentPrompts = PromptsSentMessage['prompts'];
 
-/** What one host has sent. */
+/** Prompts that one host has sent. */
 export type HostNews = {readonly hostId: string; readonly prompts: SentPrompts};
 
 /**
-Names the host that passes news on; every host that sees the same peers names the same.
-@param rooms - for shared work, of all live hosts.
-@returns nothing where there are so few hosts that each tells all itself.
+Elects the relay; all hosts that see the same peers elect the same one.
+@param rooms - capacity for shared work of each live host, by its id.
+@returns the relay's id, or undefined where there are so few hosts that each notifies all others itself.
 */
 export function newsRelayOf(rooms: ReadonlyMap<string, number>): string | undefined {
 	return rooms.size < fewestHosts ? undefined : rendezvousOwner(dutyKey, roomiestHosts(rooms));
 }
 
-/** Gathers news by the host that they come from. */
+/** Collects prompt updates by the host that sent them. */
 export class NewsBuffer {
 	static create(): NewsBuffer {
 		return new NewsBuffer();
@@ -40,15 +40,15 @@
 	private byHost = new Map<string, SentPrompts>();
 
 	/**
-	Takes in what a host has sent.
+	Adds prompts that a host has sent.
 	@param hostId - the host.
-	@param prompts - since its last news.
+	@param prompts - the prompts since its last update.
 	*/
 	add(hostId: string, prompts: SentPrompts): void {
 		this.byHost.set(hostId, [...this.byHost.get(hostId) ?? [], ...prompts]);
 	}
 
-	/** Gives everything gathered, and begins anew. */
+	/** Returns all collected updates and clears the buffer. */
 	take(): HostNews[] {
 		const news = [...this.byHost].map(([hostId, prompts]) => ({hostId, prompts}));
 		this.byHost = new Map();
--- a/src/direct/common/pool-availability.ts
+++ b/src/direct/common/pool-availability.ts
@@ -1,20 +1,26 @@
-/** Which upstreams of a pool may get something now, and what callers are told where none may: all are cold, limited, at rest, leave, or stand in drained halls. */
+/**
+Determines which upstreams of a pool may receive requests now, and the reason given to callers where none may: all are cold,
+limited, in a backoff that they asked for, leaving, or in drained data halls.
+*/
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {StagePlan} from '../../request/common/request-plan.js';
 import type {Unavailability} from '../../request/common/request-router.js';
 import type {Candidate} from '../../routing/common/chooser.js';
 import {directWork, type BoundedServer, type SendBounds} from '../../routing/common/send-bounds.js';
 
-/** A drain lasts for seconds at least, as does the start of another upstream; callers heed up to a third of the time they have left, some 2 s. */
+/**
+A drain takes seconds at least, as does the start of another upstream. Callers accept a retry delay of up to a third of their
+remaining time, about 2 s.
+*/
 const closedRetryAfterMs = 2000;
 
-/** What decides. */
+/** What availability depends on. */
 export type PoolAvailabilityOptions = {
 	readonly registry: Pick<ServerRegistry, 'usable' | 'isPoolClosed'>;
 	readonly bounds: SendBounds;
 };
 
-/** Knows what may be sent where. */
+/** Determines what this host may send to which upstreams. */
 export class PoolAvailability {
 	static create(options: PoolAvailabilityOptions): PoolAvailability {
 		return new PoolAvailability(options);
@@ -23,10 +29,11 @@
 	private constructor(private readonly options: PoolAvailabilityOptions) {}
 
 	/**
-	Leaves out upstreams that may get nothing from this host now, and cold ones as long as there are warm ones, which are the faster choice.
+	Filters out upstreams that may receive nothing from this host now. Cold ones are filtered out as well while there are warm
+	ones, which are faster.
 	@param candidates - upstreams of the stage's pool.
-	@param stage - what is to be sent.
-	@param nowMs - the time.
+	@param stage - the stage to be sent.
+	@param nowMs - the current time.
 	*/
 	open(candidates: readonly Candidate[], stage: StagePlan, nowMs: number): readonly Candidate[] {
 		const {bounds} = this.options;
@@ -36,19 +43,19 @@
 	}
 
 	/**
-	A stage was sent to an upstream.
+	Records that a stage was sent to an upstream.
 	@param candidate - the upstream.
 	@param stage - the stage.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	sent(candidate: Candidate, stage: StagePlan, nowMs: number): void {
 		this.options.bounds.sent(serverOf(candidate, stage), nowMs);
 	}
 
 	/**
-	Tells why requests that need certain pools can't be served for now, whatever they are.
-	@param pools - their names.
-	@returns nothing where each pool has upstreams that may get work, or that may be there in a moment.
+	Returns why no request that needs the given pools can be served now.
+	@param pools - names of the pools.
+	@returns undefined if each pool has upstreams that may receive work, or may have some in a moment.
 	*/
 	ofPools(pools: readonly string[]): Unavailability | undefined {
 		const closed = pools.find(pool => this.options.registry.isPoolClosed(pool));
@@ -60,29 +67,29 @@
 	}
 
 	/**
-	Tells whether a pool may get a request from this host now, so that a route with several pools is served by one of those that may.
+	Returns whether this host may send a request to a pool now, so that a route with several pools is served by one of these.
 	@param pool - the pool.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	isOpen(pool: string, nowMs: number): boolean {
 		return this.ofPools([pool]) === undefined && this.left(pool, nowMs) >= 1;
 	}
 
 	/**
-	Tells why a stage can't be sent for now.
-	@param stage - what is to be sent.
-	@param nowMs - the time.
-	@returns nothing where an upstream may get it, or may be there in a moment.
+	Returns why a stage can't be sent now.
+	@param stage - the stage to be sent.
+	@param nowMs - the current time.
+	@returns undefined if an upstream may receive it, or may be there in a moment.
 	*/
 	ofStage(stage: StagePlan, nowMs: number): Unavailability | undefined {
 		return this.ofPools([stage.pool]) ?? this.ofBounded(stage, nowMs);
 	}
 
 	/**
-	Tells how many requests of any kind this host may send to a pool now.
+	Returns how many requests of any kind this host may send to a pool now.
 	@param pool - the pool.
-	@param nowMs - the time.
-	@returns Infinity where one of its upstreams is not bounded, or where it has none.
+	@param nowMs - the current time.
+	@returns Infinity if one of the pool's upstreams is not bounded, or if it has none.
 	*/
 	left(pool: string, nowMs: number): number {
 		const upstreams = this.options.registry.usable(pool);
@@ -98,9 +105,9 @@
 	}
 
 	/**
-	Says why a pool takes no more from this host for now, each of its upstreams being bounded.
+	Returns why this host may send nothing to a pool now, given that each of its upstreams is bounded.
 	@param pool - the pool.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	boundedText(pool: string, nowMs: number): Unavailability {
 		const {registry, bounds} = this.options;
@@ -120,7 +127,7 @@
 		return upstreams.some(upstream => bounds.isResting(upstream, nowMs)) ? 'have asked for rest' : 'are cold and bear no more for now';
 	}
 
-	/** Why a pool bears no more from this host; a request whose steps are done waits for the next send instead. */
+	/** Returns why the bounds of a pool leave no send for this host. A request whose preparation steps are complete is not refused but waits for the next send. */
 	private ofBounded({pool, inputBytesByHall}: StagePlan, nowMs: number): Unavailability | undefined {
 		const isPrepared = inputBytesByHall !== undefined && inputBytesByHall.size > 0;
 		return isPrepared || this.left(pool, nowMs) > 0 ? undefined : this.boundedText(pool, nowMs);
--- a/src/direct/common/refusing-pool.test.ts
+++ b/src/direct/common/refusing-pool.test.ts
@@ -1,7 +1,9 @@
 /**
-Pattern: a black hole in a pool. One upstream of four refuses each request at once, while the others have room for ten times what is asked.
+Guards against callers being refused because upstreams of their pool refuse requests immediately (one of four, or half), while
+the others have capacity for ten times the load.
 
-Each host learns by itself who refuses, and has a part of the budget of repeats: the more hosts share the requests, the more of these are used up on finding out.
+Each host detects by itself which upstreams refuse, and has a share of the retry budget: the more hosts share the requests, the
+more of these are spent on detection.
 */
 import t, {type Test} from 'tap';
 import {silentLoggers} from '../../base/common/logger.js';
@@ -29,7 +31,7 @@
 const answerMs = 60;
 const playMs = 9000;
 const mostTries = 3;
-/** Part of the callers that is served where other upstreams have room. */
+/** Minimum share of callers that must be served while other upstreams have capacity. */
 const servedShare = 0.99;
 
 const route: Route = {
@@ -83,13 +85,13 @@
 	remainingMs: 5000,
 }, 0).stages[0];
 
-/** An attempt at work on an upstream that takes it. */
+/** An attempt that is running on an upstream. */
 type AtWork = {readonly router: DirectRouter; readonly attempt: Attempt; readonly untilMs: number};
 
-/** What is played: the first servers of the pool refuse a part of their requests. */
+/** A simulated load, in which the first servers of the pool refuse a share of their requests. */
 type Play = {readonly hostCount: number; readonly refusingCount: number; readonly refusedShare: number; readonly seed: number};
 
-/** Plays a steady load on all hosts; tells what part of the callers is served. */
+/** Simulates a constant load on all hosts; returns the share of callers that are served. */
 function play({hostCount, refusingCount, refusedShare, seed}: Play): number {
 	const refusing = new Set(serverIds.slice(0, refusingCount));
 	const random = SeededRandom.create(seed);
@@ -148,14 +150,14 @@
 	}
 }
 
-t.test('callers of few hosts are served beside an upstream that refuses', async t => {
+t.test('callers of few hosts are served despite upstreams that refuse', async t => {
 	for (const refusingCount of [1, 2]) {
 		isServed(t, 1, refusingCount);
 		isServed(t, 3, refusingCount);
 	}
 });
 
-t.test('callers of many hosts are served beside an upstream that refuses', async t => {
+t.test('callers of many hosts are served despite an upstream that refuses', async t => {
 	isServed(t, 31, 1);
 });
 
--- a/src/direct/common/upstream-protocol.ts
+++ b/src/direct/common/upstream-protocol.ts
@@ -1,45 +1,45 @@
-/** Port to the way a deployment's upstreams speak when a host calls them itself. */
+/** Port to the protocol of a deployment's upstreams that a host calls directly. */
 import type {InjectionToken} from 'tsyringe';
 import type {ServerNotice} from '../../deployment/common/server-notices.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import type {HttpHead} from '../../request/common/request-plan.js';
 import type {HttpCall, RefusalReason} from '../../wire/common/messages.js';
 
-/** One call, as it leaves this host. */
+/** A call that this host is about to send. */
 export type OutgoingCall = {
-	/** Empty where the caller needed no key. */
+	/** Name of the workspace; empty where the caller needed no key. */
 	readonly workspace: string;
 	readonly http: HttpCall;
 	readonly server: UpstreamServer;
 	readonly remainingMs: number;
-	/** Id of the last event already delivered, where an answer is taken up again. */
+	/** Id of the last event already delivered, where a call resumes an answer. */
 	readonly resumeAfter: string | undefined;
 };
 
-/** What the head of an answer proves. */
+/** What the head of an answer shows about its call. */
 export type HeadReading
 	= | {readonly kind: 'answer'}
-	/** The work did not run and never will. */
+	/** The upstream did not run the call and never will. */
 		| {readonly kind: 'notRun'; readonly reason: RefusalReason}
-	/** It answers another call, or is no answer of this upstream. */
+	/** The answer belongs to another call, or doesn't come from this upstream. */
 		| {readonly kind: 'foreign'; readonly reason: string};
 
-/** Speaks to upstreams. */
+/** Writes the headers of calls to upstreams and interprets the heads of their answers. */
 export type UpstreamProtocol = {
 	/**
-	Gives the headers of a call.
+	Returns the headers to send with a call.
 	@param call - the call.
 	*/
 	requestHeaders(call: OutgoingCall): Header[];
 	/**
-	Reads the head of an answer.
-	@param head - status and headers, names in small letters.
-	@param callerRequestId - the request's name as its caller gave it.
+	Determines from the head of an answer whether the call runs.
+	@param head - status and headers, with header names in lower case.
+	@param callerRequestId - the id that the caller gave the request.
 	*/
 	readHead(head: HttpHead, callerRequestId: string): HeadReading;
 	/**
-	Reads what an answer says of its server.
-	@param head - status and headers, names in small letters.
+	Reads what an answer states about its server.
+	@param head - status and headers, with header names in lower case.
 	*/
 	readNotice(head: HttpHead): ServerNotice;
 };
--- a/src/direct/node/direct-call.ts
+++ b/src/direct/node/direct-call.ts
@@ -1,4 +1,4 @@
-/** One call on one connection: turns what the upstream sends into the messages an agent would send. */
+/** One call on one connection: converts what the upstream sends into the messages that an agent would send. */
 import type {Dispatcher} from 'undici';
 import {messageOf, UnavailableError} from '../../base/common/errors.js';
 import {extendDigest} from '../../base/common/hash.js';
@@ -11,33 +11,33 @@
 import {EventSplitter} from '../common/event-splitter.js';
 import type {UpstreamProtocol} from '../common/upstream-protocol.js';
 
-/** Answers below this status are what was asked for; others are passed on as they come, not event by event. */
+/** Streamed answers below this status are forwarded event by event; others are errors or redirects and forwarded as received. */
 const firstErrorStatus = 300;
-/** Reasons go into logs and traces; gates cut theirs at the same length. */
+/** Maximum length of a reason, as it goes into logs and traces; gates truncate theirs to the same length. */
 const mostReasonChars = 500;
 
-/** What a call needs besides its connection. */
+/** The call, its connection and the callbacks that follow its progress. */
 export type DirectCallOptions = {
 	readonly dispatch: DispatchMessage;
 	readonly lane: Lane;
 	readonly protocol: UpstreamProtocol;
 	readonly callerRequestId: string;
-	/** Whether the answer is an event stream that is passed on event by event. */
+	/** Whether the answer is an event stream that is forwarded event by event. */
 	readonly isStreaming: boolean;
 	readonly nowMs: () => number;
-	/** The call is written. */
+	/** Called when the call is about to be written. */
 	readonly written: () => void;
-	/** The head of an answer has come, whatever it proves. */
+	/** Called when the head of an answer was received, whether or not it answers this call. */
 	readonly answered: (head: HttpHead, sentMs: number) => void;
 	readonly emit: (message: Message) => void;
-	/** An event was passed on; where the answer is taken up again, it goes on after this one. */
+	/** Called with the id of the last event to be forwarded; a call that resumes the answer continues after it. */
 	readonly reached: (eventId: string) => void;
 	readonly ended: () => void;
-	/** The connection ended before the answer was whole, and nobody here wanted it to. */
+	/** Called when the connection ended before the answer was complete, without having been aborted by this host. */
 	readonly brokeOff: () => void;
 };
 
-/** Follows one call to its end; emits `refused` or `end` exactly once. */
+/** Handles one call until it ends; emits `refused` or `end` exactly once. */
 export class DirectCall implements Dispatcher.DispatchHandler {
 	static create(options: DirectCallOptions): DirectCall {
 		return new DirectCall(options);
@@ -47,11 +47,11 @@
 	private readonly sentMs: number;
 	private head: HttpHead | undefined;
 	private splitter: EventSplitter | undefined;
-	/** Why the upstream did not run it, once its head has said so. */
+	/** Why the upstream did not run the call, once the head of the answer has stated it. */
 	private refusal: RefusalReason | undefined;
-	/** Why the answer is not one to this call. */
+	/** Why the answer does not belong to this call. */
 	private foreignReason: string | undefined;
-	/** Units that were passed on. */
+	/** Number of units that were forwarded. */
 	private units = 0;
 	private digest = 0;
 	private creditLeft: number;
@@ -63,13 +63,13 @@
 		this.creditLeft = options.dispatch.creditChunks;
 	}
 
-	/** Gives the call up; what it proves is told by its end. */
+	/** Cancels the call; whether it may have run is reported by the message that ends it. */
 	cancel(): void {
 		this.isCancelled = true;
 		this.controller?.abort(new UnavailableError('cancelled'));
 	}
 
-	/** Lets more of the answer come. */
+	/** Grants credit for further chunks and resumes reading. */
 	grant(chunks: number): void {
 		this.creditLeft += chunks;
 		if (this.creditLeft > 0) {
@@ -77,7 +77,7 @@
 		}
 	}
 
-	/** The call is about to be written: from here on it may run. */
+	/** Called before the call is written: from here on it may run. */
 	onRequestStart(controller: Dispatcher.DispatchController): void {
 		this.controller = controller;
 		if (this.isCancelled) {
@@ -88,7 +88,7 @@
 		this.options.written();
 	}
 
-	/** A head has come: it tells whether the call runs, was refused, or is answered by another server. */
+	/** Called for the head of an answer, which shows whether the call runs, was refused, or is answered by another server. */
 	onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
 		if (!isFinal(status)) {
 			return;
@@ -119,7 +119,7 @@
 		});
 	}
 
-	/** Bytes of the answer have come: whole events of a stream, or any bytes of another answer, go on. */
+	/** Called for bytes of the answer. Forwards complete events of a stream, and any bytes of another answer. */
 	onResponseData(controller: Dispatcher.DispatchController, bytes: Uint8Array): void {
 		if (this.refusal !== undefined || this.isOver) {
 			return;
@@ -142,7 +142,7 @@
 		}
 	}
 
-	/** The answer is over, as far as the connection tells. */
+	/** Called at the end of the answer, as far as the connection indicates it. */
 	onResponseEnd(): void {
 		const {lane} = this.options;
 		if (this.isCutShort) {
@@ -161,11 +161,11 @@
 		}
 	}
 
-	/** The call broke off: one that was never begun is refused, of any other the end is not known. */
+	/** Called when the call failed. One that was never started is refused; the outcome of any other is unknown. */
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
 		this.options.lane.spend();
 		if (this.refusal !== undefined) {
-			// The head alone is proof.
+			// The head alone proves that the call did not run.
 			this.refuse(this.refusal);
 		} else if (this.controller === undefined) {
 			this.refuse(this.isCancelled ? refusalReasons.cancelled : refusalReasons.unreachable);
@@ -179,7 +179,7 @@
 		}
 	}
 
-	/** Whether the answer ended before it was whole. */
+	/** Whether the answer ended before it was complete. */
 	private get isCutShort(): boolean {
 		return this.options.lane.isCutShort(this.head?.headers ?? []) || (this.splitter?.hasPartialEvent ?? false);
 	}
@@ -199,7 +199,7 @@
 		});
 	}
 
-	/** Units the caller had before this call. */
+	/** Number of units that the caller had received before this call. */
 	private get offset(): number {
 		const {call} = this.options.dispatch;
 		return call.kind === 'http' ? call.resumeOffset ?? 0 : 0;
--- a/src/direct/node/direct-links.ts
+++ b/src/direct/node/direct-links.ts
@@ -1,4 +1,4 @@
-/** Straight ways to upstreams without an agent: sends dispatches as HTTP calls and reports what becomes of them. */
+/** Direct links to upstreams without an agent: sends dispatches as HTTP calls and reports their outcomes. */
 import type {Dispatcher} from 'undici';
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
@@ -18,35 +18,35 @@
 import type {UpstreamProtocol} from '../common/upstream-protocol.js';
 import {DirectCall} from './direct-call.js';
 
-/** What the links need to know of a request besides its dispatches. */
+/** What the links need to know about a request in addition to its dispatches. */
 export type RequestFacts = {
-	/** The request's name as the caller gave it: answers carry it back. */
+	/** The id that the caller gave the request, which answers repeat. */
 	readonly callerRequestId: string;
 	readonly deadlineMs: number;
 	readonly isStreaming: boolean;
-	/** A call was written to an upstream. */
+	/** Called when a call is about to be written to an upstream. */
 	readonly written: () => void;
-	/** Id of the last event that was delivered. */
+	/** Id of the last event that was delivered, after which another call resumes the answer. */
 	resumeAfter: string | undefined;
 };
 
-/** What the links are made of. */
+/** Dependencies of the links. */
 export type DirectLinksOptions = {
 	readonly registry: ServerRegistry;
-	/** Learns what servers say of themselves. */
+	/** Receives what servers state about themselves. */
 	readonly notices: Pick<ServerNotices, 'answered'>;
 	readonly protocol: UpstreamProtocol;
 	readonly clock: Clock;
 	readonly log: Logger;
-	/** Connections this host may have to one upstream of a pool. */
+	/** Returns the maximum number of connections of this host to one upstream of a pool. */
 	readonly mostLanes: (pool: string) => number;
-	/** Something came from a server. */
+	/** Called when data was received from a server. */
 	readonly heard: (serverId: string, dispatchId: string) => void;
-	/** Learns which requests end the servers that run them, and which do not. */
+	/** Records which requests crash the servers that run them, and which don't. */
 	readonly quarantine: Pick<Quarantine, 'sent' | 'brokeOff' | 'completed'>;
 };
 
-/** A call about to be made. */
+/** A call that is about to be made. */
 type CallStart = {
 	readonly message: DispatchMessage;
 	readonly http: HttpCall;
@@ -55,7 +55,7 @@
 	readonly lane: Lane;
 };
 
-/** Holds the calls and connections of one host. */
+/** Manages the calls and connections of one host. */
 export class DirectLinks implements UpstreamLinks, Disposable {
 	static create(options: DirectLinksOptions): DirectLinks {
 		return new DirectLinks(options);
@@ -64,9 +64,9 @@
 	private readonly didReceive = Emitter.create<UpstreamMessage>();
 	private readonly didJoin = Emitter.create<string>();
 	private readonly never = Emitter.create<string>();
-	/** Connections, by server. */
+	/** Connections by server id. */
 	private readonly pools = new Map<string, LanePool>();
-	/** Calls that have not ended, by dispatch. */
+	/** Calls that have not ended, by dispatch id. */
 	private readonly calls = new Map<string, DirectCall>();
 	private readonly requests = new Map<string, RequestFacts>();
 	private readonly watch: Disposable;
@@ -89,7 +89,7 @@
 		return this.didJoin.event;
 	}
 
-	/** A call ends with its connection, and each start of a server has an id of its own: these never happen here. */
+	/** Never fires, nor do the following two events: a call ends with its connection, and each start of a server has an id of its own. */
 	get onDidLose() {
 		return this.never.event;
 	}
@@ -103,10 +103,10 @@
 	}
 
 	/**
-	Tells the links of a request before its first dispatch.
-	@param requestId - the product's own id of it.
-	@param facts - what they need.
-	@returns disposing forgets it.
+	Registers a request before its first dispatch.
+	@param requestId - internal id of the request.
+	@param facts - what the links need to know about it.
+	@returns a disposable that removes the registration.
 	*/
 	register(requestId: string, facts: RequestFacts): Disposable {
 		this.requests.set(requestId, facts);
@@ -117,7 +117,7 @@
 		};
 	}
 
-	/** Begins, gives up or goes on with a call; other messages are for agents only. */
+	/** Starts, cancels or grants credit to a call; other message types are for agents only and return false. */
 	send(upstreamId: string, message: Message): boolean {
 		switch (message.type) {
 			case 'dispatch': {
@@ -185,13 +185,13 @@
 		try {
 			lane.dispatch(options, call);
 		} catch (error) {
-			// The client refuses what it can't write: nothing was sent.
+			// The HTTP client throws if it can't write the call: nothing was sent.
 			this.calls.delete(dispatchId);
 			lane.dispose();
 			this.options.clock.setTimer(0, () => {
 				this.didReceive.fire({upstreamId: server.serverId, message: {type: 'refused', dispatchId, reason: refusalReasons.badCall}});
 			});
-			this.options.log.error('A call could not be written; nothing of it was sent.', {request: facts.callerRequestId, server: server.serverId, reason: messageOf(error)});
+			this.options.log.error('Could not write an upstream call; nothing was sent.', {request: facts.callerRequestId, server: server.serverId, reason: messageOf(error)});
 		}
 	}
 
@@ -231,7 +231,7 @@
 		});
 	}
 
-	/** What a call is written as. */
+	/** Returns the options with which the HTTP client writes a call. */
 	private writtenOf({message, http, server, facts}: CallStart): Dispatcher.DispatchOptions {
 		const {clock, protocol} = this.options;
 		const headers = protocol.requestHeaders({
@@ -267,7 +267,7 @@
 		return pool;
 	}
 
-	/** A server that is gone finishes what it has: its connections go once their calls have ended. */
+	/** Closes the connections to a server that is gone, unless they have running calls: these may finish first. */
 	private forget(serverId: string): void {
 		const pool = this.pools.get(serverId);
 		if (pool && !pool.hasBusy) {
--- a/src/direct/node/door-checks.ts
+++ b/src/direct/node/door-checks.ts
@@ -1,4 +1,4 @@
-/** What is known of a request before anything is done for it, because of which it is refused at the door. */
+/** Checks whether a request is refused on admission, before any work is done for it. */
 import {barredText, type Standing} from '../../quarantine/common/quarantine.js';
 import type {RequestPlan} from '../../request/common/request-plan.js';
 import type {Unavailability} from '../../request/common/request-router.js';
@@ -8,25 +8,25 @@
 	ownStatuses, rankOf, type Recognized, type Refusal,
 } from './recognize-request.js';
 
-/** Who knows. */
+/** Checks made on admission. */
 export type DoorChecks = {
-	/** Tells whether a request may be sent, by what became of the same content before. */
+	/** Returns whether a request may be sent, given the outcomes of earlier requests with the same content. */
 	readonly standingOf: (plan: RequestPlan) => Standing;
-	/** Tells why requests that need certain pools can't be served for now. */
+	/** Returns why requests that need the given pools can't be served now, or undefined if they can. */
 	readonly unavailabilityOf: (pools: readonly string[]) => Unavailability | undefined;
-	/** Tells whether a pool may get a request now. */
+	/** Returns whether a request may be sent to a pool now. */
 	readonly isOpen: (pool: string, nowMs: number) => boolean;
-	/** Decides whether a request of a rank may begin that a bounded pool is to serve. */
+	/** Decides by rank whether a request may start that is to be served by a bounded pool. */
 	readonly admission: Pick<BoundedAdmission, 'admit' | 'reserve'>;
 };
 
 /**
-Tells why a request is refused at the door.
-@param request - as recognized.
-@param plan - what would be done.
-@param checks - who knows.
-@param nowMs - the time.
-@returns nothing for one that may be begun.
+Returns why a request is refused on admission.
+@param request - the request, with its route and workspace.
+@param plan - plan of the request.
+@param checks - the checks to make.
+@param nowMs - the current time.
+@returns undefined if the request may start.
 */
 export function doorRefusal(request: Pick<Recognized, 'route' | 'ask' | 'workspace'>, plan: RequestPlan, {standingOf, unavailabilityOf, admission}: DoorChecks, nowMs: number): Refusal | undefined {
 	const {route, ask: {requestId, pieceCounts}} = request;
--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -1,4 +1,4 @@
-/** The door for callers of a deployment: any path, routed by the declaration in force, passed straight to upstreams. */
+/** HTTP ingress for callers of a deployment: accepts any path, routes it by the current declaration and forwards it directly to upstreams. */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
@@ -32,43 +32,45 @@
 } from './recognize-request.js';
 import {ServedRequest} from './served-request.js';
 
-/** Longest head that is read at all; the declaration's own limit is checked besides. */
+/** Maximum size of a head that is read at all; the declaration's own limit is checked in addition. */
 const mostHeadBytes = 64 * 1024;
-/** How often connections are looked through for those past their limits. */
+/** Interval at which connections are checked for exceeded time limits. */
 const checkMs = 1000;
-/** What the door is made of. */
+
+/** Dependencies of the ingress. */
 export type IngressOptions = DoorChecks & {
 	readonly board: DeploymentBoard;
 	readonly links: DirectLinks;
 	readonly runner: RequestRunner;
 	readonly protocol: CallerProtocol;
 	readonly makePreparer: (ask: PreparationAsk) => Preparer;
-	/** Tells where a request with a shared part will most likely run. */
+	/** Predicts where a request with a shared prompt part will most likely run. */
 	readonly likelyPlace: (stage: StagePlan, nowMs: number) => LikelyPlace;
-	/** Waits of the queues for steps. */
+	/** Waiting times of the queues for preparation steps. */
 	readonly waits: PoolWaits;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly log: Logger;
 	readonly metrics: Metrics;
-	/** Why this host should get no new connections, or nothing if it should. */
+	/** Returns why this host should receive no new connections, or undefined if it should. */
 	readonly notReadyReason: () => string | undefined;
-	/** Whether answers ask their callers to use another connection next time. */
+	/** Whether the host is leaving, so that answers ask callers to use another connection next time. */
 	readonly isLeaving: () => boolean;
 };
 
-/** A request that is here whole. */
+/** A request that has been received completely. */
 type Arrival = Recognized & {
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
 	readonly body: Uint8Array;
 	readonly receivedMs: number;
-	/** How long ago its caller first asked. */
+	/** How long ago the caller first sent the request. */
 	readonly sinceFirstTryMs: number;
 };
+
 export const ingressToken: InjectionToken<Ingress> = Symbol('Ingress');
 
-/** Takes callers' requests and the balancer's questions. */
+/** Accepts callers' requests and the load balancer's readiness checks. */
 export class Ingress implements Disposable {
 	static create(options: IngressOptions): Ingress {
 		return new Ingress(options);
@@ -77,12 +79,12 @@
 	private readonly callers: Server;
 	private readonly readiness: Server;
 	private readonly owned = DisposableStore.create();
-	/** Ids in the hands of this host, by which messages find their request. */
+	/** Ids of the requests that this host is serving, by which messages are matched to their request. */
 	private readonly openIds = new Set<string>();
 	private readonly firstTries = FirstTries.create();
 	private serial = 0;
 	private hasStoppedTaking = false;
-	/** Requests whose body has not come whole. */
+	/** Number of requests that are being received or checked. */
 	private receivingCount = 0;
 
 	private constructor(private readonly options: IngressOptions) {
@@ -92,8 +94,8 @@
 			void this.guard(request, response);
 		});
 		this.callers.on('clientError', (error, socket) => {
-			// Bytes that are no request: nothing was run, and nothing else on this host is disturbed.
-			options.log.debug('A caller sent bytes that are no request.', {reason: error.message});
+			// The bytes are not a valid HTTP request: nothing was run, and other connections are not affected.
+			options.log.debug('A caller sent bytes that are not a valid HTTP request.', {reason: error.message});
 			socket.destroy();
 		});
 		this.readiness = createServer((_request, response) => {
@@ -105,25 +107,25 @@
 		}));
 	}
 
-	/** Requests that have not ended. */
+	/** Number of requests that have not ended. */
 	get openCount(): number {
 		return this.openIds.size + this.receivingCount;
 	}
 
 	/**
-	Starts taking requests.
-	@param callers - where callers come.
-	@param readiness - where the balancer asks.
-	@returns where it listens.
-	@throws UnavailableError when an address can't be had.
+	Starts listening for requests.
+	@param callers - endpoint for callers.
+	@param readiness - endpoint for the load balancer's readiness checks.
+	@returns the endpoints on which the ingress listens.
+	@throws UnavailableError if it can't listen on an address.
 	*/
 	async listen(callers: Endpoint, readiness: Endpoint): Promise<{readonly callers: Endpoint; readonly readiness: Endpoint}> {
 		return {callers: await listenOn(this.callers, callers), readiness: await listenOn(this.readiness, readiness)};
 	}
 
 	/**
-	Takes no more: new connections are not accepted, requests on open ones are refused as not run, and
-	connections that carry nothing are closed until disposed.
+	Stops accepting requests: new connections are not accepted, requests on open ones are refused as not run, and idle
+	connections are closed periodically until the ingress is disposed.
 	*/
 	stopTaking(): void {
 		this.hasStoppedTaking = true;
@@ -133,7 +135,7 @@
 		}));
 	}
 
-	/** Refuses what has not been sent to an upstream: the process ends in a moment. */
+	/** Refuses requests that have not been sent to an upstream, as the process is about to exit. */
 	refuseUnstarted(): void {
 		this.options.runner.refuseUnstarted();
 	}
@@ -151,13 +153,13 @@
 		this.callers.keepAliveTimeout = idleTimeoutMs;
 	}
 
-	/** Whatever one request brings about ends with its own connection, and is told of. */
+	/** Confines an error in one request to its own connection, and logs it. */
 	private async guard(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		this.receivingCount++;
 		try {
 			await this.serve(request, response);
 		} catch (error) {
-			this.options.log.error('A request could not be served.', {reason: messageOf(error)});
+			this.options.log.error('Could not serve a request.', {reason: messageOf(error)});
 			response.destroy();
 		} finally {
 			this.receivingCount--;
@@ -271,8 +273,8 @@
 	}
 
 	/**
-	Decides whether the steps of a request can still be in time, and refuses it if not.
-	@returns whether it goes on.
+	Decides whether the preparation steps of a request can still complete in time, and refuses it if not.
+	@returns whether the request was admitted.
 	*/
 	private admitSteps(arrival: Arrival, afterwardsMs: number): boolean {
 		const {response, index, route, ask} = arrival;
@@ -311,7 +313,7 @@
 			pieceKey: ask.pieceKey,
 			rank: rankOf(arrival),
 			receivedMs,
-			// What counts for a caller is the time from its first try: one that can't be in time any more gives way.
+			// The target counts from the caller's first try, so that a request that can no longer meet it yields to others.
 			targetMs: receivedMs + route.targetMs - sinceFirstTryMs,
 			deadlineMs,
 			hall,
@@ -319,7 +321,7 @@
 		});
 	}
 
-	/** The caller's own name of the request, made unique on this host where two have the same. */
+	/** Returns the caller's id of the request, made unique on this host if it is empty or in use by another request. */
 	private idFor(callerRequestId: string): string {
 		if (callerRequestId !== '' && !this.openIds.has(callerRequestId)) {
 			return callerRequestId;
--- a/src/direct/node/pass-through-writer.ts
+++ b/src/direct/node/pass-through-writer.ts
@@ -1,4 +1,4 @@
-/** Writes an upstream's answer to the caller as it is, or the product's own last word where there is none. */
+/** Writes an upstream's answer to the caller unchanged, or an answer of the host where the upstream gave none. */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import {endToEndHeaders, isUnframed} from '../../deployment/common/hop-headers.js';
@@ -10,15 +10,15 @@
 const unavailable = 503;
 const gatewayTimeout = 504;
 const usualRetryAfterMs = 300;
-/** Answers that have no body by their status. */
+/** Statuses of answers that have no body. */
 const bodylessStatuses = new Set([204, 304]);
 
 /**
-Writes an answer of the product's own.
-@param response - where to.
+Writes an answer that comes from the host and not from an upstream. Does nothing if an answer has been started already.
+@param response - the response to write to.
 @param status - HTTP status.
 @param text - one sentence.
-@param retryAfterMs - when to come back.
+@param retryAfterMs - delay after which the caller should retry.
 */
 export function sendOwn(response: ServerResponse, status: number, text: string, retryAfterMs?: number): void {
 	if (response.headersSent || response.destroyed) {
@@ -35,14 +35,14 @@
 }
 
 /**
-Makes the one sentence that tells a caller that its request has not run.
-@param reason - why.
+Formats the sentence that informs a caller that its request has not run.
+@param reason - why it has not run.
 */
 export function notRunText(reason: string): string {
 	return `Not run: ${reason}.`;
 }
 
-/** Writes one answer. */
+/** Writes the answer to one request. */
 export class PassThroughWriter {
 	static create(response: ServerResponse, isHead: boolean): PassThroughWriter {
 		return new PassThroughWriter(response, isHead);
@@ -53,16 +53,16 @@
 
 	private constructor(private readonly response: ServerResponse, private readonly isHead: boolean) {}
 
-	/** The status the caller was given; 0 before. */
+	/** The HTTP status sent to the caller; 0 before one is sent. */
 	get status(): number {
 		return this.writtenStatus;
 	}
 
 	/**
-	Writes pieces of an answer as they come.
-	@param data - the pieces.
-	@param http - head of the upstream's answer; the first one counts.
-	@returns ends when more can be taken, or nothing if at once.
+	Writes data of an answer as it arrives.
+	@param data - the data.
+	@param http - head of the upstream's answer; only the first one given is used.
+	@returns a promise that resolves when more can be written, or undefined if more can be written immediately.
 	*/
 	deliver(data: Uint8Array, http: HttpHead | undefined): Promise<void> | undefined {
 		const {response} = this;
@@ -91,8 +91,8 @@
 	}
 
 	/**
-	Writes the end.
-	@param result - how the request ended.
+	Completes the answer.
+	@param result - result of the request.
 	*/
 	finish(result: RequestResult): void {
 		const {response} = this;
@@ -112,7 +112,7 @@
 
 	private finishFailed(result: RequestResult): void {
 		if (this.isOpen) {
-			// Part of the answer is out: only a broken connection says that it is not whole.
+			// Part of the answer has been sent: only closing the connection shows the caller that it is incomplete.
 			this.response.destroy();
 			return;
 		}
@@ -132,7 +132,7 @@
 		const kept = endToEndHeaders(headers).filter(({name}) => this.isHead || name !== 'content-length');
 		const flat = kept.flatMap(({name, value}) => [name, value]);
 		if (isUnframed({headers}) && !this.isHead && !bodylessStatuses.has(status)) {
-			// Only the end of its connection said that it was whole: nothing here may say more.
+			// Only the close of the upstream's connection marked the answer as complete, so no framing may be added here that would assert it.
 			this.response.useChunkedEncodingByDefault = false;
 			this.response.shouldKeepAlive = false;
 		} else if (bodyBytes !== undefined && !this.isHead) {
--- a/src/direct/node/prompt-news.test.ts
+++ b/src/direct/node/prompt-news.test.ts
@@ -1,7 +1,7 @@
 /**
-Pattern: many hosts, each of which sends prompts to the same engines. What a host hears of the others' sends may not grow
-with the number of hosts, or thin hosts do nothing else; and a send may be heard of once only, or engines look busier
-than they are.
+Guards against floods of prompt updates where many hosts send prompts to the same engines. The number of updates that a host
+receives must not grow with the number of hosts, or hosts with low capacity do nothing else. Each send must be reported once
+only, or engines appear busier than they are.
 */
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
@@ -10,12 +10,12 @@
 import type {Message} from '../../wire/common/messages.js';
 import {PromptNews} from './prompt-news.js';
 
-/** Hosts that hear of each other's sends; messages arrive at once. */
+/** Hosts that notify each other of sends; messages arrive immediately. */
 class Hosts {
 	readonly clock = ManualClock.create();
-	/** Messages that each host received. */
+	/** Number of messages that each host received. */
 	readonly received = new Map<string, number>();
-	/** Engines of the sends that each host heard of. */
+	/** Engines of the sends that were reported to each host. */
 	readonly heard = new Map<string, string[]>();
 	readonly news = new Map<string, PromptNews>();
 	private readonly lines = new Map<string, Emitter<PeerMessage>>();
@@ -54,7 +54,7 @@
 	}
 }
 
-/** Two prompts a second from each host. */
+/** Sends two prompts from each host within a second. */
 function playSecond(hosts: Hosts): void {
 	for (const half of [0, 1]) {
 		for (const [index, name] of hosts.names.entries()) {
@@ -67,7 +67,7 @@
 }
 
 for (const count of [32, 68, 370]) {
-	t.test(`each of ${count} hosts hears of every other's sends once, in few messages`, async t => {
+	t.test(`each of ${count} hosts receives every other's sends once, in few messages`, async t => {
 		const hosts = new Hosts(Array.from({length: count}, (_, index) => `host-${index}`));
 		playSecond(hosts);
 		for (const name of hosts.names) {
@@ -77,12 +77,12 @@
 		}
 
 		const busiest = [...hosts.received.values()].toSorted((left, right) => right - left);
-		t.ok(busiest[1] <= 22, 'all but the one that gathers');
-		t.ok(busiest[0] <= 2 * count, 'which gets one message a send');
+		t.ok(busiest[1] <= 22, 'all hosts except the relay');
+		t.ok(busiest[0] <= 2 * count, 'the relay receives one message for each send');
 	});
 }
 
-t.test('few hosts tell each other themselves, without the detour', async t => {
+t.test('few hosts notify each other directly, without a relay', async t => {
 	const hosts = new Hosts(Array.from({length: 31}, (_, index) => `host-${index}`));
 	hosts.news.get('host-0')!.add('engine', [{key: 1, tokens: 1}]);
 	hosts.clock.advance(10);
--- a/src/direct/node/prompt-news.ts
+++ b/src/direct/node/prompt-news.ts
@@ -1,27 +1,27 @@
-/** Tells peers which prompts this host sent to which engines, and takes in what they tell. */
+/** Notifies peers which prompts this host has sent to which engines, and receives their notifications. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import type {PeerMesh} from '../../peers/node/peer-mesh.js';
 import type {PromptPart} from '../../routing/common/engine-loads.js';
 import {NewsBuffer, newsRelayOf, type SentPrompts} from '../common/news-buffer.js';
 
-/** How long a host gathers its own news before it tells them: short against the time a prompt is read. */
+/** How long a host collects its own updates before it sends them: short compared with the time in which a prompt is read. */
 const gatherMs = 10;
-/** How long a host gathers the news of all before it passes them on. */
+/** How long the relay collects the updates of all hosts before it broadcasts them. */
 const relayMs = 50;
 
-/** What the news are made of. */
+/** Dependencies of the exchange. */
 export type PromptNewsOptions = {
 	readonly hostId: string;
-	/** This host's room for shared work. */
+	/** This host's capacity for shared work. */
 	readonly room: number;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'liveRooms' | 'send' | 'broadcast'>;
-	/** A peer has sent a prompt to an engine. */
+	/** Called when a peer has sent a prompt to an engine. */
 	readonly heard: (serverId: string, parts: readonly PromptPart[]) => void;
 	readonly clock: Clock;
 };
 
-/** Exchanges sends of prompts: through one host for all, or among all where they are few. */
+/** Exchanges prompt updates: through one host that relays them, or directly between all hosts where there are few. */
 export class PromptNews implements Disposable {
 	static create(options: PromptNewsOptions): PromptNews {
 		return new PromptNews(options);
@@ -29,7 +29,7 @@
 
 	private prompts: SentPrompts = [];
 	private timer: Disposable | undefined;
-	/** News that this host passes on. */
+	/** Updates that this host is to relay. */
 	private readonly relayed = NewsBuffer.create();
 	private relayTimer: Disposable | undefined;
 	private readonly listener: Disposable;
@@ -43,7 +43,7 @@
 				}
 			} else if (message.type === 'promptsPassedOn') {
 				for (const news of message.news) {
-					// This host knows its own.
+					// This host's own updates come back from the relay.
 					if (news.hostId !== options.hostId) {
 						this.hear(news.prompts);
 					}
@@ -53,9 +53,9 @@
 	}
 
 	/**
-	A prompt was sent.
-	@param serverId - the engine.
-	@param prompt - its parts.
+	Records that this host has sent a prompt, to notify peers of it.
+	@param serverId - id of the engine.
+	@param prompt - parts of the prompt.
 	*/
 	add(serverId: string, prompt: readonly PromptPart[]): void {
 		this.prompts.push({serverId, parts: [...prompt]});
@@ -73,7 +73,7 @@
 		this.relayTimer?.dispose();
 	}
 
-	/** Tells this host's own news to whoever passes them on, or to all. */
+	/** Sends this host's own updates to the relay, or to all hosts if there is no relay or it can't be reached. */
 	private tell(prompts: SentPrompts): void {
 		const {hostId, room, mesh} = this.options;
 		const relay = newsRelayOf(new Map([...mesh.liveRooms, [hostId, room]]));
--- a/src/direct/node/read-request.ts
+++ b/src/direct/node/read-request.ts
@@ -1,15 +1,15 @@
-/** Takes what a caller's request brings: the size of its head, and its body. */
+/** Reads a caller's request: the size of its head, and its body. */
 import type {IncomingMessage} from 'node:http';
 import {joinBytes} from '../../base/common/bytes.js';
 
 /**
-Counts the bytes of a request's head, about as they came.
+Computes the approximate size of a request's head as received, in bytes.
 @param request - the request.
 */
 export function headBytesOf(request: IncomingMessage): number {
 	let sizeBytes = (request.method?.length ?? 0) + (request.url?.length ?? 0);
 	for (const item of request.rawHeaders) {
-		// Each name and value is followed by two more bytes: a colon and a blank, or the end of the line.
+		// Each name and value is followed by two more bytes: a colon and a space, or the end of the line.
 		sizeBytes += item.length + 2;
 	}
 
@@ -17,10 +17,10 @@
 }
 
 /**
-Reads a body whole.
+Reads the complete body of a request.
 @param request - the request.
-@param mostBytes - of a body that is taken.
-@returns the body, or why there is none: its caller is gone, or it is larger than is taken.
+@param mostBytes - maximum size of the body.
+@returns the body, `'gone'` if the caller has disconnected, or `'tooLarge'` if the body exceeds the maximum.
 */
 export async function readBody(request: IncomingMessage, mostBytes: number): Promise<Uint8Array | 'gone' | 'tooLarge'> {
 	return new Promise(resolve => {
--- a/src/direct/node/recognize-request.ts
+++ b/src/direct/node/recognize-request.ts
@@ -1,4 +1,4 @@
-/** What the head of a caller's request leads to: its route and workspace, or a refusal. */
+/** Resolves the head of a caller's request to its route and workspace, or to a refusal. */
 import type {IncomingMessage} from 'node:http';
 import type {Route, WorkspaceDeclaration} from '../../deployment/common/declaration.js';
 import type {DeploymentIndex} from '../../deployment/common/deployment-index.js';
@@ -6,23 +6,23 @@
 import type {CallerAsk, CallerProtocol} from '../common/caller-protocol.js';
 import {headBytesOf} from './read-request.js';
 
-/** When to come back to a host that knows no declaration yet. */
+/** Retry delay given to callers of a host that has received no declaration yet. */
 const comeBackMs = 500;
-/** Statuses of answers that are the host's own. */
+/** HTTP statuses of answers that come from the host and not from an upstream. */
 export const ownStatuses = {
 	badRequest: 400, unauthorized: 401, notFound: 404, bodyTooLarge: 413, headTooLarge: 431, unavailable: 503,
 } as const;
 
-/** A request that the declaration in force allows. */
+/** A request that the current declaration allows. */
 export type Recognized = {readonly index: DeploymentIndex; readonly route: Route; readonly workspace: WorkspaceDeclaration | undefined; readonly ask: CallerAsk};
-/** Why a request goes no further than its head. */
+/** Why a request is refused; `content` is the content id of a quarantined request. */
 export type Refusal = {readonly requestId: string; readonly status: number; readonly reason: string; readonly retryAfterMs?: number; readonly content?: string};
 
 /**
-Looks a request up in the declaration.
-@param request - its head.
-@param index - the declaration in force; none before the first.
-@param protocol - of the callers.
+Resolves a request to its route and workspace in the declaration.
+@param request - the request, of which only the head is read.
+@param index - index of the current declaration; undefined before the first one.
+@param protocol - protocol of the callers.
 */
 export function recognize(request: IncomingMessage, index: DeploymentIndex | undefined, protocol: CallerProtocol): Recognized | Refusal {
 	const ask = protocol.read(pairHeaders(request.rawHeaders), index?.hasKeys ?? true);
@@ -63,8 +63,9 @@
 }
 
 /**
-Gives the rank of a request: the workspace's goes first, among equals the route's decides.
-@param request - as recognized.
+Returns the rank of a request, the sum of its workspace's and its route's rank: the workspace's takes precedence, and the
+route's decides among equals.
+@param request - the request, with its route and workspace.
 */
 export function rankOf({workspace, route}: Pick<Recognized, 'workspace' | 'route'>): number {
 	return (workspace?.rank ?? 0) + route.rank;
--- a/src/direct/node/served-request.ts
+++ b/src/direct/node/served-request.ts
@@ -1,4 +1,4 @@
-/** One request of a caller, from its start to its last byte: ties its life to connection, preparation, logs and metrics. */
+/** One request of a caller from its start to its last byte: connects it with its connection, preparation, logs and metrics. */
 import type {ServerResponse} from 'node:http';
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
@@ -13,22 +13,22 @@
 import type {DirectLinks} from './direct-links.js';
 import {PassThroughWriter} from './pass-through-writer.js';
 
-/** What a served request is made of. */
+/** The request and the dependencies needed to serve it. */
 export type ServedRequestOptions = {
 	readonly plan: RequestPlan;
 	readonly ask: CallerAsk;
 	readonly response: ServerResponse;
 	readonly links: DirectLinks;
 	readonly preparer: Preparer | undefined;
-	/** Keeps a send to a bounded pool for the time after the steps; disposing gives it up. */
+	/** Reserves a send to a bounded pool until the preparation steps are complete; disposing releases it. */
 	readonly reservation: Disposable | undefined;
 	readonly clock: Clock;
 	readonly log: Logger;
 	readonly metrics: Metrics;
 	readonly isHead: boolean;
-	/** Within this time the answer, or its first event, is worth most. */
+	/** Time within which the answer, or its first event, has its full value. */
 	readonly targetMs: number;
-	/** How long ago its caller first asked. */
+	/** How long ago the caller first sent the request. */
 	readonly sinceFirstTryMs: number;
 	readonly ended: () => void;
 };
@@ -68,7 +68,7 @@
 			deliver: async (_units, data, http) => {
 				if (this.firstMs === 0) {
 					this.firstMs = clock.nowMs() - plan.startMs;
-					// The upstream has read them before its first event.
+					// The upstream has read the prepared results before it sends its first event.
 					preparer?.end();
 				}
 
@@ -116,7 +116,7 @@
 	}
 }
 
-/** Each attempt as `server kind state reason sentAt+run`. */
+/** Formats each attempt as `server kind state reason sentAt+run`, times in milliseconds. */
 function attemptsText(result: RequestResult, startMs: number): string {
 	return result.stages.flatMap(stage => stage.attempts).map(attempt => {
 		const sentMs = Math.round(attempt.sentAtMs - startMs);
