--- a/src/direct/common/direct-router.test.ts
+++ b/src/direct/common/direct-router.test.ts
@@ -76,7 +76,7 @@
 	return plan.stages[0];
 }
 
-/** Sends one prompt at a time. Its head arrives immediately, its first token once the prompt is read, and its end much later. */
+/** Sends one prompt at a time. Its head arrives immediately, its first token once the prompt is prefilled, and its end much later. */
 function play(router: DirectRouter, count: number, msPerToken: number): void {
 	for (let index = 0; index < count; index++) {
 		const sentAtMs = index * 5000;
