--- a/src/direct/common/direct-router.ts
+++ b/src/direct/common/direct-router.ts
@@ -160,10 +160,10 @@
 			known.signs.sent(dispatchId, nowMs);
 		}
 
-		const need = promptWorkOf(stage);
-		if (need && known) {
-			this.options.engines.recordSend(dispatchId, need, known.candidate, nowMs);
-			this.options.onPromptAssigned(upstreamId, need.prompt);
+		const work = promptWorkOf(stage);
+		if (work && known) {
+			this.options.engines.recordSend(dispatchId, work, known.candidate, nowMs);
+			this.options.onPromptAssigned(upstreamId, work.prompt);
 		}
 
 		if (kind === 'first') {
@@ -252,12 +252,12 @@
 	*/
 	predictRun(stage: StagePlan, nowMs: number): RunPrediction {
 		const candidate = this.chooseByPrompt(stage, this.usable(stage, new Set(), nowMs), nowMs);
-		const need = promptWorkOf(stage);
-		if (!candidate || !need) {
+		const work = promptWorkOf(stage);
+		if (!candidate || !work) {
 			return {hall: '', firstTokenMs: this.responseTimes.typicalMs(stage.key) ?? defaultResponseMs};
 		}
 
-		return {hall: candidate.hall, firstTokenMs: this.options.engines.firstTokenMs(need, candidate, nowMs)};
+		return {hall: candidate.hall, firstTokenMs: this.options.engines.firstTokenMs(work, candidate, nowMs)};
 	}
 
 	/**
@@ -294,8 +294,8 @@
 	}
 
 	private chooseByPrompt(stage: StagePlan, candidates: readonly Candidate[], nowMs: number): Candidate | undefined {
-		const need = promptWorkOf(stage);
-		return need && this.options.engines.choose(need, candidates, nowMs);
+		const work = promptWorkOf(stage);
+		return work && this.options.engines.choose(work, candidates, nowMs);
 	}
 
 	private candidatesOf(pool: string, nowMs: number): readonly Candidate[] {
--- a/src/direct/common/event-splitter.test.ts
+++ b/src/direct/common/event-splitter.test.ts
@@ -8,10 +8,10 @@
 	const stream = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n';
 	for (let cut = 1; cut < stream.length; cut++) {
 		const splitter = EventSplitter.create();
-		const pieces = [splitter.push(bytes(stream.slice(0, cut))), splitter.push(bytes(stream.slice(cut)))];
-		t.equal(pieces.map(piece => textOf(piece?.data) ?? '').join(''), stream);
-		t.equal(pieces.reduce((sum, piece) => sum + (piece?.units ?? 0), 0), 3);
-		t.equal(pieces.findLast(Boolean)?.lastId, '3');
+		const batches = [splitter.push(bytes(stream.slice(0, cut))), splitter.push(bytes(stream.slice(cut)))];
+		t.equal(batches.map(batch => textOf(batch?.data) ?? '').join(''), stream);
+		t.equal(batches.reduce((sum, batch) => sum + (batch?.units ?? 0), 0), 3);
+		t.equal(batches.findLast(Boolean)?.lastId, '3');
 		t.notOk(splitter.hasPartialEvent);
 	}
 });
--- a/src/direct/node/prompt-updates.test.ts
+++ b/src/direct/node/prompt-updates.test.ts
@@ -71,9 +71,9 @@
 		const hosts = new Hosts(Array.from({length: count}, (_, index) => `host-${index}`));
 		simulateSecond(hosts);
 		for (const name of hosts.names) {
-			const heard = hosts.reported.get(name)!;
-			t.equal(heard.length, 2 * (count - 1), name);
-			t.equal(new Set(heard).size, heard.length, name);
+			const reported = hosts.reported.get(name)!;
+			t.equal(reported.length, 2 * (count - 1), name);
+			t.equal(new Set(reported).size, reported.length, name);
 		}
 
 		const busiest = [...hosts.received.values()].toSorted((left, right) => right - left);
--- a/src/direct/node/served-request.ts
+++ b/src/direct/node/served-request.ts
@@ -49,9 +49,9 @@
 	}
 
 	start(runner: RequestRunner): void {
-		const {plan, callerRequest: ask, response, links, preparer, reservation, clock} = this.options;
+		const {plan, callerRequest: callerRequest, response, links, preparer, reservation, clock} = this.options;
 		const registration = links.register(plan.requestId, {
-			callerRequestId: ask.requestId, deadlineMs: plan.deadlineMs, isStreaming: plan.isStreaming, resumeAfter: ask.resumeAfter,
+			callerRequestId: callerRequest.requestId, deadlineMs: plan.deadlineMs, isStreaming: plan.isStreaming, resumeAfter: callerRequest.resumeAfter,
 			onWrite() {
 				reservation?.dispose();
 				preparer?.sent();
@@ -93,10 +93,10 @@
 	}
 
 	private logResult(result: RequestResult): void {
-		const {plan, callerRequest: ask, log, metrics} = this.options;
+		const {plan, callerRequest: callerRequest, log, metrics} = this.options;
 		const {status} = this.writer;
 		log.info(requestLogMessages.ended, {
-			request: ask.requestId,
+			request: callerRequest.requestId,
 			route: plan.pipeline,
 			workspace: plan.workspace,
 			version: plan.settingsRevision,
