--- a/src/direct/common/direct-router.test.ts
+++ b/src/direct/common/direct-router.test.ts
@@ -98,7 +98,7 @@
 	for (const msPerToken of [0.01, 0.05]) {
 		const router = makeRouter();
 		simulate(router, 30, msPerToken);
-		const {firstTokenMs: firstTokenMs} = router.predictRun(stageOf('new', 4000), 200_000);
+		const {firstTokenMs} = router.predictRun(stageOf('new', 4000), 200_000);
 		const expectedMs = 30 + (4000 * msPerToken);
 		t.ok(Math.abs(firstTokenMs - expectedMs) < expectedMs * 0.25, `${firstTokenMs} of ${expectedMs}`);
 	}
--- a/src/direct/common/engine-chooser.ts
+++ b/src/direct/common/engine-chooser.ts
@@ -61,7 +61,7 @@
 
 	/**
 	Records that this host sends a prompt.
-	@param dispatchId - id of the attempt, to be passed to `began` and `ended` later.
+	@param dispatchId - id of the attempt, to be passed to `recordFirstToken` and `forgetAttempt` later.
 	@param work - the prompt.
 	@param engine - the engine that receives it.
 	@param nowMs - the current time.
--- a/src/direct/node/admission-checks.ts
+++ b/src/direct/node/admission-checks.ts
@@ -28,7 +28,12 @@
 @param nowMs - the current time.
 @returns undefined if the request may start.
 */
-export function admissionRefusal(request: Pick<ResolvedRequest, 'route' | 'ask' | 'workspace'>, plan: RequestPlan, {standingOf, unavailabilityOf, admission}: AdmissionChecks, nowMs: number): Refusal | undefined {
+export function admissionRefusal(
+	request: Pick<ResolvedRequest, 'route' | 'ask' | 'workspace'>,
+	plan: RequestPlan,
+	{standingOf, unavailabilityOf, admission}: AdmissionChecks,
+	nowMs: number,
+): Refusal | undefined {
 	const {route, ask: {requestId, pieceCounts}} = request;
 	const status = hostStatuses.unavailable;
 	const standing = standingOf(plan);
--- a/src/direct/node/direct-call.ts
+++ b/src/direct/node/direct-call.ts
@@ -144,7 +144,7 @@
 
 	/** Called at the end of the response, as far as the connection indicates it. */
 	onResponseEnd(): void {
-		const {connection: connection} = this.options;
+		const {connection} = this.options;
 		if (this.isTruncated) {
 			connection.spend();
 		} else {
--- a/src/direct/node/direct-links.ts
+++ b/src/direct/node/direct-links.ts
@@ -171,13 +171,13 @@
 		}
 
 		this.startCall({
-			message, http, server, context: context, connection: connection,
+			message, http, server, context, connection,
 		});
 		return true;
 	}
 
 	private startCall(pending: PendingCall): void {
-		const {message: {dispatchId, workspace}, http, server, context: context, connection: connection} = pending;
+		const {message: {dispatchId, workspace}, http, server, context, connection} = pending;
 		this.options.quarantine.sent({workspace, http});
 		const call = this.makeCall(pending);
 		this.calls.set(dispatchId, call);
@@ -195,12 +195,12 @@
 		}
 	}
 
-	private makeCall({message, http, server, context: context, connection: connection}: PendingCall): DirectCall {
+	private makeCall({message, http, server, context, connection}: PendingCall): DirectCall {
 		const {clock, protocol, notices, quarantine} = this.options;
 		const source = {workspace: message.workspace, http};
 		return DirectCall.create({
 			dispatch: message,
-			connection: connection,
+			connection,
 			protocol,
 			callerRequestId: context.callerRequestId,
 			isStreaming: context.isStreaming,
@@ -232,7 +232,7 @@
 	}
 
 	/** Returns the options with which the HTTP client writes a call. */
-	private dispatchOptionsOf({message, http, server, context: context}: PendingCall): Dispatcher.DispatchOptions {
+	private dispatchOptionsOf({message, http, server, context}: PendingCall): Dispatcher.DispatchOptions {
 		const {clock, protocol} = this.options;
 		const headers = protocol.requestHeaders({
 			workspace: message.workspace, http, server, remainingMs: context.deadlineMs - clock.nowMs(), resumeAfter: context.resumeAfter,
--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -214,7 +214,7 @@
 
 	private start(received: ReceivedRequest): void {
 		const {request, response, ask: callerRequest, receivedMs} = received;
-		const {links, runner, predictRun: predictRun, clock, log, metrics} = this.options;
+		const {links, runner, predictRun, clock, log, metrics} = this.options;
 		const plan = this.planOf(received);
 		const refusal = admissionRefusal(received, plan, this.options, receivedMs);
 		if (refusal) {
@@ -236,7 +236,7 @@
 		this.openIds.add(plan.requestId);
 		ServedRequest.create({
 			plan,
-			callerRequest: callerRequest,
+			callerRequest,
 			response,
 			links,
 			preparer,
@@ -302,7 +302,7 @@
 		return false;
 	}
 
-	private preparerFor(received: ReceivedRequest, {requestId, workspace, http, deadlineMs}: RequestPlan, {hall, firstTokenMs: firstTokenMs}: RunPrediction): Preparer {
+	private preparerFor(received: ReceivedRequest, {requestId, workspace, http, deadlineMs}: RequestPlan, {hall, firstTokenMs}: RunPrediction): Preparer {
 		const {route, ask: callerRequest, receivedMs, sinceFirstTryMs} = received;
 		return this.options.makePreparer({
 			requestId,
--- a/src/direct/node/prompt-updates.ts
+++ b/src/direct/node/prompt-updates.ts
@@ -75,7 +75,7 @@
 
 	/** Sends this host's own updates to the relay, or to all hosts if there is no relay or it can't be reached. */
 	private notifyPeers(prompts: SentPrompts): void {
-		const {hostId, capacity: capacity, mesh} = this.options;
+		const {hostId, capacity, mesh} = this.options;
 		const relay = electRelay(new Map([...mesh.liveRooms, [hostId, capacity]]));
 		if (relay === hostId) {
 			this.queueForRelay(hostId, prompts);
--- a/src/direct/node/served-request.ts
+++ b/src/direct/node/served-request.ts
@@ -49,7 +49,7 @@
 	}
 
 	start(runner: RequestRunner): void {
-		const {plan, callerRequest: callerRequest, response, links, preparer, reservation, clock} = this.options;
+		const {plan, callerRequest, response, links, preparer, reservation, clock} = this.options;
 		const registration = links.register(plan.requestId, {
 			callerRequestId: callerRequest.requestId, deadlineMs: plan.deadlineMs, isStreaming: plan.isStreaming, resumeAfter: callerRequest.resumeAfter,
 			onWrite() {
@@ -93,7 +93,7 @@
 	}
 
 	private logResult(result: RequestResult): void {
-		const {plan, callerRequest: callerRequest, log, metrics} = this.options;
+		const {plan, callerRequest, log, metrics} = this.options;
 		const {status} = this.writer;
 		log.info(requestLogMessages.ended, {
 			request: callerRequest.requestId,
