--- a/src/daemon/node/direct-entry.test.ts
+++ b/src/daemon/node/direct-entry.test.ts
@@ -18,7 +18,7 @@
 		lifecycle,
 		clock,
 		log: silentLoggers.for('test'),
-		ingress: {openCount: 1, stopTaking: record('stops accepting requests'), refuseUnstarted: record('refuses waiting requests')},
+		ingress: {openCount: 1, stopAccepting: record('stops accepting requests'), refuseUnstarted: record('refuses waiting requests')},
 		mesh: {announce: record('notifies peers')},
 		batchHandler: {isIdle: true, handOver: () => undefined},
 	} as unknown as DirectEntryOptions);
