--- a/src/preparation/common/admission.test.ts
+++ b/src/preparation/common/admission.test.ts
@@ -20,12 +20,12 @@
 };
 const waits = (waitMs: number) => ({waitMs: () => waitMs});
 
-t.test('steps, waits and the model add up', async t => {
+t.test('the predicted time is the sum of waits, step calls and time to the first token', async t => {
 	t.same(admit(ask, waits(0)), {isAdmitted: true, predictedMs: 500});
-	t.same(admit({...ask, pieceCounts: [1, 0]}, waits(50)), {isAdmitted: true, predictedMs: 350}, 'a step without pieces is left out');
+	t.same(admit({...ask, pieceCounts: [1, 0]}, waits(50)), {isAdmitted: true, predictedMs: 350}, 'a step without pieces is skipped');
 });
 
-t.test('what would be late is refused with a time to come back that grows with the queue', async t => {
+t.test('a request that would be late is refused with a retry delay that grows with the queue', async t => {
 	const short = admit(ask, waits(400));
 	const long = admit(ask, waits(900));
 	t.match([short, long], [{isAdmitted: false}, {isAdmitted: false}]);
@@ -34,12 +34,12 @@
 	}
 });
 
-t.test('one that comes back is taken a little later', async t => {
+t.test('a retry is admitted with a slightly later predicted time', async t => {
 	t.equal(admit({...ask, sinceFirstTryMs: 2000}, waits(450)).isAdmitted, true);
 	t.equal(admit({...ask, sinceFirstTryMs: 2000}, waits(1000)).isAdmitted, false);
 });
 
-t.test('a first try reckoned to be later than its target is refused: late earns less than coming back', async t => {
-	t.equal(admit(ask, waits(240)).isAdmitted, true, 'reckoned at 980 ms of 1000');
-	t.equal(admit(ask, waits(260)).isAdmitted, false, 'reckoned at 1020 ms');
+t.test('a first attempt predicted to miss its target is refused: a late response earns less than a retry in time', async t => {
+	t.equal(admit(ask, waits(240)).isAdmitted, true, 'predicted 980 ms of 1000');
+	t.equal(admit(ask, waits(260)).isAdmitted, false, 'predicted 1020 ms');
 });
--- a/src/preparation/common/admission.ts
+++ b/src/preparation/common/admission.ts
@@ -1,52 +1,59 @@
 /**
-Whether a request whose steps must wait for their pools can still be in time: decided at the door, where a
-refusal costs nothing and the caller can come back once the queues are shorter.
+Admission control for requests that need preparation: predicts whether a request whose steps must wait for their pools
+can still meet its target. The decision is made before any work starts, where a refusal costs nothing and the caller can
+come back once the queues are shorter.
 */
 import type {DeploymentIndex} from '../../deployment/common/deployment-index.js';
 import type {Route} from '../../deployment/common/declaration.js';
 
 /**
-A request that is reckoned to be later than this part of its target is not begun. With 1.2, queues settled where
-nearly all were a little late, which earns an eighth of what coming back in time does.
+A request is not started if its predicted time exceeds this multiple of its target. With 1.2, queues settled at a length
+at which nearly all requests were slightly late, and a late request earns an eighth of one that comes back in time.
 */
 const lateTargets = 1;
-/** One that comes back after a refusal is taken a little later: refused again it is lost. */
+/** A caller that retries after a refusal is admitted up to this multiple of the target: a second refusal loses the request. */
 const patienceTargets = 1.5;
-/** A caller that first asked longer ago than this part of the route's time has tried before; less may be its way here. */
+/**
+A request counts as a retry if its first attempt is older than this share of the route's timeout; a shorter time may be
+network delay.
+*/
 const returningShare = 0.1;
 const shortestRetryAfterMs = 600;
-/** Callers heed up to a third of the time they have left; longer, a queue of now says little of the queue then. */
+/**
+Callers honor a delay of up to a third of their remaining time. Beyond that, the current queue says little about the
+queue at the time of the retry.
+*/
 const longestRetryAfterMs = 2500;
 
-/** Waits of the pools' queues, by rank of the request. */
+/** Estimates queue waits by pool and rank of the request. */
 export type PoolWaits = {
-	/** @returns how long a piece added now waits for its turn. */
+	/** @returns how long a piece added now would wait for its turn, in milliseconds. */
 	waitMs(pool: string, rank: number): number;
 };
 
-/** What is decided. */
+/** Result of the admission decision. */
 export type Admission
 	= | {readonly isAdmitted: true; readonly predictedMs: number}
 		| {readonly isAdmitted: false; readonly predictedMs: number; readonly retryAfterMs: number};
 
-/** What the decision needs to know of a request. */
+/** Properties of a request that the admission decision depends on. */
 export type AdmissionAsk = {
 	readonly index: DeploymentIndex;
 	readonly route: Route;
 	readonly pieceCounts: readonly number[];
 	readonly rank: number;
-	/** Time to the first token once the steps are done. */
+	/** Time from the end of the steps to the first token. */
 	readonly afterwardsMs: number;
-	/** How long ago the caller first asked. */
+	/** Time since the caller's first attempt. */
 	readonly sinceFirstTryMs: number;
-	/** Spreads callers that are told to come back; in [0, 1). */
+	/** Random value in [0, 1) that spreads out the retries of refused callers. */
 	readonly chance: number;
 };
 
 /**
-Predicts the time to the first event, and decides.
-@param ask - the request.
-@param waits - of the queues now.
+Predicts the time to the first event of the response and decides whether to admit the request.
+@param request - the request.
+@param waits - estimates of the current queue waits.
 */
 export function admit(ask: AdmissionAsk, waits: PoolWaits): Admission {
 	const {route, sinceFirstTryMs, afterwardsMs, chance} = ask;
@@ -61,7 +68,7 @@
 	return {isAdmitted: false, predictedMs, retryAfterMs: Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, clearedMs))};
 }
 
-/** The longest way through the steps, each with its wait and its call. */
+/** Duration of the critical path through the steps, each with its wait and its call, in milliseconds. */
 function preparationMs(ask: AdmissionAsk, waits: PoolWaits): number {
 	const {index, route, pieceCounts, rank} = ask;
 	const doneMs: number[] = [];
--- a/src/preparation/common/batch-call.ts
+++ b/src/preparation/common/batch-call.ts
@@ -1,23 +1,23 @@
-/** Pieces that wait for their pool, and the calls they go in. */
+/** Pieces queued for a pool, and the calls that carry them to an upstream. */
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import type {BatchWork, PieceOutcome} from './work.js';
 
-/** One piece on its way. */
+/** One piece of a step, queued or sent. */
 export type BatchPiece = {readonly work: BatchWork; readonly piece: number; readonly readyMs: number; tries: number};
 
-/** A call to one upstream. */
+/** A call to one upstream with one or more pieces. */
 export type BatchCall = {
 	readonly callId: number;
 	readonly server: UpstreamServer;
 	readonly pieces: readonly BatchPiece[];
 	readonly sentMs: number;
 	readonly expectedMs: number;
-	/** When the call is given up. */
+	/** Time at which the call times out. */
 	readonly limitMs: number;
 };
 
-/** The end of a piece, for whoever asked for it. */
+/** Outcome of a piece, reported to the host that submitted it. */
 export type PieceEnd = {readonly work: BatchWork; readonly piece: number; readonly outcome: PieceOutcome};
 
-/** How a call ended as a whole. */
+/** Why a call failed for all of its pieces. */
 export type CallFailure = 'refused' | 'unreachable' | 'broken' | 'replaced';
--- a/src/preparation/common/batch-machine.test.ts
+++ b/src/preparation/common/batch-machine.test.ts
@@ -26,46 +26,46 @@
 const namesOf = (call: BatchCall) => call.pieces.map(({work, piece}) => `${work.workId}${piece}`).join(' ');
 const allDone = (call: BatchCall): PieceOutcome[] => call.pieces.map((_, index) => ({ok: true, ref: {handle: `${call.callId}-${index}`, serverId: call.server.serverId}}));
 
-t.test('pieces of several requests go in one call, the most urgent first, each step whole', async t => {
+t.test('pieces of several requests share a call, most urgent first, and no step is split', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('late', 2, {dueMs: 900}), 0);
 	machine.add(workOf('soon', 3, {dueMs: 300}), 0);
 	machine.add(workOf('one', 1, {dueMs: 950}), 0);
 	const [call, ...others] = machine.nextCalls([server('s')], capacity, 0);
 	t.equal(others.length, 0);
-	t.equal(namesOf(call), 'soon0 soon1 soon2 one0', 'a step that would be split waits, a smaller one takes the place');
+	t.equal(namesOf(call), 'soon0 soon1 soon2 one0', 'a step that would be split waits, and a smaller one is sent instead');
 	t.equal(machine.nextCalls([server('s')], capacity, 1).length, 0, 'one call at a time');
 	machine.answered(call, allDone(call), capacity, 140);
 	t.equal(namesOf(machine.nextCalls([server('s')], capacity, 140)[0]), 'late0 late1');
 });
 
-t.test('a step past its time gives way, be it the first or a later one, but not for ever', async t => {
+t.test('a late step yields to others, whether it is the first step or a later one, but is sent in the end', async t => {
 	for (const inputs of [undefined, ['x']]) {
 		const machine = BatchMachine.create();
 		machine.add(workOf('overdue', 4, {dueMs: 100, lateDueMs: 1500, inputs}), 0);
 		machine.add(workOf('fresh', 4, {dueMs: 1000}), 0);
 		t.equal(namesOf(machine.nextCalls([server('s')], capacity, 200)[0]).slice(0, 5), 'fresh');
 		machine.add(workOf('new', 4, {dueMs: 1600}), 600);
-		t.equal(namesOf(machine.nextCalls([server('t')], capacity, 600)[0]).slice(0, 3), 'new', 'what can be in time goes first');
-		t.equal(namesOf(machine.nextCalls([server('u')], capacity, 610)[0]).slice(0, 7), 'overdue', 'and then what is late, at once');
+		t.equal(namesOf(machine.nextCalls([server('t')], capacity, 600)[0]).slice(0, 3), 'new', 'work that can be in time goes first');
+		t.equal(namesOf(machine.nextCalls([server('u')], capacity, 610)[0]).slice(0, 7), 'overdue', 'then late work, without delay');
 	}
 });
 
-t.test('a late step is given up once it can\'t be done before its caller leaves, as a whole, and no earlier', async t => {
+t.test('a late step fails with all of its pieces once it can\'t be done before its caller disconnects, and no earlier', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('late', 2, {dueMs: 100, lateDueMs: 1000}), 0);
 	machine.add(workOf('fresh', 40, {dueMs: 5000, lateDueMs: 9000, deadlineMs: 9000}), 0);
 	// 4 pieces a call of 140 ms: 40 pieces take 1,400 ms.
-	t.same(machine.giveUpLate([server('s')], capacity, 50), [], 'it is not late yet');
+	t.same(machine.giveUpLate([server('s')], capacity, 50), [], 'not late yet');
 	const ends = machine.giveUpLate([server('s')], capacity, 200);
 	t.same(ends.map(({work, piece, outcome}) => [work.workId, piece, outcome.ok || outcome.reason]), [['late', 0, 'late'], ['late', 1, 'late']]);
 	t.equal(machine.waitingCount, 40);
 	machine.add(workOf('other', 2, {dueMs: 100, lateDueMs: 3000}), 200);
-	t.same(machine.giveUpLate([server('s')], capacity, 200), [], 'its turn comes in time');
-	t.same(machine.giveUpLate([], capacity, 200), [], 'nothing is known of a pool without upstreams');
+	t.same(machine.giveUpLate([server('s')], capacity, 200), [], 'its turn comes before its caller disconnects');
+	t.same(machine.giveUpLate([], capacity, 200), [], 'nothing can be predicted for a pool without upstreams');
 });
 
-t.test('rank goes before a little time, not before more', async t => {
+t.test('a better rank outweighs a small difference in due time, not a larger one', async t => {
 	for (const [dueMs, first] of [[700, 'high'], [800, 'low']] as const) {
 		const machine = BatchMachine.create();
 		machine.add(workOf('low', 4, {dueMs: 500, rank: 1}), 0);
@@ -74,7 +74,7 @@
 	}
 });
 
-t.test('room that results take bounds a call; released or expired results free it', async t => {
+t.test('the space used by results limits a call, and released results free it', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('a', 3, {resultBytes: 300}), 0);
 	const [call] = machine.nextCalls([server('s')], capacity, 0);
@@ -86,7 +86,7 @@
 	t.equal(machine.nextCalls([server('s')], capacity, 140).length, 1);
 });
 
-t.test('an upstream without room is left alone for a while, and its pieces lose no try', async t => {
+t.test('an upstream without space receives nothing for a while, and its pieces lose no attempt', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('a', 1), 0);
 	for (let round = 0; round < 8; round++) {
@@ -97,7 +97,7 @@
 	}
 });
 
-t.test('pieces of a call that fails wait again elsewhere, and end after a few tries', async t => {
+t.test('pieces of a failed call are sent to another upstream, and fail after a few attempts', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('a', 2), 0);
 	const servers = [server('s'), server('r')];
@@ -116,26 +116,26 @@
 	t.equal(ends, 2);
 });
 
-t.test('a piece waits a little for an upstream in the hall of its inputs, if there is one', async t => {
+t.test('a piece waits briefly for an upstream in the data hall of its inputs, if there is one', async t => {
 	const machine = BatchMachine.create();
 	const work = workOf('a', 2, {hall: 'b', crossingBytes: 2_000_000});
 	machine.add(work, 0);
-	t.equal(machine.nextCalls([server('s', 'a'), server('busy', 'b')].slice(0, 1), capacity, 0).length, 1, 'no upstream there: no wait');
+	t.equal(machine.nextCalls([server('s', 'a'), server('busy', 'b')].slice(0, 1), capacity, 0).length, 1, 'no upstream in that data hall, so no wait');
 	const patient = BatchMachine.create();
 	patient.add(workOf('x', 4, {hall: 'b'}), 0);
 	patient.nextCalls([server('there', 'b')], capacity, 0);
 	patient.add(work, 0);
 	const servers = [server('s', 'a'), server('there', 'b')];
 	t.equal(patient.nextCalls(servers, capacity, 50).length, 0);
-	t.equal(patient.nextCalls(servers, capacity, 260).length, 1, 'not longer than it is worth');
+	t.equal(patient.nextCalls(servers, capacity, 260).length, 1, 'the wait is limited');
 	const late = BatchMachine.create();
 	late.add(workOf('x', 4, {hall: 'b'}), 0);
 	late.nextCalls([server('there', 'b')], capacity, 0);
 	late.add({...work, dueMs: -100}, 0);
-	t.equal(late.nextCalls(servers, capacity, 50).length, 0, 'late as it is it waits as well');
+	t.equal(late.nextCalls(servers, capacity, 50).length, 0, 'a late piece waits as well');
 });
 
-t.test('the wait that is told grows with the queue ahead, and by as much as calls are seen to take longer', async t => {
+t.test('the estimated wait grows with the queue ahead and with the measured slowness of calls', async t => {
 	const machine = BatchMachine.create();
 	const servers = [server('s')];
 	t.equal(machine.waitMs(servers, capacity, 0, 0), 0);
@@ -149,11 +149,11 @@
 	machine.cancel('b');
 	machine.add(workOf('c', 8, {dueMs: 1900, lateDueMs: 3400}), 1500);
 	const slowMs = machine.waitMs(servers, capacity, 0, 1500);
-	t.ok(slowMs > 5 * longMs, 'ten times slower than declared, of which one call tells the greater part');
+	t.ok(slowMs > 5 * longMs, 'ten times slower than declared, most of which is reflected after one call');
 	t.ok(slowMs < 10 * longMs);
 });
 
-t.test('where no upstream is sound the wait is told as long, and a call is not given up because all are slow', async t => {
+t.test('the estimated wait is long where no upstream is healthy, and a call does not time out because all are slow', async t => {
 	const machine = BatchMachine.create();
 	const servers = [server('s'), server('t')];
 	machine.add(workOf('a', 8), 0);
@@ -165,10 +165,10 @@
 
 	t.equal(machine.waitMs(servers, capacity, 0, 1340), 2000, 'both have failed');
 	const [again] = machine.nextCalls(servers, capacity, 1600);
-	t.ok(again.limitMs - again.sentMs > 6000, 'they may be as slow as that');
+	t.ok(again.limitMs - again.sentMs > 6000, 'they may be that slow');
 });
 
-t.test('what waits past its deadline ends as late', async t => {
+t.test('a piece queued past its deadline fails as late', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('a', 1, {deadlineMs: 100}), 0);
 	t.same(machine.sweep(() => true, 50), []);
@@ -176,7 +176,7 @@
 	t.equal(machine.waitingCount, 0);
 });
 
-t.test('room taken by results that nobody here knows is found out piece by piece, and small results still fit', async t => {
+t.test('space used by results unknown to this host is discovered from refusals, and small results still fit', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('big', 4, {resultBytes: 200}), 0);
 	const [first] = machine.nextCalls([server('s')], capacity, 0);
@@ -185,40 +185,41 @@
 	machine.answered(first, refuse(first, 1), capacity, 140);
 	machine.released('s', ['1-0']);
 	machine.add(workOf('small', 2, {dueMs: 300}), 150);
-	t.equal(namesOf(machine.nextCalls([server('s')], capacity, 150)[0]).slice(0, 13), 'small0 small1', 'room for less than was refused is used');
+	t.equal(namesOf(machine.nextCalls([server('s')], capacity, 150)[0]).slice(0, 13), 'small0 small1', 'space for results smaller than the refused one is used');
 	const small = BatchMachine.create();
 	small.add(workOf('big', 1, {resultBytes: 200}), 0);
 	small.add(workOf('next', 2, {resultBytes: 200}), 0);
 	const [call] = small.nextCalls([server('s')], capacity, 0);
 	small.answered(call, refuse(call, 0), capacity, 100);
-	t.equal(small.nextCalls([server('s')], capacity, 200).length, 0, 'left alone for about a call');
+	t.equal(small.nextCalls([server('s')], capacity, 200).length, 0, 'receives nothing for about the duration of a call');
 	const [tried] = small.nextCalls([server('s')], capacity, 360);
-	t.equal(tried.pieces.length, 1, 'then tried with one');
+	t.equal(tried.pieces.length, 1, 'then one result is tried');
 	small.answered(tried, allDone(tried), capacity, 470);
 	small.released('s', [`${tried.callId}-0`]);
-	t.equal(small.nextCalls([server('s')], capacity, 470)[0].pieces.length, 2, 'and with more once there was room');
+	t.equal(small.nextCalls([server('s')], capacity, 470)[0].pieces.length, 2, 'and more once that one found space');
 });
 
 /**
-Pattern: herd after a restart. Hosts that have not met yet call the same upstreams, which are full and refuse most calls.
-Each of these hosts waits longer after each refusal, so that they make room for each other until one batches for all. Asked
-again after every call's time, upstreams refused more calls, and steps were done no sooner.
+Guards against a thundering herd after a restart. Hosts that are not connected to each other yet call the same upstreams,
+which are full and refuse most calls. Each host must back off for longer after each refusal, so that the hosts leave
+space for each other until one of them batches for all. Asked again after every call duration, upstreams refused more
+calls, and steps were done no sooner.
 */
-t.test('an upstream that was full is asked again, after a longer while each time, and two seconds at most', async t => {
+t.test('an upstream that was full is called again with a growing delay of at most two seconds', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('w', 1, {dueMs: 40_000, lateDueMs: 50_000, deadlineMs: 60_000}), 0);
 	let nowMs = 0;
 	for (const waitMs of [250, 500, 1000, 2000, 2000]) {
 		const [call] = machine.nextCalls([server('s')], capacity, nowMs);
 		machine.failed(call, 'refused', nowMs);
-		t.equal(machine.nextCalls([server('s')], capacity, nowMs + waitMs - 1).length, 0, 'not before');
+		t.equal(machine.nextCalls([server('s')], capacity, nowMs + waitMs - 1).length, 0, 'not earlier');
 		nowMs += waitMs;
 	}
 
-	t.equal(machine.nextCalls([server('s')], capacity, nowMs).length, 1, 'refusals cost no tries');
+	t.equal(machine.nextCalls([server('s')], capacity, nowMs).length, 1, 'refusals do not count as attempts');
 });
 
-t.test('an upstream that fails is left alone for longer each time', async t => {
+t.test('an upstream that fails receives nothing for a growing time', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('w', 1, {dueMs: 4000, lateDueMs: 5000}), 0);
 	machine.failed(machine.nextCalls([server('s')], capacity, 0)[0], 'broken', 0);
@@ -228,7 +229,7 @@
 	t.equal(machine.nextCalls([server('s')], capacity, 750).length, 1);
 });
 
-t.test('pieces of a request that may end upstreams go alone, wait, or go nowhere; all others go as ever', async t => {
+t.test('pieces of a request that may crash upstreams are sent alone, wait or are barred; all others are sent as usual', async t => {
 	const cautionsOf = new Map<string, Caution>([['alone', cautions.alone], ['wait', cautions.wait], ['barred', cautions.barred]]);
 	const machine = BatchMachine.create(contentId => cautionsOf.get(contentId) ?? cautions.none);
 	for (const [index, workId] of ['wait', 'barred', 'alone', 'a', 'b'].entries()) {
@@ -243,7 +244,7 @@
 	t.equal(namesOf(machine.nextCalls([server('u')], capacity, 2)[0]), 'wait0');
 });
 
-t.test('a host that wakes sends nothing whose time went by while it slept', async t => {
+t.test('a host that resumes from suspension sends nothing whose deadline passed meanwhile', async t => {
 	const machine = BatchMachine.create();
 	machine.add(workOf('over', 2, {deadlineMs: 5000}), 0);
 	machine.add(workOf('live', 2, {deadlineMs: 50_000}), 0);
@@ -251,7 +252,7 @@
 	t.match(machine.sweep(() => true, 9000), [{work: {workId: 'over'}}, {work: {workId: 'over'}}]);
 });
 
-t.test('an upstream whose rate is bounded gets no call above it, and counts for the part that it may do', async t => {
+t.test('an upstream with a rate limit gets no call above it, and counts as the corresponding fraction of an upstream', async t => {
 	const allowance = {left: 0, perS: Infinity};
 	const machine = BatchMachine.create(undefined, ({serverId}) => serverId === 'bounded' ? allowance : {left: Infinity, perS: Infinity});
 	const both = [server('bounded'), server('free')];
@@ -263,6 +264,6 @@
 	machine.add(workOf('next', 4), 0);
 	const waitMs = machine.waitMs([server('bounded')], capacity, 0, 0);
 	allowance.perS = Infinity;
-	// 2 calls of 140 ms a second are 0.28 of what it could do.
+	// 2 calls of 140 ms per second are 0.28 of its capacity.
 	t.equal(Math.round(waitMs * 0.28), Math.round(machine.waitMs([server('bounded')], capacity, 0, 0)));
 });
--- a/src/preparation/common/batch-machine.ts
+++ b/src/preparation/common/batch-machine.ts
@@ -1,6 +1,6 @@
 /**
-The batches of one pool: pieces of all requests wait in one queue, and each upstream that becomes free
-takes the most urgent ones. Events and time in, calls out; no I/O.
+Schedules the batches of one pool: pieces of all requests wait in one queue, and each upstream that becomes free takes
+the most urgent ones. Takes events and the time as input and returns the calls to make; does no I/O.
 */
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
@@ -18,25 +18,28 @@
 	pieceFailures, type BatchWork, type PieceOutcome,
 } from './work.js';
 
-/** Wait told where no upstream is sound, or all rest: until one is back, about. */
+/** Wait reported if no upstream is healthy or all are in backoff: roughly the time until one is available again. */
 const noServerMs = 2000;
-/** Time to the due time of a usual piece; it places work that is only thought of in the queue. */
+/** Time until a typical piece is due; determines the queue position of work whose wait is only estimated. */
 const usualDueMs = 500;
-/** With all upstreams at work and nobody waiting, the first is free after this part of a call, divided by their number. */
+/** With all upstreams busy and an empty queue, the first one is free after this share of a call, divided by their number. */
 const turnShare = 0.5;
-/** Tries of one piece before it is given up. */
+/** Attempts at one piece before it fails. */
 const mostTries = 4;
-/** A call is given up after this many times what calls of its pool take, and a margin for the network. */
+/** A call times out after this multiple of the typical duration of the pool's calls, plus a margin for the network. */
 const giveUpFactor = 6;
 const giveUpMarginMs = 500;
 
-/** How a pool stands: pieces that wait, calls at work, the longest wait, and the room that results take. */
+/** State of a pool: queued pieces, calls in progress, the longest wait, and the space used by results. */
 export type BatchStanding = {readonly waiting: number; readonly calls: number; readonly oldestMs: number; readonly keptBytes: number};
 
-/** How a pool stands as a call is made: halls with upstreams that may get work, and how slow these usually are. */
+/**
+State of a pool at the time of a call: data halls with upstreams that accept work, and the typical slowness of these
+upstreams.
+*/
 type PoolNow = {readonly halls: ReadonlySet<string>; readonly usual: number};
 
-/** Holds the waiting pieces and the calls of one pool. */
+/** Queue and calls in progress of one pool. */
 export class BatchMachine {
 	static create(cautionOf: CautionSource = () => cautions.none, allowanceOf: AllowanceSource = () => ({left: Infinity, perS: Infinity})): BatchMachine {
 		return new BatchMachine(cautionOf, allowanceOf);
@@ -52,12 +55,12 @@
 		this.upstreams = PoolUpstreams.create(allowanceOf);
 	}
 
-	/** Pieces that wait for an upstream. */
+	/** Number of pieces that wait for an upstream. */
 	get waitingCount(): number {
 		return this.waiting.size;
 	}
 
-	/** Calls at work. */
+	/** Number of calls in progress. */
 	get callCount(): number {
 		return this.upstreams.callCount;
 	}
@@ -75,35 +78,35 @@
 	}
 
 	/**
-	A request has ended: what of it waits is dropped; what is at work goes on.
-	@param workId - its work.
+	Drops the queued pieces of a request that has ended. Calls in progress continue.
+	@param workId - ID of the work.
 	*/
 	cancel(workId: string): void {
 		this.waiting.removeWork(workId);
 	}
 
 	/**
-	Gives away everything that waits, as when another host batches the pool from now on.
-	@returns the pieces, none of which has been begun.
+	Removes everything queued, as when another host takes over batching for the pool.
+	@returns the pieces, none of which has been started.
 	*/
 	takeWaiting(): PieceEnd[] {
 		return this.waiting.takeAll(pieceFailures.moved);
 	}
 
 	/**
-	Gives everything up that waits, as when no upstream gets work for a while.
-	@returns the pieces, none of which has been begun.
+	Fails everything queued, as when no upstream accepts work for some time.
+	@returns the pieces, none of which has been started.
 	*/
 	giveUpWaiting(): PieceEnd[] {
 		return this.waiting.takeAll(pieceFailures.noUpstream);
 	}
 
 	/**
-	Gives up what is late and could not be done before its callers leave, with what waits before it.
-	@param servers - upstreams that may get work.
-	@param capacity - of each.
-	@param nowMs - the time.
-	@returns the pieces; other pieces of the same steps may be at work.
+	Fails late work that could not be done before its callers leave, given what is ahead of it in the queue.
+	@param servers - upstreams that accept work.
+	@param capacity - capacity of each upstream.
+	@param nowMs - the current time.
+	@returns the failed pieces; other pieces of the same steps may be in progress.
 	*/
 	giveUpLate(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): PieceEnd[] {
 		const count = this.upstreams.countAtWork(this.upstreams.soundOf(servers, nowMs), capacity, nowMs);
@@ -111,10 +114,10 @@
 	}
 
 	/**
-	Gives the calls to make now.
-	@param servers - upstreams of the pool that may get work.
-	@param capacity - what each can do.
-	@param nowMs - the time.
+	Takes pieces off the queue for the calls to make now.
+	@param servers - upstreams of the pool that accept work.
+	@param capacity - capacity of each upstream.
+	@param nowMs - the current time.
 	*/
 	nextCalls(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): BatchCall[] {
 		const calls: BatchCall[] = [];
@@ -144,12 +147,12 @@
 	}
 
 	/**
-	A call was answered.
+	Handles the response to a call.
 	@param call - the call.
 	@param outcomes - one for each piece, in order.
-	@param capacity - of the pool.
-	@param nowMs - the time.
-	@returns pieces that have ended; others wait again.
+	@param capacity - capacity of the pool's upstreams.
+	@param nowMs - the current time.
+	@returns the pieces that are finished; the others are queued again.
 	*/
 	answered(call: BatchCall, outcomes: readonly PieceOutcome[], capacity: BatchCapacity, nowMs: number): PieceEnd[] {
 		const state = this.upstreams.of(call.server);
@@ -167,7 +170,7 @@
 			const hadNoRoom = !outcome.ok && outcome.reason === pieceFailures.noRoom;
 			const mayRetry = hadNoRoom || (!outcome.ok && outcome.reason === pieceFailures.failed);
 			if (mayRetry && tries < mostTries) {
-				// Finding no room has cost nothing but the way.
+				// An attempt that found no space cost only a round trip, so it does not count.
 				this.waiting.add(hadNoRoom ? {...item, tries: tries - 1} : item);
 			} else {
 				ends.push({work, piece, outcome});
@@ -178,17 +181,17 @@
 	}
 
 	/**
-	A call gave nothing.
+	Handles a call that failed as a whole.
 	@param call - the call.
-	@param reason - why.
-	@param nowMs - the time.
-	@returns pieces that are given up; others wait again.
+	@param reason - why it failed.
+	@param nowMs - the current time.
+	@returns the pieces that have failed for good; the others are queued again.
 	*/
 	failed(call: BatchCall, reason: CallFailure, nowMs: number): PieceEnd[] {
 		this.upstreams.of(call.server).failed(call, nowMs);
 		const ends: PieceEnd[] = [];
 		for (const item of call.pieces) {
-			// A call that was refused has cost nothing.
+			// A refused call cost the upstream nothing, so it does not count.
 			const tries = item.tries - (reason === 'refused' ? 1 : 0);
 			if (tries >= mostTries || nowMs >= item.work.deadlineMs) {
 				ends.push({work: item.work, piece: item.piece, outcome: {ok: false, reason: pieceFailures.failed}});
@@ -201,19 +204,19 @@
 	}
 
 	/**
-	Results are no longer needed, or are lost.
-	@param serverId - where they are.
-	@param handles - their names.
+	Frees the space of results that are no longer needed or are lost.
+	@param serverId - the upstream that stores them.
+	@param handles - handles of the results.
 	*/
 	released(serverId: string, handles: readonly string[]): void {
 		this.upstreams.released(serverId, handles);
 	}
 
 	/**
-	Drops what waits past its deadline or is barred, and what is known of servers that are gone.
-	@param isKnown - tells whether a server is still listed.
-	@param nowMs - the time.
-	@returns the pieces that are given up.
+	Removes queued pieces that are past their deadline or barred, and the state of servers that are gone.
+	@param isKnown - whether a server is still listed.
+	@param nowMs - the current time.
+	@returns the pieces that have failed.
 	*/
 	sweep(isKnown: (serverId: string) => boolean, nowMs: number): PieceEnd[] {
 		this.upstreams.sweep(isKnown);
@@ -221,17 +224,17 @@
 	}
 
 	/**
-	Tells how much room of an upstream is taken, as far as is known here.
+	Returns the space used by results at an upstream, in bytes, as far as this host knows.
 	@param serverId - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	keptAt(serverId: string, nowMs: number): number {
 		return this.upstreams.keptAt(serverId, nowMs);
 	}
 
 	/**
-	Tells how the pool stands, for logs.
-	@param nowMs - the time.
+	Returns the state of the pool for logs.
+	@param nowMs - the current time.
 	*/
 	describe(nowMs: number): BatchStanding {
 		return {
@@ -241,11 +244,11 @@
 
 	/**
 	Estimates how long work added now would wait for its turn.
-	@param servers - upstreams that may get work.
-	@param capacity - of each.
-	@param rank - of the work.
-	@param nowMs - the time.
-	@returns 0 while an upstream is free.
+	@param servers - upstreams that accept work.
+	@param capacity - capacity of each upstream.
+	@param rank - rank of the work.
+	@param nowMs - the current time.
+	@returns the wait in milliseconds; 0 while an upstream is free.
 	*/
 	waitMs(servers: readonly UpstreamServer[], capacity: BatchCapacity, rank: number, nowMs: number): number {
 		const sound = this.upstreams.soundOf(servers, nowMs);
@@ -265,9 +268,9 @@
 	}
 
 	/**
-	Tells how many times longer than declared the calls of the pool usually take.
-	@param servers - upstreams that may get work.
-	@param nowMs - the time.
+	Returns the typical ratio of actual to declared duration of the pool's calls.
+	@param servers - upstreams that accept work.
+	@param nowMs - the current time.
 	*/
 	usualSlowness(servers: readonly UpstreamServer[], nowMs: number): number {
 		return this.upstreams.usualSlowness(servers, nowMs);
@@ -288,7 +291,7 @@
 		return call;
 	}
 
-	/** Takes the most urgent pieces for one call out of the queue. */
+	/** Takes the most urgent pieces for one call off the queue. */
 	private take(server: UpstreamServer, {batchSize, roomBytes}: BatchCapacity, halls: ReadonlySet<string>, nowMs: number): BatchPiece[] {
 		const leftBytes = this.upstreams.of(server).room.leftBytes(roomBytes, nowMs);
 		const taken = fillCall(this.waiting.sendable(), {
--- a/src/preparation/common/batch-protocol.ts
+++ b/src/preparation/common/batch-protocol.ts
@@ -1,4 +1,4 @@
-/** Port to the way a deployment's upstreams speak that work in batches. */
+/** Interface to the wire protocol of a deployment's upstreams that process work in batches. */
 import type {InjectionToken} from 'tsyringe';
 import type {Outcome} from '../../base/common/outcome.js';
 import type {ServerNotice} from '../../deployment/common/server-notices.js';
@@ -7,26 +7,26 @@
 import type {BatchCall, CallFailure} from './batch-call.js';
 import type {PieceOutcome} from './work.js';
 
-/** A call as it is written. */
+/** A call as written to the connection. */
 export type EncodedCall = {readonly method: 'POST'; readonly path: string; readonly headers: readonly Header[]; readonly body: Uint8Array};
 
-/** An answer as it came. */
+/** A response as received. */
 export type EncodedAnswer = {readonly status: number; readonly headers: readonly Header[]; readonly body: Uint8Array};
 
-/** Speaks to upstreams that work in batches. */
+/** Encodes calls to upstreams that process work in batches, and decodes their responses. */
 export type BatchProtocol = {
-	/** Writes a call of several pieces. */
+	/** Encodes a call of several pieces. */
 	encodeRun(call: BatchCall, nowMs: number): EncodedCall;
 	/**
-	Reads the answer to a call.
-	@param answer - as it came.
+	Decodes the response to a call.
+	@param answer - the response as received.
 	@param call - the call.
-	@returns an outcome for each piece, in order, or why there is none.
+	@returns an outcome for each piece, in order, or why the call failed.
 	*/
 	decodeRun(answer: EncodedAnswer, call: BatchCall): Outcome<readonly PieceOutcome[], CallFailure>;
-	/** Reads what an answer to any call says of its server. */
+	/** Reads what the response to any call reports about its server. */
 	readNotice(head: Omit<EncodedAnswer, 'body'>): ServerNotice;
-	/** Writes that results are no longer needed by the upstream that made them. */
+	/** Encodes a notice that results are no longer needed, for the upstream that stores them. */
 	encodeRelease(handles: readonly string[], server: UpstreamServer): EncodedCall;
 };
 
--- a/src/preparation/common/batch-upstream.ts
+++ b/src/preparation/common/batch-upstream.ts
@@ -1,24 +1,27 @@
-/** What is known of one upstream that works in batches: its call, how slow it is, its failures and its room for results. */
+/** State of one upstream that processes work in batches: its call, slowness, failures and space for results. */
 import type {BatchCall} from './batch-call.js';
 import {ResultRoom} from './result-room.js';
 
-/** How quickly the measured slowness follows the calls. */
+/** Weight of the latest call in the measured slowness. */
 const slownessWeight = 0.6;
-/** After this long without a call a slow upstream is believed to be half as slow: it may have recovered. */
+/** Time without a call after which the excess slowness of an upstream is halved: it may have recovered. */
 const slownessHalfLifeMs = 2500;
-/** A call that was given up says that it would have taken longer, not how much: one that hangs is not slow without bound. */
+/**
+Bound on the slowness derived from a call that timed out: it shows that the call would have taken longer, not how much
+longer, and an upstream that hangs must not count as infinitely slow.
+*/
 const mostGivenUpSlowness = 20;
-/** First while without work after a call failed; it doubles with each further one. */
+/** Time without work after a failed call; it doubles with each further failure. */
 const avoidMs = 250;
 const longestAvoidMs = 2000;
 
-/** Follows one upstream. */
+/** Tracks one upstream. */
 export class BatchUpstream {
 	static create(): BatchUpstream {
 		return new BatchUpstream();
 	}
 
-	/** The call it works on. */
+	/** The call in progress. */
 	call: BatchCall | undefined;
 	readonly room = ResultRoom.create();
 	private slowness = 1;
@@ -30,12 +33,12 @@
 		return this.call === undefined && !this.isAvoided(nowMs);
 	}
 
-	/** Whether it is left alone because calls have failed there. */
+	/** Whether it receives no work for now because calls to it have failed. */
 	isAvoided(nowMs: number): boolean {
 		return nowMs < this.avoidedUntilMs;
 	}
 
-	/** 1 is as declared; a measured slowness fades while nothing is measured. */
+	/** Ratio of actual to declared call duration. A measured value decays towards 1 while no call is made. */
 	slownessAt(nowMs: number): number {
 		return 1 + ((this.slowness - 1) * (2 ** (-(nowMs - this.measuredMs) / slownessHalfLifeMs)));
 	}
@@ -53,7 +56,7 @@
 		this.end(call);
 		const ratio = Math.min(mostGivenUpSlowness, (nowMs - call.sentMs) / call.expectedMs);
 		if (nowMs >= call.limitMs && ratio > this.slownessAt(nowMs)) {
-			// It was given up: where all are that slow, the next call is given more time.
+			// The call timed out. If all upstreams are that slow, the next call is given more time.
 			this.slowness = ratio;
 			this.measuredMs = nowMs;
 		}
--- a/src/preparation/common/fetch-time.ts
+++ b/src/preparation/common/fetch-time.ts
@@ -1,21 +1,21 @@
-/** How long an upstream takes to fetch the results that a request reads, reckoned from what the declaration tells of links. */
+/** Estimates how long an upstream takes to fetch the results that a request reads, from the declared link speeds. */
 import type {PreparationStep} from '../../deployment/common/declaration.js';
 import type {DeploymentIndex} from '../../deployment/common/deployment-index.js';
 
 /**
-From the moment a call with results is written until its engine begins to fetch them, and a first answer of
-the fetch: a few times what the way there and its decoding take.
+Time from writing a call with results until its engine begins to fetch them and receives a first response: a few times
+the network and decoding time.
 */
 const fetchStartMs = 20;
-/** Results are fetched from an upstream in turn; two full calls' worth may be asked of its link at once. */
+/** An upstream serves its results one after another; the results of two full calls may be requested on its link at once. */
 const fetchedCalls = 2;
-/** Where the declaration tells no link: 10 Gbit/s, usual between hosts that keep large results. */
+/** Link speed if none is declared: 10 Gbit/s, common between hosts that store large results. */
 const usualLinkBytesPerMs = 1_250_000;
 
 /**
-Reckons how long after it was written a request has surely fetched the results it reads.
-@param steps - of its route.
-@param index - of the declaration in force; usual values stand in for what it does not tell.
+Estimates the time after which a request that was written has certainly fetched the results it reads.
+@param steps - steps of its route.
+@param index - the declaration in force; defaults replace what it does not specify.
 */
 export function fetchTimeMs(steps: readonly PreparationStep[], index: DeploymentIndex | undefined): number {
 	let longestMs = 0;
--- a/src/preparation/common/overloaded-pool.test.ts
+++ b/src/preparation/common/overloaded-pool.test.ts
@@ -1,10 +1,12 @@
 /**
-Seen: seconds after a burst was over, a pool that could do all that was asked for then did nothing in time: what the burst had left was
-done first, a piece at a time as its callers were about to leave, and made all that came after as late.
-Pattern: two kinds of requests share a pool of batches, one worth nine times the other and ranked before it; a burst asks for more
-than the pool can do, and what it leaves behind stands for seconds. Figures: a deployment's pool of which a hall is drained, 6 upstreams of
-27 pieces a call, 150 ms and 4.77 ms a piece: 580 pieces a second; 26 requests of rank 0 and 35 of rank 2 a second, 8 pieces each, 1.6 times as
-many in the burst; a second and less for the step.
+Guards against a backlog that makes all later work late. A pool that could do everything requested after a burst did
+nothing in time for seconds: the remaining work of the burst was done first, one piece at a time as its callers were about
+to leave, and made everything that came after it late as well.
+
+The load: two kinds of requests share a pool, one worth nine times the other and ranked before it. A burst requests more
+than the pool can do, and its backlog stays for seconds. The figures are those of a deployment's pool with a drained data
+hall: 6 upstreams of 27 pieces a call, 150 ms plus 4.77 ms a piece, which gives 580 pieces a second; 26 requests of rank 0
+and 35 of rank 2 a second, 8 pieces each, and 1.6 times as many in the burst; at most a second for the step.
 */
 import t from 'tap';
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
@@ -32,13 +34,13 @@
 	};
 }
 
-/** Plays the pattern; gives by rank which share of the steps that were asked for between two times was done in time. */
+/** Simulates the load. Returns by rank the share of the steps requested between two times that was done in time. */
 function play(untilMs: number) {
 	const machine = BatchMachine.create();
 	const calls: BatchCall[] = [];
 	const dueMs = new Map<string, {readonly askedMs: number; readonly dueMs: number; readonly rank: number}>();
 	const doneMs = new Map<string, number>();
-	/** When steps were given up. */
+	/** When steps failed. */
 	const endedMs = new Map<string, number>();
 	const owed = kinds.map(() => 0);
 	for (let nowMs = 0; nowMs < untilMs; nowMs += stepMs) {
@@ -80,26 +82,27 @@
 			const asked = askedBetween(rank, fromMs, toMs);
 			return asked.filter(([workId, each]) => (doneMs.get(workId) ?? Infinity) <= each.dueMs).length / asked.length;
 		},
-		/** Longest time from asking for a step until it was done or given up. */
+		/** Longest time from requesting a step until it was done or failed. */
 		longestMs(rank: number, fromMs: number, toMs: number): number {
 			return Math.max(...askedBetween(rank, fromMs, toMs).map(([workId, {askedMs}]) => (doneMs.get(workId) ?? endedMs.get(workId) ?? Infinity) - askedMs));
 		},
 	};
 }
 
-t.test('where a pool can\'t do all, the most urgent kind stays in time and the least urgent gives way', async t => {
+t.test('in an overloaded pool the most urgent kind stays in time and the least urgent one yields', async t => {
 	const played = play(16_000);
 	const urgentShare = played.inTimeShare(0, 0, 14_000);
 	t.ok(urgentShare >= 0.95, `rank 0: ${urgentShare}`);
 	const calmShare = played.inTimeShare(2, 0, 800);
 	t.ok(calmShare >= 0.95, `rank 2 before the burst: ${calmShare}`);
-	// What a burst left may hold up what came with it, and for as long as it lasted itself; not what comes after that.
+	// The backlog of a burst may delay what came with it, and work that comes within the length of the burst after its end, but
+	// nothing later.
 	const afterShare = played.inTimeShare(2, burst.toMs + (burst.toMs - burst.fromMs), 14_000);
 	t.ok(afterShare >= 0.95, `rank 2 after the burst: ${afterShare}`);
 });
 
-t.test('what is late is done or given up before its caller leaves', async t => {
+t.test('late work is done or fails before its caller disconnects', async t => {
 	const longestMs = play(16_000).longestMs(2, 0, 10_000);
-	// Due after 0.8 s, useless 3 s after that; the call that it goes in takes a third of a second.
+	// Due after 0.8 s and useless 3 s after that; the call that carries it takes a third of a second.
 	t.ok(longestMs <= 4200, `${longestMs}`);
 });
--- a/src/preparation/common/piece-order.ts
+++ b/src/preparation/common/piece-order.ts
@@ -1,27 +1,28 @@
-/** Which pieces go first, and where. */
+/** Order of pieces in the queue, and the choice of data hall. */
 import {crossingCostMs} from '../../routing/common/hall-cost.js';
 import type {BatchPiece} from './batch-call.js';
 import type {BatchWork} from './work.js';
 
 /**
-How much later each step of rank counts: a request of the better rank goes first unless it has this much more
-time. 800 ms measured the same as 250 where the dearest kind makes up most of the worth.
+Penalty for each step of rank: a request of better rank goes first unless it has this much more time. 800 ms measured
+the same as 250 ms where the most expensive kind accounts for most of the value.
 */
 export const rankPenaltyMs = 250;
-/** Longest wait for an upstream in the hall of the inputs: about a full call, after which each upstream has been free once. */
+/** Longest wait for an upstream in the data hall of the inputs: about a full call, in which each upstream becomes free once. */
 const longestPatienceMs = 300;
 
-/** Later than any due time: puts what is late behind all that can be in time. */
+/** Later than any due time: places late pieces behind all that can still be in time. */
 const lateOffsetMs = 3_600_000;
 
 /**
-Tells how urgent a piece is: what can still be in time goes first, by the time it has left. A step that can't is behind all of
-them, whether it is the first or a later one. When late ones came first again as their callers were about to leave, what
-a burst left made all late that came after: of a kind that a pool of six upstreams could do with a sixth to spare, none was in time
-nine seconds after the burst, and all is now from two seconds after it (`overloaded-pool.test`).
+Returns the urgency of a piece. Pieces that can still be in time go first, ordered by their remaining time. Late pieces
+go behind all of them, whether they belong to the first step or a later one. When late pieces went first again as their
+callers were about to leave, the backlog of a burst made all later work late: of a kind that a pool of six upstreams
+could handle with a sixth of its capacity to spare, nothing was in time nine seconds after the burst. With this order,
+everything is in time from two seconds after it (`overloaded-pool.test`).
 @param item - the piece.
-@param nowMs - the time.
-@returns a time; the earliest goes first.
+@param nowMs - the current time.
+@returns a time; pieces with the earliest time go first.
 */
 export function urgencyOf({work}: BatchPiece, nowMs: number): number {
 	const {dueMs, lateDueMs, rank} = work;
@@ -29,29 +30,29 @@
 }
 
 /**
-Tells whether a step can't be in time any more.
+Whether a step can no longer be in time.
 @param work - the step.
-@param nowMs - the time.
+@param nowMs - the current time.
 */
 export function isLate({dueMs}: Pick<BatchWork, 'dueMs'>, nowMs: number): boolean {
 	return nowMs > dueMs;
 }
 
 /**
-Tells whether a piece had better wait for an upstream in its own hall. Those of another hall stand idle meanwhile, so
-it is for a short while only. Without any wait, bytes between halls cost 0.03 to 0.06 of all worth more on full days.
+Whether a piece should wait for an upstream in its own data hall. Upstreams of other halls stay idle meanwhile, so the
+wait is short. Without any wait, transfers between halls cost another 0.03 to 0.06 of the total value on busy days.
 @param item - the piece.
-@param nowMs - the time.
+@param nowMs - the current time.
 */
 export function isPatient({work, readyMs}: BatchPiece, nowMs: number): boolean {
 	const patienceMs = Math.min(longestPatienceMs, crossingCostMs(work.crossingBytes * work.pieces.length));
-	// What is late already loses nothing by waiting; what is still in time must not become late by it.
+	// A piece that is late already loses nothing by waiting; one that is in time must not become late by it.
 	const untilMs = readyMs + patienceMs;
 	return nowMs < (readyMs < work.dueMs ? Math.min(untilMs, work.dueMs) : untilMs);
 }
 
 /**
-Puts pieces of one work side by side, in the order in which the first of each comes.
+Groups pieces by work, in the order in which the first piece of each work occurs.
 @param items - the pieces.
 */
 export function groupByWork(items: readonly BatchPiece[]): BatchPiece[][] {
--- a/src/preparation/common/piece-queue.ts
+++ b/src/preparation/common/piece-queue.ts
@@ -1,24 +1,24 @@
-/** The pieces of all requests that wait for one pool. */
+/** Queue of the pieces of all requests that wait for one pool. */
 import {cautions, type Caution} from '../../quarantine/common/quarantine.js';
 import type {BatchPiece, PieceEnd} from './batch-call.js';
 import {isLate, urgencyOf} from './piece-order.js';
 import {pieceFailures, type BatchWork, type PieceFailure} from './work.js';
 
-/** Tells how pieces of a request may be handed to an upstream, by the request's content. */
+/** Returns how pieces of a request may be sent to an upstream, by the content ID of the request. */
 export type CautionSource = (contentId: string) => Caution;
 
-/** Holds what waits, in the order in which it goes. */
+/** Queued pieces in the order in which they are sent. */
 export class PieceQueue {
 	/**
-	Makes an empty queue.
-	@param cautionOf - tells how each piece may be handed on.
+	Creates an empty queue.
+	@param handlingOf - returns how each piece may be sent.
 	*/
 	static create(cautionOf: CautionSource): PieceQueue {
 		return new PieceQueue(cautionOf);
 	}
 
 	private pieces: BatchPiece[] = [];
-	/** Pieces whose time went by while they waited; the next sweep ends them. */
+	/** Pieces whose deadline passed in the queue; the next sweep fails them. */
 	private expired: BatchPiece[] = [];
 
 	private constructor(private readonly cautionOf: CautionSource) {}
@@ -32,24 +32,24 @@
 	}
 
 	/**
-	Takes pieces out that go in a call.
-	@param taken - which.
+	Removes pieces that are sent in a call.
+	@param taken - the pieces.
 	*/
 	remove(taken: ReadonlySet<BatchPiece>): void {
 		this.pieces = this.pieces.filter(item => !taken.has(item));
 	}
 
 	/**
-	Takes out what waits of one work.
-	@param workId - the work.
+	Removes the queued pieces of one work.
+	@param workId - ID of the work.
 	*/
 	removeWork(workId: string): void {
 		this.pieces = this.pieces.filter(({work}) => work.workId !== workId);
 	}
 
 	/**
-	Takes out everything that waits; none of it has been begun.
-	@param reason - why.
+	Removes all queued pieces; none of them has been started.
+	@param reason - reported as the cause.
 	*/
 	takeAll(reason: PieceFailure): PieceEnd[] {
 		const taken = endsOf(this.pieces, reason);
@@ -58,15 +58,16 @@
 	}
 
 	/**
-	Puts the most urgent first. What is over goes before: on waking that may be all that waits.
-	@param nowMs - the time.
+	Sorts the queue, most urgent first. Expired pieces are removed before: after the host was suspended they may be all
+	there is.
+	@param nowMs - the current time.
 	*/
 	sort(nowMs: number): void {
 		this.dropExpired(nowMs);
 		this.pieces.sort((left, right) => urgencyOf(left, nowMs) - urgencyOf(right, nowMs));
 	}
 
-	/** Pieces that may go in one call: those of one request alone where it may be what ends upstreams, all others together. */
+	/** Pieces that may be sent in one call. A request that may have crashed upstreams goes alone; all others may be combined. */
 	sendable(): readonly BatchPiece[] {
 		const first = this.pieces.find(({work}) => this.mayGo(work));
 		if (!first) {
@@ -80,8 +81,8 @@
 	}
 
 	/**
-	Takes out what is not handed on any more: its time went by, or its request is barred.
-	@param nowMs - the time.
+	Removes pieces that are no longer sent: those past their deadline, and those of barred requests.
+	@param nowMs - the current time.
 	*/
 	sweep(nowMs: number): PieceEnd[] {
 		this.dropExpired(nowMs);
@@ -96,10 +97,10 @@
 	}
 
 	/**
-	Takes out steps that are late and whose turn would come too late for their callers, all pieces of each: who can't be
-	served is told now, not once its time is over.
-	@param perMs - pieces that the pool does in a millisecond.
-	@param nowMs - the time.
+	Removes all pieces of steps that are late and whose turn would come too late for their callers: a caller that can't be
+	served is notified now, not once its time is over.
+	@param perMs - pieces that the pool completes per millisecond.
+	@param nowMs - the current time.
 	*/
 	takeHopeless(perMs: number, nowMs: number): PieceEnd[] {
 		this.sort(nowMs);
@@ -119,17 +120,17 @@
 	}
 
 	/**
-	Counts the pieces that go before one that is only thought of.
-	@param urgency - of that one.
-	@param nowMs - the time.
+	Counts the pieces ahead of a hypothetical one.
+	@param urgency - urgency of that piece.
+	@param nowMs - the current time.
 	*/
 	countAhead(urgency: number, nowMs: number): number {
 		return this.pieces.filter(item => urgencyOf(item, nowMs) <= urgency).length;
 	}
 
 	/**
-	Tells the longest wait.
-	@param nowMs - the time.
+	Returns the longest wait of a queued piece, in milliseconds.
+	@param nowMs - the current time.
 	*/
 	oldestMs(nowMs: number): number {
 		let oldestMs = 0;
--- a/src/preparation/common/pool-upstreams.ts
+++ b/src/preparation/common/pool-upstreams.ts
@@ -1,4 +1,4 @@
-/** The upstreams of one batched pool: what is known of each, which of them are sound, and how much they are worth together. */
+/** The upstreams of one batched pool: the state of each, which ones are healthy, and their combined capacity. */
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import type {Allowance} from '../../routing/common/send-bounds.js';
@@ -6,20 +6,21 @@
 import {fullCallMs} from './throughput.js';
 
 /**
-An upstream that is this many times slower than its neighbours gets work only when the others can't take all. What is declared is a first
-guess: where all are slow, none is worse than the others, and refusing what they can do helps nobody.
+An upstream slower than the typical one by this factor gets work only if the others can't take everything. The declared
+duration is only a first estimate, so the comparison is with the other upstreams: where all are slow, none is worse than
+the others, and refusing work that they can do would help nobody.
 */
 const slowFactor = 1.7;
 const secondMs = 1000;
 
-/** Tells what may go to an upstream now, of what all hosts together may send it. */
+/** Returns how much may be sent to an upstream now, out of what all hosts together may send to it. */
 export type AllowanceSource = (server: UpstreamServer, nowMs: number) => Allowance;
 
-/** Follows the upstreams of a pool. */
+/** Tracks the upstreams of a pool. */
 export class PoolUpstreams {
 	/**
-	Makes one that knows nothing of any upstream.
-	@param allowanceOf - tells what may go to each.
+	Creates an instance without any state of upstreams.
+	@param allowanceOf - returns how much may be sent to each upstream.
 	*/
 	static create(allowanceOf: AllowanceSource): PoolUpstreams {
 		return new PoolUpstreams(allowanceOf);
@@ -29,13 +30,13 @@
 
 	private constructor(private readonly allowanceOf: AllowanceSource) {}
 
-	/** Calls at work. */
+	/** Number of calls in progress. */
 	get callCount(): number {
 		return [...this.byId.values()].filter(({call}) => call).length;
 	}
 
 	/**
-	Gives what is known of an upstream.
+	Returns the state of an upstream.
 	@param server - the upstream.
 	*/
 	of({serverId}: UpstreamServer): BatchUpstream {
@@ -49,9 +50,9 @@
 	}
 
 	/**
-	Results are no longer needed, or are lost.
-	@param serverId - where they are.
-	@param handles - their names.
+	Frees the space of results that are no longer needed or are lost.
+	@param serverId - the upstream that stores them.
+	@param handles - handles of the results.
 	*/
 	released(serverId: string, handles: readonly string[]): void {
 		const upstream = this.byId.get(serverId);
@@ -61,8 +62,8 @@
 	}
 
 	/**
-	Forgets upstreams that are gone and have no call at work.
-	@param isKnown - tells whether an upstream is still listed.
+	Removes the state of upstreams that are gone and have no call in progress.
+	@param isKnown - whether an upstream is still listed.
 	*/
 	sweep(isKnown: (serverId: string) => boolean): void {
 		for (const [serverId, {call}] of this.byId) {
@@ -73,17 +74,17 @@
 	}
 
 	/**
-	Tells how much room of an upstream is taken, as far as is known here.
+	Returns the space used by results at an upstream, in bytes, as far as this host knows.
 	@param serverId - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	keptAt(serverId: string, nowMs: number): number {
 		return this.byId.get(serverId)?.room.takenBytes(nowMs) ?? 0;
 	}
 
 	/**
-	Tells how much room of all upstreams is taken.
-	@param nowMs - the time.
+	Returns the space used by results at all upstreams, in bytes.
+	@param nowMs - the current time.
 	*/
 	keptBytes(nowMs: number): number {
 		let keptBytes = 0;
@@ -95,18 +96,18 @@
 	}
 
 	/**
-	Tells whether an upstream may get one more call now.
+	Whether an upstream may be sent another call now.
 	@param server - the upstream.
-	@param nowMs - the time.
+	@param nowMs - the current time.
 	*/
 	isOpen(server: UpstreamServer, nowMs: number): boolean {
 		return this.allowanceOf(server, nowMs).left > 0;
 	}
 
 	/**
-	Gives the upstreams that neither fail nor are far slower than the others.
-	@param servers - upstreams that may get work.
-	@param nowMs - the time.
+	Returns the upstreams that neither fail nor are far slower than the others.
+	@param servers - upstreams that accept work.
+	@param nowMs - the current time.
 	*/
 	soundOf(servers: readonly UpstreamServer[], nowMs: number): UpstreamServer[] {
 		const mostSlowness = slowFactor * Math.max(1, this.usualSlowness(servers, nowMs));
@@ -114,10 +115,11 @@
 	}
 
 	/**
-	Tells how many upstreams as declared some are worth: one that is slow is a part of one, as is one whose rate is bounded.
+	Returns the capacity of upstreams as a number of upstreams that run as declared: a slow one, or one whose rate is
+	limited, counts as a fraction.
 	@param servers - the upstreams.
-	@param capacity - of each.
-	@param nowMs - the time.
+	@param capacity - declared capacity of each upstream.
+	@param nowMs - the current time.
 	*/
 	countAtWork(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): number {
 		const callMs = fullCallMs(capacity);
@@ -131,10 +133,10 @@
 	}
 
 	/**
-	Tells how many times longer than declared the calls of a pool take, by its middle upstream; the faster one of two.
-	@param servers - upstreams that may get work.
-	@param nowMs - the time.
-	@returns 1 where all fail.
+	Returns the ratio of actual to declared call duration of the median upstream; of two upstreams, that of the faster one.
+	@param servers - upstreams that accept work.
+	@param nowMs - the current time.
+	@returns the ratio; 1 if all upstreams fail.
 	*/
 	usualSlowness(servers: readonly UpstreamServer[], nowMs: number): number {
 		const slowness = servers.map(server => this.of(server)).filter(upstream => !upstream.isAvoided(nowMs))
--- a/src/preparation/common/preparation.ts
+++ b/src/preparation/common/preparation.ts
@@ -1,24 +1,24 @@
-/** The work before one request: which pieces may be worked on, which results are there, what is made again. */
+/** State of the preparation of one request: which pieces can start, which results exist, and what must be computed again. */
 import type {PreparationStep} from '../../deployment/common/declaration.js';
 import type {ResultRef, StepWork} from './work.js';
 
-/** Steps that the longest other way may still have when a step beside it begins. */
+/** A deferrable step starts once the longest other path has no more than this many steps left. */
 const headStartSteps = 2;
 
 type Step = {
 	readonly declared: PreparationStep;
 	readonly results: Array<ResultRef | undefined>;
 	readonly pending: Set<number>;
-	/** Whether its results were given up because every step that reads them is done. */
+	/** Whether its results were released because every step that reads them is done. */
 	isSpent: boolean;
 };
 
-/** Follows the steps of one request; touches no upstream itself. */
+/** Tracks the steps of one request; does not call any upstream itself. */
 export class Preparation {
 	/**
-	Makes the follower; nothing is asked for before `advance`.
+	Creates the state; nothing is requested before `advance`.
 	@param steps - as declared, numbered from 0.
-	@param pieceCounts - pieces of each step; a step with none is left out.
+	@param pieceCounts - number of pieces of each step; a step without pieces is skipped.
 	*/
 	static create(steps: readonly PreparationStep[], pieceCounts: readonly number[]): Preparation {
 		return new Preparation(steps, pieceCounts);
@@ -35,30 +35,31 @@
 		}));
 	}
 
-	/** Whether everything the request reads is there. */
+	/** Whether all results that the request reads are available. */
 	get isComplete(): boolean {
 		return this.steps.every((step, index) => !this.isLast(index) || isDone(step));
 	}
 
-	/** Results that the request itself reads: those of the steps that no other step comes after. */
+	/** Results that the request itself reads: those of the steps on which no other step depends. */
 	get finalRefs(): ResultRef[] {
 		return this.steps.flatMap((step, index) => this.isLast(index) && !step.isSpent ? present(step) : []);
 	}
 
-	/** The same results, each with its upstream and its size. */
+	/** The same results, each with its upstream and its size in bytes. */
 	finalSizes(): Array<{readonly serverId: string; readonly bytes: number}> {
 		return this.steps.flatMap((step, index) => this.isLast(index) && !step.isSpent
 			? present(step).map(({serverId}) => ({serverId, bytes: step.declared.resultBytes}))
 			: []);
 	}
 
-	/** Every result that is kept somewhere. */
+	/** All results that are stored somewhere. */
 	get allRefs(): ResultRef[] {
 		return this.steps.flatMap(step => step.isSpent ? [] : present(step));
 	}
 
 	/**
-	Gives up results that nothing will read any more: room for results bounds what a pool can do.
+	Takes the results that nothing will read any more, so that they can be released: the space for results limits what a
+	pool can do.
 	@returns the results.
 	*/
 	takeSpent(): ResultRef[] {
@@ -74,7 +75,7 @@
 	}
 
 	/**
-	Gives up the results that the request itself reads, once it has read them.
+	Takes the results that the request itself reads, so that they can be released once it has read them.
 	@returns the results.
 	*/
 	takeFinals(): ResultRef[] {
@@ -87,9 +88,9 @@
 	}
 
 	/**
-	Tells how long the steps behind one take, on the longest way.
-	@param index - the step; it does not count itself.
-	@param timeOf - tells how long a step of a pool takes.
+	Returns the duration of the steps that depend on a step, on the critical path, in milliseconds.
+	@param index - the step; its own duration is not included.
+	@param timeOf - returns the duration of a step of a pool.
 	*/
 	timeBehindMs(index: number, timeOf: (pool: string) => number): number {
 		const ways = this.steps.flatMap(({declared, results}, other) =>
@@ -97,7 +98,7 @@
 		return Math.max(0, ...ways);
 	}
 
-	/** Steps that are still to come behind a step, the step itself included, on the longest way. */
+	/** Number of steps on the longest path from a step to the end, including the step itself. */
 	stepsLeft(index: number): number {
 		const behind = this.steps.flatMap(({declared, results}, other) =>
 			declared.after.includes(index) && results.length > 0 ? [this.stepsLeft(other)] : []);
@@ -105,8 +106,8 @@
 	}
 
 	/**
-	Gives the work that may be done now and has not been asked for.
-	@returns work; its pieces count as asked for from now on.
+	Returns the work that can start now and has not been requested.
+	@returns work; its pieces count as requested from now on.
 	*/
 	advance(): StepWork[] {
 		this.renewSpent();
@@ -132,7 +133,7 @@
 		return this.steps[index].declared.after.flatMap(input => present(this.steps[input]));
 	}
 
-	/** Bytes that each piece of a step reads, about. */
+	/** Approximate number of bytes that each piece of a step reads. */
 	inputBytes(index: number): number {
 		let sumBytes = 0;
 		for (const input of this.steps[index].declared.after) {
@@ -144,11 +145,11 @@
 	}
 
 	/**
-	A piece is done.
+	Records the result of a piece.
 	@param index - its step.
 	@param piece - its number.
 	@param ref - its result.
-	@returns false if the result is not wanted, as when another one came first.
+	@returns false if the result is not needed, as when another one arrived first.
 	*/
 	done(index: number, piece: number, ref: ResultRef): boolean {
 		const step = this.steps[index];
@@ -162,7 +163,7 @@
 	}
 
 	/**
-	A piece was not done; it may be asked for again.
+	Records that a piece failed; it may be requested again.
 	@param index - its step.
 	@param piece - its number.
 	*/
@@ -171,25 +172,25 @@
 	}
 
 	/**
-	Results a piece was to read are lost.
+	Discards inputs of a step that were reported lost.
 	@param index - the step that was to read them.
-	@param isKept - tells whether a server is still there; where it says yes of all, all are made again.
-	@returns the results that are given up.
+	@param isKept - whether a server is still listed; if all of them are, all inputs are computed again.
+	@returns the discarded results.
 	*/
 	inputsLost(index: number, isKept: (serverId: string) => boolean): ResultRef[] {
 		return this.giveUp(this.steps[index].declared.after, isKept);
 	}
 
 	/**
-	Results the request itself was to read are lost.
-	@param isKept - as for `inputsLost`.
-	@returns the results that are given up.
+	Discards lost results that the request itself was to read.
+	@param isKept - as for the inputs of a step.
+	@returns the discarded results.
 	*/
 	finalsLost(isKept: (serverId: string) => boolean): ResultRef[] {
 		return this.giveUp([...this.steps.keys()].filter(index => this.isLast(index) && !this.steps[index].isSpent), isKept);
 	}
 
-	/** A result was lost behind a step whose own results are given up already: these are made again as well. */
+	/** Requests released results again if they are needed once more because a result that was computed from them is lost. */
 	private renewSpent(): void {
 		for (const [index, step] of [...this.steps.entries()].toReversed()) {
 			if (step.isSpent && this.isNeeded(index)) {
@@ -220,8 +221,8 @@
 	}
 
 	/**
-	Whether a step that only the request itself reads would be done long before the others: its results
-	would take room meanwhile. It begins when the longest other way has as many steps left, and one more.
+	Whether a step that only the request itself reads can be deferred. It would be done long before the others, and its
+	results would use space meanwhile. It starts when the longest other path has as many steps left and one more.
 	*/
 	private canWait(index: number): boolean {
 		if (!this.isLast(index) || this.steps[index].declared.after.length > 0) {
@@ -232,7 +233,7 @@
 		return Math.max(0, ...others) > headStartSteps;
 	}
 
-	/** Whether something still has to read this step's results. */
+	/** Whether something still has to read the results of this step. */
 	private isNeeded(index: number): boolean {
 		return this.isLast(index) || this.steps.some((other, otherIndex) =>
 			other.declared.after.includes(index) && !isDone(other) && this.isNeeded(otherIndex));
--- a/src/preparation/common/result-room.ts
+++ b/src/preparation/common/result-room.ts
@@ -1,49 +1,49 @@
 /**
-Room for results at one upstream, as far as it is known here: results this host had made, and what something unknown
-takes, as results that another host, or this one before a restart, had made.
+Space for results at one upstream, as far as this host knows: results that this host requested, and space used by results
+unknown to it, such as those requested by another host, or by this one before a restart.
 */
 
-/** Share of an upstream's room for results that is used: its own count may be ahead of ours. */
+/** Share of an upstream's space for results that is used: the upstream's own count may be ahead of the count here. */
 const usedRoomShare = 0.95;
-/** Part of the room taken by something unknown that is believed to be there still after a call that found enough. */
+/** Share of the space used by unknown results that is assumed to be still in use after a call that found enough space. */
 const unknownRoomKept = 0.5;
-/** After this long, about a call, an upstream without room is tried again with one result of the size it refused. */
+/** Time, about one call, after which an upstream without space is tried again with one result of the size it refused. */
 const roomTryMs = 250;
 
 type Held = {readonly bytes: number; readonly untilMs: number};
 
-/** What a call has told of the room. */
+/** Space usage derived from the response to a call. */
 export type RoomReading = {
-	/** Results that were made. */
+	/** Total size of the results that were stored. */
 	readonly madeBytes: number;
-	/** Size of the smallest result that found no room; absent where all did. */
+	/** Size of the smallest result that found no space; absent if all did. */
 	readonly refusedBytes: number | undefined;
 };
 
-/** Keeps account of the room at one upstream. */
+/** Tracks the space at one upstream. */
 export class ResultRoom {
 	static create(): ResultRoom {
 		return new ResultRoom();
 	}
 
 	private readonly results = new Map<string, Held>();
-	/** Room that something unknown takes; it is dropped by the upstream itself in the end. */
+	/** Space used by results unknown to this host; the upstream drops them itself in the end. */
 	private unknown: Held | undefined;
-	/** Room of one refused result until it is tried again. */
+	/** Space reserved for one refused result until it is tried again. */
 	private refused: Held | undefined;
 
 	/**
-	Tells how much room is left for new results.
-	@param roomBytes - of the upstream, as declared.
-	@param nowMs - the time.
+	Returns the space available for new results, in bytes.
+	@param roomBytes - space of the upstream, as declared.
+	@param nowMs - the current time.
 	*/
 	leftBytes(roomBytes: number, nowMs: number): number {
 		return (roomBytes * usedRoomShare) - this.takenBytes(nowMs);
 	}
 
 	/**
-	Tells how much room is taken; results whose time is over are forgotten on the way.
-	@param nowMs - the time.
+	Returns the space in use, in bytes, and removes expired results.
+	@param nowMs - the current time.
 	*/
 	takenBytes(nowMs: number): number {
 		let sumBytes = bytesAt(this.unknown, nowMs) + bytesAt(this.refused, nowMs);
@@ -59,8 +59,8 @@
 	}
 
 	/**
-	A result was made.
-	@param handle - its name.
+	Records a stored result.
+	@param handle - handle of the result.
 	@param bytes - its size.
 	@param untilMs - when the upstream drops it by itself.
 	*/
@@ -68,17 +68,18 @@
 		this.results.set(handle, {bytes, untilMs});
 	}
 
-	/** A result was given up, and its room is free. */
+	/** Frees the space of a result that was released or lost. */
 	free(handle: string): void {
 		this.results.delete(handle);
 	}
 
 	/**
-	Takes in what a call told, before its results are kept. Where results were refused, all room that isn't accounted
-	for counts as taken until it must have been dropped; after a while one result of the refused size is tried.
-	@param reading - what it told.
-	@param capacity - room of the upstream, and how long it keeps results.
-	@param nowMs - the time.
+	Updates the estimate with the report of a call, before the results of that call are recorded. If results were refused,
+	all space that is not accounted for counts as used until the upstream must have dropped its contents; after a delay one
+	result of the refused size is tried.
+	@param report - derived from the response to the call.
+	@param capacity - space of the upstream, and how long it stores results.
+	@param nowMs - the current time.
 	*/
 	learn({madeBytes, refusedBytes}: RoomReading, capacity: {readonly roomBytes: number; readonly resultTtlMs: number}, nowMs: number): void {
 		if (refusedBytes !== undefined) {
--- a/src/preparation/common/room-reading.ts
+++ b/src/preparation/common/room-reading.ts
@@ -1,10 +1,10 @@
-/** What a call tells of the room for results at its upstream. */
+/** Derives the space usage of an upstream from the response to a call. */
 import type {BatchCall} from './batch-call.js';
 import type {RoomReading} from './result-room.js';
 import {pieceFailures, type PieceOutcome} from './work.js';
 
 /**
-Reads the outcomes of a call.
+Summarizes the outcomes of a call.
 @param call - the call.
 @param outcomes - one for each piece, in order.
 */
--- a/src/preparation/common/slow-pool.test.ts
+++ b/src/preparation/common/slow-pool.test.ts
@@ -1,9 +1,10 @@
 /**
-Seen: with all workers of a pool three times slower than declared, 705 requests of 15 seconds were refused at the door, while all four workers
-stood idle and nothing waited.
-Pattern: requests of two steps, 2 and 1 pieces, come at a steady rate to a pool of three workers that take other times than declared.
-Figures: 20 ms a call and 2 ms a piece declared, a target of 500 ms, a limit of 3 s; asked for is half of what the workers really can
-do with each step in a call of its own.
+Guards against refusing work that a slow pool could do. With all workers of a pool three times slower than declared, 705
+requests of 15 seconds were refused on admission, while all four workers stood idle and nothing was queued.
+
+The load: requests of two steps with 2 and 1 pieces come at a steady rate to a pool of three workers whose calls take other
+times than declared. Declared are 20 ms a call and 2 ms a piece; the target is 500 ms, the limit 3 s. The requested rate is
+half of what the workers can really do with each step in a call of its own.
 */
 import t from 'tap';
 import {routeKinds, type BatchCapacity, type Route} from '../../deployment/common/declaration.js';
@@ -31,7 +32,7 @@
 }));
 
 const declaredMs = (pieces: number) => capacity.callMs + (pieces * capacity.itemMs);
-/** Time of the steps of one request as declared, each in a call of its own. */
+/** Declared duration of the steps of one request, each in a call of its own. */
 const requestMs = piecesOf.reduce((sum, pieces) => sum + declaredMs(pieces), 0);
 
 function workOf(workId: string, step: number, receivedMs: number): BatchWork {
@@ -42,14 +43,14 @@
 }
 
 type Load = {
-	/** Requests a second at a time. */
+	/** Requests per second at a time. */
 	readonly perS: number | ((nowMs: number) => number);
-	/** How many times slower than declared each worker is. */
+	/** Ratio of actual to declared call duration of each worker. */
 	readonly slowness: readonly number[];
 	readonly untilMs: number;
 };
 
-/** Plays a load; tells what became of the requests, and how many calls each worker got. */
+/** Simulates a load. Returns the outcomes of the requests, and the number of calls to each worker. */
 function play({perS, slowness, untilMs}: Load) {
 	const machine = BatchMachine.create();
 	const open = new Map<string, {readonly receivedMs: number; left: number}>();
@@ -115,9 +116,9 @@
 	};
 }
 
-t.test('a pool whose workers are all slower than declared serves what they can really do', async t => {
+t.test('a pool whose workers are all slower than declared serves as much as they can really do', async t => {
 	for (const factor of [1, 1.5, 2, 3, 10]) {
-		// Three workers, half of their time.
+		// Three workers, busy half of the time.
 		const perS = 1000 * servers.length / (2 * requestMs * factor);
 		const {asked, served} = play({perS, slowness: [factor, factor, factor], untilMs: 10_000});
 		t.ok(served >= 0.97 * asked, `${served} of ${asked} at ${factor} times the declared time`);
@@ -125,11 +126,11 @@
 
 	for (const factor of [3, 10]) {
 		const {asked, served} = play({perS: 1, slowness: [factor, factor, factor], untilMs: 20_000});
-		t.ok(served >= 0.97 * asked, `${served} of ${asked} at ${factor} times the declared time, one a second`);
+		t.ok(served >= 0.97 * asked, `${served} of ${asked} at ${factor} times the declared time, one per second`);
 	}
 });
 
-t.test('one slow worker among fast ones gets work only when the others can\'t take all', async t => {
+t.test('one slow worker among fast ones gets work only if the others can\'t take everything', async t => {
 	const quarter = 1000 * servers.length / (4 * requestMs);
 	const little = play({perS: quarter, slowness: [1, 1, 5], untilMs: 10_000});
 	t.equal(little.served, little.asked);
@@ -139,7 +140,7 @@
 	t.ok(much.served >= 0.9 * much.asked, `${much.served} of ${much.asked}`);
 });
 
-t.test('a queue that is truly too long is told at the door, with slow workers as with fast ones', async t => {
+t.test('requests are refused on admission if the queue is really too long, with slow and with fast workers', async t => {
 	for (const factor of [1, 3]) {
 		const perS = 4 * 1000 * servers.length * capacity.batchSize / ((piecesOf[0] + piecesOf[1]) * declaredMs(capacity.batchSize) * factor);
 		const {asked, served, refusedMs} = play({perS, slowness: [factor, factor, factor], untilMs: 10_000});
--- a/src/preparation/common/step-times.test.ts
+++ b/src/preparation/common/step-times.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {StepTimes} from './step-times.js';
 
-t.test('the usual time of a pool follows what its steps take; one that gave way for long moves it little', async t => {
+t.test('the typical duration of a pool\'s steps follows their actual duration, and one outlier changes it little', async t => {
 	const times = StepTimes.create();
 	t.equal(times.usualMs('p'), undefined);
 	for (let index = 0; index < 30; index++) {
@@ -16,5 +16,5 @@
 	}
 
 	t.ok(times.usualMs('p')! > 650);
-	t.equal(times.usualMs('q'), undefined, 'each pool for itself');
+	t.equal(times.usualMs('q'), undefined, 'each pool has its own value');
 });
--- a/src/preparation/common/step-times.ts
+++ b/src/preparation/common/step-times.ts
@@ -1,11 +1,14 @@
-/** How long steps take from their asking to their end, learned by pool: waits for upstreams and for room included. */
+/** Tracks by pool how long steps take from submission to completion, including waits for upstreams and for space. */
 
-/** Weight of a new time: some ten of them follow a change, within a second under load. */
+/** Weight of a new duration: about ten of them follow a change, which takes less than a second under load. */
 const smoothing = 0.1;
-/** A time counts as this many times what is usual at most: what gave way to others says little about the pool. */
+/**
+Durations are capped at this multiple of the typical one: a step that gave way to more urgent ones says little about the
+pool.
+*/
 const mostFactor = 3;
 
-/** Learns the times of steps. */
+/** Moving averages of step durations. */
 export class StepTimes {
 	static create(): StepTimes {
 		return new StepTimes();
@@ -14,16 +17,16 @@
 	private readonly usual = new Map<string, number>();
 
 	/**
-	A step is done.
-	@param pool - that did it.
-	@param tookMs - from its asking to its end.
+	Records the duration of a finished step.
+	@param pool - the pool that processed it.
+	@param tookMs - time from submission to completion.
 	*/
 	record(pool: string, tookMs: number): void {
 		const usualMs = this.usual.get(pool);
 		this.usual.set(pool, usualMs === undefined ? tookMs : usualMs + (smoothing * (Math.min(tookMs, usualMs * mostFactor) - usualMs)));
 	}
 
-	/** @returns the usual time of a pool's steps, or nothing before one was done. */
+	/** @returns the typical duration of the pool's steps, or undefined before one is done. */
 	usualMs(pool: string): number | undefined {
 		return this.usual.get(pool);
 	}
--- a/src/preparation/common/throughput.ts
+++ b/src/preparation/common/throughput.ts
@@ -1,13 +1,16 @@
-/** How many pieces a pool gets done while work waits for it: what its room and its upstreams really give. */
+/** Measures how many pieces a pool completes while work is queued: what its space for results and its upstreams really allow. */
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
 
 const windowMs = 1500;
-/** A queue must have stood this long before its throughput says anything: several calls of each upstream. */
+/** Minimum age of a queue before its throughput is significant: several calls of each upstream. */
 const shortestMs = 700;
-/** A pool that has stood still is believed to do this part of what it can: it may have stood still as the hosts were lost, not its upstreams. */
+/**
+Share of the declared throughput that is assumed for a pool that made no progress: the hosts may have been lost rather
+than its upstreams.
+*/
 const leastHopedShare = 0.25;
 
-/** Counts what is done while a queue stands. */
+/** Counts the pieces completed while a queue exists. */
 export class Throughput {
 	static create(): Throughput {
 		return new Throughput();
@@ -16,7 +19,7 @@
 	private done: Array<{readonly atMs: number; readonly pieces: number}> = [];
 	private beganMs = 0;
 
-	/** Work waits from now on, after a time without a queue. */
+	/** Starts a new measurement when work is queued after a time without a queue. */
 	queueBegan(nowMs: number): void {
 		this.beganMs = nowMs;
 		this.done = [];
@@ -27,10 +30,11 @@
 	}
 
 	/**
-	Gives the pieces that a pool does in a millisecond: as declared, or less where less is seen while a queue stands.
-	@param upstreams - how many of them work.
-	@param capacity - of each.
-	@param nowMs - the time.
+	Returns the pieces that a pool completes per millisecond: the declared rate, or the measured one if that is lower while
+	a queue exists.
+	@param upstreams - the number of upstreams that accept work.
+	@param capacity - capacity of each upstream.
+	@param nowMs - the current time.
 	*/
 	donePerMs(upstreams: number, capacity: BatchCapacity, nowMs: number): number {
 		const best = bestPerMs(upstreams, capacity);
@@ -38,16 +42,16 @@
 	}
 
 	/**
-	Gives the pieces that a pool may be hoped to do in a millisecond, though little was seen of late.
-	@param upstreams - how many of them work.
-	@param capacity - of each.
-	@param nowMs - the time.
+	Returns an optimistic estimate of the pieces that a pool completes per millisecond, for when few were completed recently.
+	@param upstreams - the number of upstreams that accept work.
+	@param capacity - capacity of each upstream.
+	@param nowMs - the current time.
 	*/
 	hopedPerMs(upstreams: number, capacity: BatchCapacity, nowMs: number): number {
 		return Math.max(this.donePerMs(upstreams, capacity, nowMs), leastHopedShare * bestPerMs(upstreams, capacity));
 	}
 
-	/** What was done in a millisecond; nothing while the queue has not stood long enough. */
+	/** Pieces completed per millisecond; undefined while the queue is too young. */
 	private seenPerMs(nowMs: number): number | undefined {
 		const sinceMs = Math.max(this.beganMs, nowMs - windowMs);
 		if (nowMs - sinceMs < shortestMs) {
@@ -61,14 +65,14 @@
 }
 
 /**
-Gives the time of a full call, as declared.
-@param capacity - of one upstream.
+Returns the declared duration of a full call, in milliseconds.
+@param capacity - capacity of one upstream.
 */
 export function fullCallMs({callMs, batchSize, itemMs}: BatchCapacity): number {
 	return callMs + (batchSize * itemMs);
 }
 
-/** Pieces that a pool does in a millisecond in full calls. */
+/** Declared number of pieces per millisecond with full calls. */
 function bestPerMs(upstreams: number, capacity: BatchCapacity): number {
 	return (upstreams * capacity.batchSize) / fullCallMs(capacity);
 }
--- a/src/preparation/common/told-waits.test.ts
+++ b/src/preparation/common/told-waits.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {ToldWaits} from './told-waits.js';
 
-t.test('a pool without a queue is told of once', async t => {
+t.test('a pool whose queue has emptied is reported once', async t => {
 	const waits = ToldWaits.create();
 	const pools = new Map([['p', {waitMs: (rank: number) => rank * 10.4}]]);
 	t.same(waits.news(pools), [{pool: 'p', waitMsByRank: [0, 10, 21, 31, 42, 52]}]);
@@ -10,7 +10,7 @@
 	t.same(waits.news(pools), []);
 });
 
-t.test('a wait that was told is believed for a while, and high ranks wait like the last one told', async t => {
+t.test('a reported wait is valid for a limited time, and higher ranks wait as long as the last one reported', async t => {
 	const waits = ToldWaits.create();
 	t.equal(waits.waitMs('p', 0, 0), 0);
 	waits.take({pool: 'p', waitMsByRank: [1, 2, 3, 4, 5, 6]}, 1000);
--- a/src/preparation/common/told-waits.ts
+++ b/src/preparation/common/told-waits.ts
@@ -1,44 +1,44 @@
-/** How long work would wait for a pool, as the host that batches the pool tells its peers. */
+/** Queue waits of pools, as reported to peers by the hosts that batch them. */
 import type {BatchWaitsMessage} from '../../wire/common/messages.js';
 
-/** How long a wait that was told is believed. */
+/** Time for which a reported wait is valid. */
 const toldLifeMs = 500;
-/** Ranks told apart; higher ones count as the last. */
+/** Number of ranks that are reported separately; higher ranks count as the last one. */
 const ranksTold = 6;
 
-/** Waits of one pool by rank, as told. */
+/** Reported waits of one pool, by rank. */
 export type PoolWaits = BatchWaitsMessage['pools'][number];
 
-/** What is told of a pool that this host batches. */
+/** A pool that this host batches, as the source of its waits. */
 export type WaitingPool = {waitMs(rank: number): number};
 
 type Told = {readonly waitMsByRank: readonly number[]; readonly atMs: number};
 
-/** Keeps what peers told of their pools, and says what to tell of this host's own. */
+/** Stores the waits that peers reported, and determines what to report of this host's own pools. */
 export class ToldWaits {
 	static create(): ToldWaits {
 		return new ToldWaits();
 	}
 
 	private readonly told = new Map<string, Told>();
-	/** This host's pools whose wait was last told as more than none. */
+	/** Pools of this host whose wait was last reported as more than zero. */
 	private readonly waitingPools = new Set<string>();
 
 	/**
-	A peer told how long work would wait for a pool.
-	@param waits - by rank.
-	@param nowMs - the time.
+	Stores the waits that a peer reported for a pool.
+	@param waits - the waits by rank.
+	@param nowMs - the current time.
 	*/
 	take({pool, waitMsByRank}: PoolWaits, nowMs: number): void {
 		this.told.set(pool, {waitMsByRank, atMs: nowMs});
 	}
 
 	/**
-	Gives the wait that was told of a pool.
+	Returns the reported wait for a pool, in milliseconds.
 	@param pool - the pool.
-	@param rank - of the work.
-	@param nowMs - the time.
-	@returns none where nothing was told of late.
+	@param rank - rank of the work.
+	@param nowMs - the current time.
+	@returns the wait; 0 if none was reported recently.
 	*/
 	waitMs(pool: string, rank: number, nowMs: number): number {
 		const told = this.told.get(pool);
@@ -47,8 +47,8 @@
 	}
 
 	/**
-	Says what to tell peers now: pools with a queue, and once each that has none any more.
-	@param pools - that this host batches.
+	Returns the waits to report to peers now: those of pools with a queue, and one report for each queue that has emptied.
+	@param pools - the pools that this host batches.
 	*/
 	news(pools: ReadonlyMap<string, WaitingPool>): PoolWaits[] {
 		const news: PoolWaits[] = [];
--- a/src/preparation/common/work-messages.ts
+++ b/src/preparation/common/work-messages.ts
@@ -1,4 +1,7 @@
-/** Work and its ends as hosts tell them to each other: times go as what is left of them, since clocks differ. */
+/**
+Conversion of work and piece outcomes to and from messages between hosts. Times are sent as remaining durations, since
+clocks differ.
+*/
 import type {BatchEndsMessage, BatchWorkMessage} from '../../wire/common/messages.js';
 import type {PieceEnd} from './batch-call.js';
 import {
@@ -6,8 +9,8 @@
 } from './work.js';
 
 /**
-Tells work to the host that batches its pool.
-@param work - with the pieces that are handed in.
+Creates the message that submits work to the host that batches its pool.
+@param work - the work with the pieces to submit.
 @param nowMs - this host's time.
 */
 export function messageOfWork(work: BatchWork, nowMs: number): BatchWorkMessage {
@@ -24,8 +27,8 @@
 }
 
 /**
-Reads the work a peer hands in.
-@param message - as it came.
+Reads work submitted by a peer.
+@param message - the message as received.
 @param nowMs - this host's time.
 */
 export function workOfMessage(message: BatchWorkMessage, nowMs: number): BatchWork {
@@ -36,8 +39,8 @@
 }
 
 /**
-Tells the host that handed work in how a piece of it ended.
-@param end - of the piece.
+Creates the message that reports the outcome of a piece to the host that submitted it.
+@param end - the outcome.
 */
 export function messageOfEnd({work, piece, outcome}: PieceEnd): BatchEndsMessage {
 	return {
@@ -49,8 +52,8 @@
 }
 
 /**
-Reads how a piece ended at the host that batched it.
-@param end - as that host told it.
+Reads the outcome of a piece from the report of the host that batched it.
+@param end - the entry of the report.
 */
 export function outcomeOfEnd({handle, serverId, reason}: BatchEndsMessage['ends'][number]): PieceOutcome {
 	return handle !== undefined && serverId !== undefined
@@ -58,7 +61,7 @@
 		: {ok: false, reason: failureOf(reason)};
 }
 
-/** Hosts of another version may know failures that this one does not. */
+/** Hosts that run another version may report reasons that this one does not know. */
 function failureOf(reason: string | undefined): PieceFailure {
 	return Object.values(pieceFailures).find(known => known === reason) ?? pieceFailures.failed;
 }
--- a/src/preparation/common/work.ts
+++ b/src/preparation/common/work.ts
@@ -1,59 +1,59 @@
-/** What is asked of the upstreams that prepare requests, and what they give. */
+/** Work for the upstreams that prepare requests, and its results. */
 
-/** A result at the upstream that made it. */
+/** Reference to a result at the upstream that stores it. */
 export type ResultRef = {readonly handle: string; readonly serverId: string};
 
-/** Why a piece of work gave no result. */
+/** Why a piece failed. */
 export const pieceFailures = {
-	/** Its time was over when its turn came. */
+	/** Its deadline passed, or it could no longer be done in time, while it was queued. */
 	late: 'late',
-	/** A result it was to read is lost. */
+	/** A result it depends on is lost. */
 	inputsGone: 'inputsGone',
-	/** The upstream has no room for another result. */
+	/** The upstream has no space for another result. */
 	noRoom: 'noRoom',
 	failed: 'failed',
-	/** No upstream of its pool gets work for a while. */
+	/** No upstream of its pool accepts work for some time. */
 	noUpstream: 'noUpstream',
-	/** Not begun: another host batches the pool now. */
+	/** Not started: another host batches the pool now. */
 	moved: 'moved',
-	/** Given up because the request has ended, or nobody could take it. */
+	/** Canceled because the request has ended, or no host could take it. */
 	abandoned: 'abandoned',
 } as const;
 export type PieceFailure = typeof pieceFailures[keyof typeof pieceFailures];
 
-/** How one piece ended. */
+/** Outcome of one piece. */
 export type PieceOutcome
 	= | {readonly ok: true; readonly ref: ResultRef}
 		| {readonly ok: false; readonly reason: PieceFailure};
 
-/** Pieces of one step of one request that may be worked on now. */
+/** Pieces of one step of one request that can start now. */
 export type StepWork = {
 	readonly step: number;
 	readonly pieces: readonly number[];
-	/** Results that every piece reads; absent for steps that read none and work on the request's key. */
+	/** Handles of the results that every piece reads; absent for steps that read none and work on the request's key. */
 	readonly inputs: readonly string[] | undefined;
 };
 
-/** Work of one step, as handed to the batches of a pool. */
+/** Work of one step, as submitted for batching in its pool. */
 export type BatchWork = StepWork & {
 	readonly workId: string;
 	readonly pool: string;
-	/** The request's name as its caller gave it. */
+	/** ID of the request as given by its caller. */
 	readonly callerRequestId: string;
-	/** Names what the request asks for, whatever id its try has. */
+	/** Identifies the content of the request, independent of the ID of an attempt. */
 	readonly contentId: string;
 	readonly pieceKey: string;
 	readonly resultBytes: number;
-	/** 0 is the most urgent. */
+	/** Priority; 0 is the most urgent. */
 	readonly rank: number;
-	/** When the step should be done for the request to meet its target. */
+	/** Time by which the step should be done for the request to meet its target. */
 	readonly dueMs: number;
-	/** When it should be done once that is missed, so that the caller is still there. */
+	/** Time by which it should be done once that is missed, so that the caller is still connected. */
 	readonly lateDueMs: number;
-	/** When it is given up if it still waits. */
+	/** Time at which it fails if it is still queued. */
 	readonly deadlineMs: number;
-	/** Data hall where the inputs lie or the results are wanted; empty where it does not matter. */
+	/** Data hall where the inputs are stored or the results are needed; empty where it does not matter. */
 	readonly hall: string;
-	/** Bytes that cross between halls if a piece is worked on in another one: each piece fetches all it reads. */
+	/** Bytes transferred between data halls if a piece runs in another one: each piece fetches everything it reads. */
 	readonly crossingBytes: number;
 };
--- a/src/preparation/node/batch-desk.test.ts
+++ b/src/preparation/node/batch-desk.test.ts
@@ -9,11 +9,11 @@
 import {pieceFailures, type BatchWork, type PieceOutcome} from '../common/work.js';
 import {BatchDesk, type PeerLine, type PoolBatches} from './batch-desk.js';
 
-/** Hosts of one test, each with its desk; messages arrive at once. */
+/** Hosts of one test, each with its handler; messages arrive immediately. */
 class Hosts {
 	readonly desks = new Map<string, BatchDesk>();
 	readonly clock = ManualClock.create();
-	/** Work in the hands of each host: `HOST/POOL`. */
+	/** Pieces held by each host, by host ID. */
 	readonly queues = new Map<string, PieceEnd[]>();
 	private readonly lines = new Map<string, {readonly receive: Emitter<PeerMessage>; readonly change: Emitter<void>}>();
 	private readonly rooms = new Map<string, number>();
@@ -83,7 +83,7 @@
 	dueMs: 1, lateDueMs: 2, deadlineMs: 3, hall: '', crossingBytes: 0,
 };
 
-t.test('work that waits goes to the host that batches its pool now, and ends once', async t => {
+t.test('queued work is transferred to the host that batches its pool now, and finishes once', async t => {
 	const hosts = new Hosts();
 	const names = ['a', 'b'];
 	const owner = rendezvousOwner('p', names)!;
@@ -93,19 +93,19 @@
 	asker.submit(work, (_piece, outcome) => {
 		outcomes.push(outcome);
 	});
-	t.equal(hosts.queues.get(other)!.length, 2, 'alone it batches for itself');
+	t.equal(hosts.queues.get(other)!.length, 2, 'a host without peers batches for itself');
 	hosts.add(owner);
 	t.equal(hosts.queues.get(other)!.length, 0);
 	t.equal(hosts.queues.get(owner)!.length, 2);
 	hosts.setLive([other]);
 	hosts.desks.get(owner)!.handOver();
-	t.equal(hosts.queues.get(owner)!.length, 0, 'a host that leaves hands its queue on');
+	t.equal(hosts.queues.get(owner)!.length, 0, 'a host that is leaving transfers its queue');
 	t.equal(hosts.queues.get(other)!.length, 2);
-	t.ok(hosts.desks.get(owner)!.isIdle, 'and has nothing left in its hands');
+	t.ok(hosts.desks.get(owner)!.isIdle, 'and holds nothing any more');
 	t.same(outcomes, []);
 });
 
-t.test('a host with little room batches for nobody while a roomier one lives', async t => {
+t.test('a host with little capacity batches nothing while one with more capacity is live', async t => {
 	const names = ['a', 'b'];
 	const small = rendezvousOwner('p', names)!;
 	const big = names.find(name => name !== small)!;
@@ -117,7 +117,7 @@
 	t.equal(hosts.queues.get(big)!.length, 2);
 });
 
-t.test('pieces that wait again at a host that batches no more are handed on', async t => {
+t.test('pieces that are queued again on a host that no longer batches are transferred', async t => {
 	const names = ['a', 'b'];
 	const owner = rendezvousOwner('p', names)!;
 	const other = names.find(name => name !== owner)!;
--- a/src/preparation/node/batch-desk.ts
+++ b/src/preparation/node/batch-desk.ts
@@ -1,6 +1,7 @@
 /**
-Where work for batches goes: each pool has one host at a time that batches for all, the same for every
-host that sees the same peers. Work in the hands of a host that is lost is handed in again.
+Submits work to the hosts that batch it, and batches the work submitted to this host. Each pool has one host at a time
+that batches for all, chosen identically by every host that sees the same peers. Work held by a host that is lost is
+submitted again.
 */
 import type {InjectionToken} from 'tsyringe';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
@@ -20,60 +21,60 @@
 } from '../common/work.js';
 import type {BatchPool} from './batch-pool.js';
 
-/** Takes the ends of the pieces of one work, as they come; each piece ends once. */
+/** Receives the outcomes of the pieces of one work as they arrive, one for each piece. */
 export type EndsTaker = (piece: number, outcome: PieceOutcome) => void;
 
-/** Takes work of requests and gives their results up. */
+/** Accepts work of requests and releases results. */
 export type WorkTaker = {
-	/** Hands in work. */
+	/** Submits work. */
 	submit(work: BatchWork, taker: EndsTaker): void;
-	/** Gives work up that has not ended. */
+	/** Cancels work that is not finished. */
 	cancel(workId: string): void;
-	/** Gives results up that a pool made. */
+	/** Releases results that a pool stores. */
 	release(pool: string, refs: readonly ResultRef[]): void;
-	/** @returns how long work of a rank would wait for a pool. */
+	/** @returns how long work of a rank would wait for a pool, in milliseconds. */
 	waitMs(pool: string, rank: number): number;
 };
 
-/** What the desk needs of the connections to peers. */
+/** Connections to peers, as needed for batching. */
 export type PeerLine = Pick<PeerMesh, 'onDidReceive' | 'onDidLose' | 'onDidChange' | 'liveRooms' | 'send' | 'broadcast'>;
 
-/** What the desk needs of the batches of one pool. */
+/** Batches of one pool. */
 export type PoolBatches = Pick<BatchPool, 'isIdle' | 'add' | 'cancel' | 'handOver' | 'release' | 'waitMs' | 'dispose'>;
 
-/** What the desk is made of. */
+/** Dependencies and settings. */
 export type BatchDeskOptions = {
 	readonly hostId: string;
-	/** This host's room for shared work. */
+	/** This host's capacity for shared work. */
 	readonly room: number;
 	readonly mesh: PeerLine;
 	readonly clock: Clock;
 	readonly log: Logger;
-	/** Whether this host is about to stop: others batch then. */
+	/** Whether this host is about to stop, so that other hosts batch instead. */
 	readonly isLeaving: () => boolean;
 	readonly makePool: (pool: string, ended: (end: PieceEnd) => void) => PoolBatches;
 };
 
-/** How often waits are told, and what waits here for other hosts is handed on: several times in the length of one call. */
+/** Interval at which waits are reported and work queued here for other hosts is transferred: several times per call duration. */
 const tellMs = 100;
 
-/** A peer whose work is in the hands of this host, and how many of its pieces have not ended. */
+/** A peer whose work this host holds, and the number of its unfinished pieces. */
 type Asker = {readonly hostId: string; open: number};
 
-/** Work this host handed in: pieces that have not ended, and the host that batches it. */
+/** Work this host submitted: its unfinished pieces, and the host that batches it. */
 type Asked = {readonly work: BatchWork; readonly taker: EndsTaker; readonly open: Set<number>; owner: string};
 
 export const batchDeskToken: InjectionToken<BatchDesk> = Symbol('BatchDesk');
 
-/** Hands work to the hosts that batch it, and batches what is handed here. */
+/** Submits work to the hosts that batch it, and batches what is submitted to this host. */
 export class BatchDesk implements WorkTaker, Disposable {
 	static create(options: BatchDeskOptions): BatchDesk {
 		return new BatchDesk(options);
 	}
 
-	/** Works of this host's own requests that have not ended. */
+	/** Unfinished work of this host's own requests, by work ID. */
 	private readonly asked = new Map<string, Asked>();
-	/** Works of peers in the hands of this host, with the peer that asked. */
+	/** Work of peers held by this host, by work ID. */
 	private readonly askers = new Map<string, Asker>();
 	/** Pools this host batches, or has batched. */
 	private readonly pools = new Map<string, PoolBatches>();
@@ -83,7 +84,7 @@
 	private constructor(private readonly options: BatchDeskOptions) {
 		const {mesh} = options;
 		this.owned.add(setRepeating(options.clock, () => tellMs, () => {
-			// Pieces of calls that came to nothing wait again where they were, whoever batches the pool meanwhile.
+			// Pieces of failed calls are queued again where they were, even if another host batches the pool by now.
 			this.handOver();
 			this.tellWaits();
 		}));
@@ -98,15 +99,16 @@
 		}));
 	}
 
-	/** Whether nothing of this host or of a peer is waiting or at work here. */
+	/** Whether no work of this host or of a peer is queued or in progress here. */
 	get isIdle(): boolean {
 		return this.askers.size === 0 && [...this.pools.values()].every(pool => pool.isIdle);
 	}
 
 	/**
-	Estimates how long work handed in now would wait, wherever its pool is batched; none where nothing was told of late.
+	Estimates how long work submitted now would wait, on whichever host batches its pool.
 	@param pool - the pool.
-	@param rank - of the work.
+	@param rank - rank of the work.
+	@returns the wait in milliseconds; 0 if none was reported recently.
 	*/
 	waitMs(pool: string, rank: number): number {
 		return this.ownerOf(pool) === this.options.hostId
@@ -115,9 +117,9 @@
 	}
 
 	/**
-	Hands in work.
+	Submits work.
 	@param work - pieces of one step.
-	@param taker - told of each piece's end, once.
+	@param listener - called once with the outcome of each piece.
 	*/
 	submit(work: BatchWork, taker: EndsTaker): void {
 		const asked: Asked = {
@@ -128,8 +130,8 @@
 	}
 
 	/**
-	Gives work up.
-	@param workId - the work.
+	Cancels work.
+	@param workId - ID of the work.
 	*/
 	cancel(workId: string): void {
 		const asked = this.asked.get(workId);
@@ -147,8 +149,8 @@
 	}
 
 	/**
-	Gives results up, wherever they were made.
-	@param pool - the pool that made them.
+	Releases results, wherever they are stored.
+	@param pool - the pool that stores them.
 	@param refs - the results.
 	*/
 	release(pool: string, refs: readonly ResultRef[]): void {
@@ -163,8 +165,8 @@
 	}
 
 	/**
-	Hands on what waits here for pools that another host batches now: two hosts that batch the same pool
-	know nothing of each other's results, and the older queue would find no room.
+	Transfers the queues of pools that another host batches now. Two hosts that batch the same pool do not know of each
+	other's results, and the older queue would find no space.
 	*/
 	handOver(): void {
 		for (const [name, pool] of this.pools) {
@@ -188,7 +190,7 @@
 		}
 	}
 
-	/** The host that batches for a pool now. */
+	/** Returns the host that batches for a pool now. */
 	private ownerOf(pool: string): string {
 		const {hostId, room, mesh, isLeaving} = this.options;
 		const rooms = mesh.liveRooms;
@@ -196,7 +198,7 @@
 		return rendezvousOwner(pool, roomiestHosts(batchesItself ? new Map([...rooms, [hostId, room]]) : rooms)) ?? hostId;
 	}
 
-	/** Hands pieces to the host that batches their pool, or takes them here where that one can't be reached. */
+	/** Submits pieces to the host that batches their pool, or queues them here if that host can't be reached. */
 	private place(asked: Asked, pieces: readonly number[]): void {
 		const {hostId, mesh, clock} = this.options;
 		const work = {...asked.work, pieces};
@@ -224,7 +226,7 @@
 	private receive(hostId: string, message: Message): void {
 		switch (message.type) {
 			case 'batchWork': {
-				// Pieces of one work may come one after the other, as when they were handed on.
+				// Pieces of one work may arrive in several messages, as when they were transferred.
 				const known = this.askers.get(message.workId);
 				this.askers.set(message.workId, {hostId, open: (known?.open ?? 0) + message.pieces.length});
 				this.poolOf(message.pool).add(workOfMessage(message, this.options.clock.nowMs()));
@@ -258,13 +260,13 @@
 		}
 	}
 
-	/** A piece of this host's own pools ended. */
+	/** Handles the outcome of a piece of this host's own pools. */
 	private ended(end: PieceEnd): void {
 		const {work: {workId, pool}, piece, outcome} = end;
 		const asker = this.askers.get(workId);
 		if (asker === undefined) {
 			if (!this.tell(workId, piece, outcome) && outcome.ok) {
-				// Its request has ended meanwhile: the result would only take room.
+				// The request has ended in the meantime: the result would only use space.
 				this.poolOf(pool).release([outcome.ref]);
 			}
 
@@ -297,7 +299,7 @@
 		}
 	}
 
-	/** @returns whether somebody still wanted to know. */
+	/** @returns whether the outcome was still awaited. */
 	private tell(workId: string, piece: number, outcome: PieceOutcome): boolean {
 		const asked = this.asked.get(workId);
 		if (!asked?.open.has(piece)) {
@@ -323,7 +325,7 @@
 		this.placeAgain(hostId);
 	}
 
-	/** Nobody waits any more for what a lost host asked for. */
+	/** Cancels the work that a lost host submitted: nobody waits for it any more. */
 	private giveUpFor(hostId: string): void {
 		for (const [workId, asker] of this.askers) {
 			if (asker.hostId === hostId) {
@@ -335,11 +337,11 @@
 		}
 	}
 
-	/** What a lost host had in its hands is handed in again. */
+	/** Submits the work that a lost host held again. */
 	private placeAgain(hostId: string): void {
 		for (const asked of this.asked.values()) {
 			if (asked.owner === hostId) {
-				this.options.log.warn('The host that batched a request\'s work is lost; the work is handed in again.', {
+				this.options.log.warn('Lost the host that batched the work of a request; submitting the work again.', {
 					request: asked.work.callerRequestId, host: hostId, pool: asked.work.pool, pieces: asked.open.size,
 				});
 				this.place(asked, [...asked.open]);
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -1,4 +1,4 @@
-/** Runs the batches of one pool on this host: makes the calls its machine asks for. */
+/** Runs the batches of one pool on this host: makes the calls that the scheduler requests. */
 import {setMaxListeners} from 'node:events';
 import type {Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
@@ -23,20 +23,20 @@
 import {PoolLog} from './pool-log.js';
 import {ResultReleases} from './result-releases.js';
 
-/** How often a queue is looked at while it waits: a fraction of a call's time. */
+/** Interval at which a queue is checked: a fraction of a call's duration. */
 const tickMs = 25;
-/** Connections to one upstream: one for the call at work, one for releases. */
+/** Maximum number of connections to one upstream: one for the call in progress, the others for releases. */
 const mostLanes = 3;
 const releaseLimitMs = 1000;
-/** One host batches a pool for all: what bounds an upstream is its part. */
+/** One host batches a pool for all hosts, so the entire allowance of an upstream is available to it. */
 const soleWork: BoundedWork = {isSoleSender: true};
 
-/** What a pool's batches are made of. */
+/** Dependencies and settings. */
 export type BatchPoolOptions = {
 	readonly pool: string;
 	readonly board: DeploymentBoard;
 	readonly registry: ServerRegistry;
-	/** Learns what servers say of themselves. */
+	/** Processes what servers report about themselves. */
 	readonly notices: Pick<ServerNotices, 'answered'>;
 	readonly bounds: Pick<SendBounds, 'allowance' | 'sent'>;
 	readonly protocol: BatchProtocol;
@@ -48,7 +48,7 @@
 	readonly ended: (end: PieceEnd) => void;
 };
 
-/** Holds one pool's queue, calls and releases. */
+/** Queue, calls and releases of one pool. */
 export class BatchPool implements Disposable {
 	static create(options: BatchPoolOptions): BatchPool {
 		return new BatchPool(options);
@@ -76,7 +76,7 @@
 				this.pump();
 			},
 		}));
-		// Each call at work listens: as many as the pool has upstreams.
+		// Each call in progress listens, and there may be as many calls as the pool has upstreams.
 		setMaxListeners(0, this.controller.signal);
 		this.owned.add(options.registry.onDidChange(({server, change}) => {
 			if (server.pool === options.pool) {
@@ -85,14 +85,14 @@
 		}));
 	}
 
-	/** Whether anything waits or is at work. */
+	/** Whether nothing is queued or in progress. */
 	get isIdle(): boolean {
 		return this.machine.waitingCount === 0 && this.machine.callCount === 0;
 	}
 
 	/**
-	Estimates how long work added now would wait for its turn.
-	@param rank - of the work.
+	Estimates how long work added now would wait for its turn, in milliseconds.
+	@param rank - rank of the work.
 	*/
 	waitMs(rank: number): number {
 		const {capacity} = this;
@@ -111,7 +111,7 @@
 		this.machine.cancel(workId);
 	}
 
-	/** Gives away what waits; each piece ends as moved. */
+	/** Removes all queued pieces; each is reported as moved. */
 	handOver(): void {
 		this.report(this.machine.takeWaiting());
 	}
@@ -212,7 +212,7 @@
 		this.pump();
 	}
 
-	/** Any of the requests with a piece in the call may have ended its upstream. */
+	/** Reports an interrupted call: any of the requests with a piece in it may have crashed its upstream. */
 	private brokeOff({server, pieces}: BatchCall): void {
 		for (const {contentId, callerRequestId} of new Map(pieces.map(({work}) => [work.contentId, work])).values()) {
 			this.options.quarantine.brokeOff(contentId, server, callerRequestId);
@@ -225,7 +225,7 @@
 		}
 	}
 
-	/** Where an upstream's rate is bounded, a release leaves one send for pieces that wait. */
+	/** Whether a release may be sent. Where the rate of an upstream is limited, one send is reserved for queued pieces. */
 	private mayRelease(server: UpstreamServer): boolean {
 		const kept = this.machine.waitingCount > 0 ? 1 : 0;
 		return this.options.bounds.allowance(server, soleWork, this.options.clock.nowMs()).left > kept;
@@ -235,7 +235,7 @@
 		const lane = this.lanesOf(server).acquire(false);
 		const {protocol, notices, bounds, log, pool, clock} = this.options;
 		if (!lane) {
-			// All connections are at work: it is tried again with the next releases.
+			// All connections are in use: it is tried again with the next releases.
 			this.release(handles.map(handle => ({handle, serverId: server.serverId})));
 			return;
 		}
@@ -248,11 +248,11 @@
 		});
 		limit.dispose();
 		if (answer.ok) {
-			// Only now is the room there: a call that came before would find none.
+			// The space is free only now: an earlier call would find none.
 			this.machine.released(server.serverId, handles);
 			this.pump();
 		} else if (!this.controller.signal.aborted) {
-			// Nothing is lost: the upstream drops the results itself once their time is over.
+			// Nothing is lost: the upstream drops expired results by itself.
 			log.debug('Results could not be released.', {
 				pool, server: server.serverId, results: handles.length, reason: answer.error.message,
 			});
--- a/src/preparation/node/pool-log.ts
+++ b/src/preparation/node/pool-log.ts
@@ -1,4 +1,7 @@
-/** What operators are told of one batched pool: queues that stand, workers that are slow as a whole, results without room. */
+/**
+Log lines and metrics of one batched pool: queues that persist, calls that are slow across the pool, and results without
+space.
+*/
 import type {Logger} from '../../base/common/logger.js';
 import type {Metrics} from '../../base/common/metrics.js';
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
@@ -8,36 +11,36 @@
 import type {BatchMachine} from '../common/batch-machine.js';
 import {pieceFailures, type PieceOutcome} from '../common/work.js';
 
-/** A queue that does not empty is told of this often. */
+/** Interval at which a queue that does not empty is logged. */
 const tellMs = 1000;
-/** Slowness against what is declared from which a pool is told as slow, and below which it no longer is. */
+/** Ratio of actual to declared call duration above which a pool is logged as slow, and below which it no longer is. */
 const slowSlowness = 1.7;
 const usualAgainSlowness = 1.3;
 
-/** What a pool's log is made of. */
+/** Dependencies and settings. */
 export type PoolLogOptions = {
 	readonly pool: string;
 	readonly log: Logger;
 	readonly metrics: Metrics;
 };
 
-/** Writes of one pool. */
+/** Logs the state of one pool. */
 export class PoolLog {
 	static create(options: PoolLogOptions): PoolLog {
 		return new PoolLog(options);
 	}
 
 	private toldMs = -Infinity;
-	/** Whether the pool is told as slow. */
+	/** Whether the pool was last logged as slow. */
 	private isSlow = false;
 
 	private constructor(private readonly options: PoolLogOptions) {}
 
 	/**
-	Tells how a pool stands, where that is worth a line.
-	@param machine - of the pool.
-	@param servers - upstreams that may get work.
-	@param nowMs - the time.
+	Logs the state of a pool if it is worth a line.
+	@param scheduler - scheduler of the pool.
+	@param servers - upstreams that accept work.
+	@param nowMs - the current time.
 	*/
 	standing(machine: Pick<BatchMachine, 'waitingCount' | 'describe' | 'usualSlowness'>, servers: readonly UpstreamServer[], nowMs: number): void {
 		const {pool, log} = this.options;
@@ -50,11 +53,11 @@
 	}
 
 	/**
-	Tells of results that an upstream had no room for.
-	@param call - that was answered.
-	@param outcomes - of its pieces.
-	@param knownBytes - room that was known to be taken.
-	@param capacity - of the upstream.
+	Logs results for which an upstream had no space.
+	@param call - the call that was answered.
+	@param outcomes - outcomes of its pieces.
+	@param knownBytes - space known to be in use.
+	@param capacity - capacity of the upstream.
 	*/
 	noRoom({server, pieces}: BatchCall, outcomes: readonly PieceOutcome[], knownBytes: number, capacity: BatchCapacity): void {
 		const refused = outcomes.filter(outcome => !outcome.ok && outcome.reason === pieceFailures.noRoom).length;
@@ -67,12 +70,12 @@
 		}
 	}
 
-	/** What is declared does not fit, or something ails all workers: told once, and once when it is over. */
+	/** Logs that the declared duration is wrong or that all upstreams have a problem: once, and once more when it is over. */
 	private slowness(slowness: number, serverCount: number): void {
 		const isSlow = slowness > (this.isSlow ? usualAgainSlowness : slowSlowness);
 		if (isSlow !== this.isSlow) {
 			this.isSlow = isSlow;
-			this.options.log.info(isSlow ? 'A pool is slower than declared as a whole.' : 'A pool is as fast as declared again.', {
+			this.options.log.info(isSlow ? 'Calls to a pool take longer than declared.' : 'Calls to a pool take about as long as declared again.', {
 				pool: this.options.pool, servers: serverCount, slowness: Number(slowness.toFixed(1)),
 			});
 		}
--- a/src/preparation/node/preparer.test.ts
+++ b/src/preparation/node/preparer.test.ts
@@ -16,10 +16,10 @@
 	maxAttempts: 1, steps: [{pool: 'a', after: [], resultBytes: 10}, {pool: 'b', after: [0], resultBytes: 10}], isPublic: false, hasAffinity: false, isResumable: false,
 };
 
-/** What a request reads whose last step made one result of ten bytes in hall x. */
+/** Inputs of a request whose last step made one result of ten bytes in data hall x. */
 const inputsOf = (handle: string) => ({ok: true, value: {handles: [handle], bytesByHall: new Map([['x', 10]])}});
 
-/** What differs from a usual preparer. */
+/** Overrides of the defaults. */
 type Changes = {readonly released?: ResultRef[]; readonly clock?: Clock; readonly stepTimes?: StepTimes; readonly ask?: Partial<PreparationAsk>};
 
 function makePreparer(submit: (work: BatchWork, taker: EndsTaker) => void, changes: Changes = {}): Preparer {
@@ -46,7 +46,7 @@
 	});
 }
 
-t.test('a piece whose time is over at once ends the work, and is not asked for again', async t => {
+t.test('a piece that is late at once fails the preparation, and is not requested again', async t => {
 	let asked = 0;
 	const preparer = makePreparer((work, taker) => {
 		asked++;
@@ -59,7 +59,7 @@
 	t.equal(asked, 1);
 });
 
-t.test('pieces that fail together count once and are asked for again together', async t => {
+t.test('pieces that fail together count once and are requested again together', async t => {
 	const works: string[] = [];
 	const preparer = makePreparer((work, taker) => {
 		works.push(`${work.pool}:${work.pieces.join(',')}`);
@@ -72,7 +72,7 @@
 	t.same(works, ['a:0,1', 'a:0,1', 'a:0,1', 'a:0,1', 'a:0,1', 'a:0,1', 'a:0,1', 'b:0']);
 });
 
-t.test('results are given up when nothing reads them any more', async t => {
+t.test('results are released once nothing reads them any more', async t => {
 	const released: ResultRef[] = [];
 	const preparer = makePreparer((work, taker) => {
 		for (const piece of work.pieces) {
@@ -85,7 +85,7 @@
 	t.same(released.map(({handle}) => handle), ['a0', 'a1', 'b0']);
 });
 
-t.test('results lost at the last moment are made again from the first step on', async t => {
+t.test('results lost after the last step are computed again from the first step on', async t => {
 	const works: string[] = [];
 	const preparer = makePreparer((work, taker) => {
 		works.push(`${work.pool}:${work.pieces.join(',')}`);
@@ -98,7 +98,7 @@
 	t.same(works, ['a:0,1', 'b:0', 'a:0,1', 'b:0']);
 });
 
-t.test('results are given up soon after the request was sent, and made again if it had not read them', async t => {
+t.test('results are released soon after the request was sent, and computed again if it had not read them', async t => {
 	const released: ResultRef[] = [];
 	const clock = ManualClock.create();
 	const works: string[] = [];
@@ -112,16 +112,16 @@
 	released.length = 0;
 	preparer.sent();
 	clock.advance(10);
-	t.same(released, [], 'not before it can have fetched them');
+	t.same(released, [], 'not before the upstream can have fetched them');
 	clock.advance(50);
 	t.same(released.map(({handle}) => handle), ['b0#2']);
 	t.same(await preparer.run(true), inputsOf('b0#4'));
 	t.same(works, ['a', 'b', 'a', 'b']);
 	preparer.end();
-	t.same(released.map(({handle}) => handle), ['b0#2', 'a0#3', 'a1#3', 'b0#4'], 'each once');
+	t.same(released.map(({handle}) => handle), ['b0#2', 'a0#3', 'a1#3', 'b0#4'], 'each result is released once');
 });
 
-t.test('a step is due early enough for what the steps behind it were seen to take', async t => {
+t.test('a step is due early enough for the measured duration of the steps that depend on it', async t => {
 	const dueMs: number[] = [];
 	const stepTimes = StepTimes.create();
 	const start = () => {
@@ -133,10 +133,10 @@
 	start();
 	stepTimes.record('b', 350);
 	start();
-	t.same(dueMs, [900, 550], 'nothing is declared of a call; 100 ms are left for the model');
+	t.same(dueMs, [900, 550], 'no call duration is declared; 100 ms are reserved for the model');
 });
 
-t.test('a step is given up, and its caller told, when its answer could not come any more or after half of the time', async t => {
+t.test('a step fails when its response could no longer arrive in time, or after half of the caller\'s time', async t => {
 	const given: number[] = [];
 	const start = (ask: Partial<PreparationAsk>) => {
 		void makePreparer((work, taker) => {
@@ -151,17 +151,17 @@
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
-	t.same(given, [2500, 4900], 'half of 5000 ms before anything is done; then while the model has its 100 ms');
+	t.same(given, [2500, 4900], 'half of 5000 ms before anything is done; then until 100 ms remain for the model');
 	start({afterwardsMs: 3000});
 	t.equal(given[2], 2000);
 });
 
 /*
-Seen: none yet; found by reading. A step that reads no results was given up after half of its caller's time also where
-it was made again because results were lost, or began late on purpose: a request for which servers had worked was
-refused while there was time to serve it.
+Guards against refusing a request that could still be served. A step that reads no results must not fail after half of
+its caller's time if it is computed again because results were lost, or starts late on purpose: servers have already
+worked for the request. Found in review, not seen in operation.
 */
-t.test('a request for which something was done is not given up after half of its time', async t => {
+t.test('a request for which something was done does not fail after half of its time', async t => {
 	const given: number[] = [];
 	const preparer = makePreparer((work, taker) => {
 		given.push(work.deadlineMs);
@@ -175,10 +175,11 @@
 });
 
 /*
-Found by reading: a caller that came back was given up the moment its step had to wait for anything, with most of its time left, as
-the time until it would leave was counted from its first try. A caller leaves a try that gives nothing by that try's own time.
+Guards against failing the step of a returning caller as soon as it has to wait for anything, with most of the caller's
+time left. This happens if the time until the caller disconnects is counted from its first attempt: a caller abandons an
+attempt that yields nothing according to the time of that attempt. Found in review.
 */
-t.test('a caller that came back is as patient as one that asks for the first time; only what is due counts from its first try', async t => {
+t.test('a retry waits as long as a first attempt; only its due time counts from the first attempt', async t => {
 	const workOf = async (sinceFirstTryMs: number): Promise<BatchWork> => new Promise(resolve => {
 		void makePreparer(resolve, {ask: {receivedMs: 10_000, targetMs: 11_000 - sinceFirstTryMs, deadlineMs: 19_000}}).run(false);
 	});
--- a/src/preparation/node/preparer.ts
+++ b/src/preparation/node/preparer.ts
@@ -1,4 +1,4 @@
-/** Does the work before a request: hands its steps to the batches and gathers the results. */
+/** Prepares a request: submits its steps for batching and collects the results. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import type {Logger} from '../../base/common/logger.js';
@@ -15,19 +15,25 @@
 import type {StepTimes} from '../common/step-times.js';
 import type {WorkTaker} from './batch-desk.js';
 
-/** Pieces of one request that may fail before the request is given up. */
+/** Maximum number of failures before the request fails. */
 const mostFailures = 6;
-/** Failures after which nothing more is asked for: what is late at once would be asked for for ever, as would what nobody takes. */
+/** Failures that are not retried: a piece that is late at once, or one that no upstream accepts, would be requested for ever. */
 const finalFailures = new Set<string>([pieceFailures.late, pieceFailures.noUpstream]);
-/** Callers of streams leave when nothing came for four times the target; one is kept back for the answer's way. */
+/**
+Multiple of the target after which late work is useless. Callers of streams disconnect when nothing has arrived for four
+times the target; one of the four is reserved for delivering the response.
+*/
 const patienceTargets = 3;
-/** Part of its caller's time that a request may wait for its first step: later, an answer would rarely come at all. */
+/**
+Share of its caller's timeout that a request may wait for its first step: after that, a response would rarely arrive in
+time.
+*/
 const unbegunShare = 0.5;
-/** Bounds of the time after which a caller that was refused is asked to come back. */
+/** Bounds of the delay after which a refused caller is asked to retry. */
 const shortestRetryAfterMs = 400;
 const longestRetryAfterMs = 2000;
 
-/** What the work of one request needs to know. */
+/** Properties of a request that its preparation depends on. */
 export type PreparationAsk = {
 	readonly requestId: string;
 	readonly callerRequestId: string;
@@ -39,26 +45,26 @@
 	readonly receivedMs: number;
 	readonly targetMs: number;
 	readonly deadlineMs: number;
-	/** Data hall of the upstream that will read the results; empty where it is not known. */
+	/** Data hall of the upstream that will read the results; empty if it is not known. */
 	readonly hall: string;
-	/** Time to the first token once the work is done, about. */
+	/** Approximate time from the end of the preparation to the first token. */
 	readonly afterwardsMs: number;
 };
 
-/** What preparers are made of. */
+/** Dependencies and settings. */
 export type PreparerOptions = {
 	readonly desk: WorkTaker;
 	readonly board: DeploymentBoard;
 	readonly registry: ServerRegistry;
 	readonly clock: Clock;
 	readonly log: Logger;
-	/** Times of the steps of all requests of this host. */
+	/** Step durations of all requests of this host. */
 	readonly stepTimes: StepTimes;
 };
 
 type Result = Outcome<PreparedInputs, PreparationFailure>;
 
-/** The work before one request. */
+/** Preparation of one request. */
 export class Preparer {
 	static create(options: PreparerOptions, ask: PreparationAsk): Preparer {
 		return new Preparer(options, ask);
@@ -66,14 +72,14 @@
 
 	private readonly preparation: Preparation;
 	private readonly openWorks = new Set<string>();
-	/** Ends the run that is going on; absent while there is none. */
+	/** Settles the current run; absent if there is none. */
 	private settle: ((result: Result) => void) | undefined;
-	/** Works handed in so far; numbers them. */
+	/** Number of works submitted so far, used to number them. */
 	private workCount = 0;
 	private failureCount = 0;
-	/** Whether an upstream has done something for this request. */
+	/** Whether an upstream has completed something for this request. */
 	private hasBegun = false;
-	/** Whether an advance is asked for already. */
+	/** Whether an advance is already scheduled. */
 	private isAdvancing = false;
 	/** Whether a failure was counted since the last advance. */
 	private hasFailed = false;
@@ -86,8 +92,8 @@
 	}
 
 	/**
-	Does the work, or what of it was lost.
-	@param isAgain - whether the request found results lost that were made before.
+	Computes the results, or those of them that were lost.
+	@param isRetry - whether the request found results lost that were computed before.
 	@returns the results that the request reads.
 	*/
 	async run(isAgain: boolean): Promise<Result> {
@@ -103,9 +109,9 @@
 	}
 
 	/**
-	The request was written to the upstream that reads its results. It fetches them before anything else, long
-	before its first event, and room for results bounds what a pool can do: they are given up once they must be
-	there. If they are not, the upstream says that nothing ran, and they are made again.
+	Called when the request was written to the upstream that reads its results. The upstream fetches them before anything
+	else, long before its first event, and the space for results limits what a pool can do, so they are released once they
+	must have been fetched. If they have not been, the upstream reports that nothing ran, and they are computed again.
 	*/
 	sent(): void {
 		this.fetchTimer?.dispose();
@@ -117,7 +123,7 @@
 		});
 	}
 
-	/** The request has ended or has read its results: everything is given up. */
+	/** Called when the request has ended or has read its results: cancels its work and releases all results. */
 	end(): void {
 		if (this.isOver) {
 			return;
@@ -132,7 +138,7 @@
 		this.release(this.preparation.allRefs);
 	}
 
-	/** Hands in what can be worked on now, and ends once nothing is left. */
+	/** Submits the work that can start now, and finishes the run if nothing is left. */
 	private advance(): void {
 		for (const work of this.preparation.advance()) {
 			this.submit(work);
@@ -143,7 +149,7 @@
 		}
 	}
 
-	/** Where the results lie that the request reads, and how much of them. */
+	/** Returns the number of bytes that the request reads, by the data hall in which they are stored. */
 	private finalBytesByHall(): ReadonlyMap<string, number> {
 		const bytesByHall = new Map<string, number>();
 		for (const {serverId, bytes} of this.preparation.finalSizes()) {
@@ -177,7 +183,7 @@
 		});
 	}
 
-	/** A step's work as the batches take it: with the request's name, rank and times, and where it is best worked on. */
+	/** Returns the work of a step as submitted for batching: with the request's ID, rank and times, and the preferred data hall. */
 	private batchWorkOf(work: StepWork, workId: string): BatchWork {
 		const {ask} = this;
 		const step = ask.route.steps[work.step];
@@ -195,7 +201,7 @@
 			resultBytes: step.resultBytes,
 			rank: ask.rank,
 			dueMs,
-			// A caller leaves by the time of this try, however long ago its first one was.
+			// A caller disconnects according to the time of this attempt, however long ago its first one was.
 			lateDueMs: Math.min(giveUpMs, ask.receivedMs + (patienceTargets * ask.route.targetMs) - afterMs),
 			deadlineMs: giveUpMs,
 			...this.placeOf(work),
@@ -203,8 +209,9 @@
 	}
 
 	/**
-	When a step that waits is given up, and its caller told. Then it could not be done any more before the caller
-	leaves; or nothing was done for the request yet, and the caller still has time to come back or to do without.
+	Returns when a queued step fails and its caller is notified: when it could no longer be done before the caller
+	disconnects, or earlier if nothing was done for the request yet, while the caller still has time to retry or to do
+	without.
 	*/
 	private giveUpMs({step}: StepWork): number {
 		const {ask} = this;
@@ -214,7 +221,7 @@
 		return this.hasBegun ? lastStartMs : Math.min(lastStartMs, patientMs);
 	}
 
-	/** Where a step is best worked on: where what it reads lies, or else where what it makes is read. */
+	/** Returns where a step runs best: where its inputs are stored or, if it has none, where its results are read. */
 	private placeOf({step: index, inputs}: StepWork): {readonly hall: string; readonly crossingBytes: number} {
 		const {steps} = this.ask.route;
 		if (!inputs) {
@@ -232,7 +239,7 @@
 		return {hall, crossingBytes: this.preparation.inputBytes(index)};
 	}
 
-	/** Time of a half-full call of a pool, as declared. */
+	/** Declared duration of a half-full call of a pool, in milliseconds. */
 	private callMs(pool: string): number {
 		const batch = this.options.board.current?.pool(pool)?.batch;
 		return batch ? batch.callMs + (batch.itemMs * batch.batchSize / 2) : 0;
@@ -261,7 +268,7 @@
 		this.advanceSoon();
 	}
 
-	/** Pieces of one call end together: what follows from them is asked for together as well. */
+	/** Pieces of one call finish together, so the work that depends on them is requested together as well. */
 	private advanceSoon(): void {
 		if (this.isAdvancing) {
 			return;
@@ -302,7 +309,7 @@
 		}
 	}
 
-	/** When the queue of now is worked off. */
+	/** Time in which the current queue is expected to empty, in milliseconds. */
 	private retryAfterMs(index: number): number {
 		const waitMs = this.options.desk.waitMs(this.ask.route.steps[index].pool, this.ask.rank);
 		return Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, waitMs));
@@ -312,7 +319,7 @@
 		return this.options.registry.get(serverId) !== undefined;
 	}
 
-	/** Gives results up where their servers are still there. */
+	/** Releases results whose servers are still listed. */
 	private release(refs: readonly ResultRef[]): void {
 		const byPool = new Map<string, ResultRef[]>();
 		for (const ref of refs) {
--- a/src/preparation/node/result-releases.test.ts
+++ b/src/preparation/node/result-releases.test.ts
@@ -31,7 +31,7 @@
 	};
 }
 
-t.test('releases are gathered for a moment and sent together', async t => {
+t.test('releases are collected for a short time and sent together', async t => {
 	const {clock, sent, add} = makeReleases();
 	add('a', 'b');
 	add('c');
@@ -42,7 +42,7 @@
 	t.equal(sent.length, 1);
 });
 
-t.test('an upstream that may get nothing just now gets them later; once it has dropped the results itself, not at all', async t => {
+t.test('releases that may not be sent yet are sent later, or not at all once the upstream has dropped the results itself', async t => {
 	const {clock, state, sent, add} = makeReleases();
 	state.mayGet = false;
 	add('a');
@@ -60,7 +60,7 @@
 	t.equal(sent.length, 1);
 });
 
-t.test('nothing is sent to a drained hall, nor to an upstream that is gone', async t => {
+t.test('nothing is sent to a drained data hall or to an upstream that is gone', async t => {
 	const {clock, state, sent, gone, add} = makeReleases();
 	state.isDrained = true;
 	add('a');
@@ -73,11 +73,11 @@
 });
 
 /**
-Seen: a host that batched a pool fell silent for good amid a burst, and all that its peers had handed to it came late (180 requests in place of 24).
-Cause: a release that finds all connections to its upstream at work is gathered again at once, while the gathered ones are gone through,
-so that this went on without end. Proof: this test, which did not end.
+Guards against an endless loop. A release that finds all connections to its upstream in use is queued again at once; if
+the loop over the queue reaches it again, it never ends. In operation a host that batched a pool stopped responding for good
+during a burst, and everything its peers had submitted to it was late (180 requests in place of 24).
 */
-t.test('a release that can\'t be sent at once is gathered again, for the next time', async t => {
+t.test('a release that can\'t be sent immediately is queued again for the next time', async t => {
 	const clock = ManualClock.create();
 	let tries = 0;
 	const releases: ResultReleases = ResultReleases.create({
@@ -86,9 +86,9 @@
 		mayGet: () => true,
 		async send(_, handles) {
 			tries++;
-			// A loop without end would hold up the test's own time limit.
+			// An endless loop would block the test's own timeout.
 			if (tries > 100) {
-				throw new Error('tried again at once');
+				throw new Error('the release was sent again within the same loop');
 			}
 
 			if (tries <= 2) {
--- a/src/preparation/node/result-releases.ts
+++ b/src/preparation/node/result-releases.ts
@@ -1,32 +1,32 @@
-/** Tells the upstreams of one pool which results are no longer needed. */
+/** Notifies the upstreams of one pool of results that are no longer needed. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import type {ResultRef} from '../common/work.js';
 
-/** How long releases are gathered before they are sent: far below the time results are kept. */
+/** Time for which releases are collected before they are sent: far less than the time for which results are stored. */
 const gatherMs = 30;
-/** The same for those that could not be sent, as their upstream may get nothing just now. */
+/** The same for releases that could not be sent, as when their upstream may receive nothing just now. */
 const againMs = 250;
 
-/** What releases are made of. */
+/** Dependencies and settings. */
 export type ResultReleasesOptions = {
 	readonly registry: Pick<ServerRegistry, 'get' | 'takesNew'>;
-	/** How long upstreams keep results that nobody releases. */
+	/** Returns how long upstreams store results that are not released. */
 	readonly resultTtlMs: () => number;
-	/** Whether a release may go to an upstream now. */
+	/** Whether a release may be sent to an upstream now. */
 	readonly mayGet: (server: UpstreamServer) => boolean;
 	/** Sends a release. */
 	readonly send: (server: UpstreamServer, handles: readonly string[]) => Promise<void>;
-	/** Results are gone with their upstream. */
+	/** Called when results are gone with their upstream. */
 	readonly gone: (serverId: string, handles: readonly string[]) => void;
 	readonly clock: Clock;
 };
 
 type Gathered = {readonly handles: string[]; readonly sinceMs: number};
 
-/** Gathers releases by upstream. */
+/** Collects releases by upstream. */
 export class ResultReleases implements Disposable {
 	static create(options: ResultReleasesOptions): ResultReleases {
 		return new ResultReleases(options);
@@ -38,7 +38,7 @@
 	private constructor(private readonly options: ResultReleasesOptions) {}
 
 	/**
-	Results are no longer needed.
+	Queues results for release.
 	@param refs - the results.
 	*/
 	add(refs: readonly ResultRef[]): void {
@@ -72,7 +72,7 @@
 
 	private sendAll(): void {
 		const {registry, gone, mayGet, send} = this.options;
-		// What can't be sent is gathered again meanwhile, and is for the next time.
+		// Releases that can't be sent are queued again during the loop, and are left for the next time.
 		const due = [...this.gathered];
 		for (const [serverId, {handles, sinceMs}] of due) {
 			const server = registry.get(serverId);
@@ -93,7 +93,10 @@
 		}
 	}
 
-	/** Whether the upstream has dropped the results itself, as one that leaves, in a drained hall or behind a limit does. */
+	/**
+	Whether the upstream has dropped the results itself because their retention time has passed. This happens where releases
+	can't be sent: to an upstream that is leaving, in a drained data hall or behind a rate limit.
+	*/
 	private isOver(sinceMs: number): boolean {
 		return this.options.clock.nowMs() - sinceMs >= this.options.resultTtlMs();
 	}
