--- a/src/preparation/node/preparer.test.ts
+++ b/src/preparation/node/preparer.test.ts
@@ -159,7 +159,7 @@
 /*
 Guards against refusing a request that could still be served. A step that reads no results must not fail after half of
 its caller's time if it is computed again because results were lost, or starts late on purpose: servers have already
-worked for the request. Found in review, not seen in operation.
+worked for the request. Found by reading the code; not seen so far.
 */
 t.test('a request for which something was done does not fail after half of its time', async t => {
 	const given: number[] = [];
@@ -177,7 +177,7 @@
 /*
 Guards against failing the step of a returning caller as soon as it has to wait for anything, with most of the caller's
 time left. This happens if the time until the caller disconnects is counted from its first attempt: a caller abandons an
-attempt that yields nothing according to the time of that attempt. Found in review.
+attempt that yields nothing according to the time of that attempt. Found by reading the code.
 */
 t.test('a retry waits as long as a first attempt; only its due time counts from the first attempt', async t => {
 	const workOf = async (sinceFirstTryMs: number): Promise<BatchWork> => new Promise(resolve => {
