--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -26,7 +26,7 @@
 import {LimitNews} from '../../peers/node/limit-news.js';
 import {PeerMesh, peerMeshToken} from '../../peers/node/peer-mesh.js';
 import {StateExchange} from '../../peers/node/state-exchange.js';
-import {BatchDesk, batchDeskToken} from '../../preparation/node/batch-desk.js';
+import {BatchHandler, batchHandlerToken} from '../../preparation/node/batch-handler.js';
 import {StepTimes} from '../../preparation/common/step-times.js';
 import {BatchPool} from '../../preparation/node/batch-pool.js';
 import {Preparer} from '../../preparation/node/preparer.js';
@@ -172,16 +172,16 @@
 
 /** The batches for the work before requests. */
 function registerPreparation({settings, ports, lifecycle, clock, metrics, logOf, register, get, isLeaving, hostCount}: Composition): void {
-	register(batchDeskToken, () => lifecycle.register(BatchDesk.create({
+	register(batchHandlerToken, () => lifecycle.register(BatchHandler.create({
 		hostId: settings.hostId,
-		room: roomOf(settings.capacity),
+		capacity: roomOf(settings.capacity),
 		mesh: get(peerMeshToken),
 		clock,
 		log: logOf('batches'),
 		isLeaving,
 		makePool: (pool, ended) => BatchPool.create({
 			pool,
-			board: get(deploymentBoardToken),
+			tracker: get(deploymentBoardToken),
 			registry: get(serverRegistryToken),
 			notices: get(serverNoticesToken),
 			bounds: get(sendBoundsToken),
@@ -191,7 +191,7 @@
 			clock,
 			log: logOf('batches'),
 			metrics,
-			ended,
+			onFinished: ended,
 		}),
 	})));
 }
@@ -208,7 +208,7 @@
 
 	const stepTimes = StepTimes.create();
 	const preparerOptions = () => ({
-		stepTimes, desk: get(batchDeskToken), board: get(deploymentBoardToken), registry: get(serverRegistryToken), clock, log: logOf('preparation'),
+		stepTimes, handler: get(batchHandlerToken), tracker: get(deploymentBoardToken), registry: get(serverRegistryToken), clock, log: logOf('preparation'),
 	});
 	const makeRunner = () => {
 		const runner = lifecycle.register(RequestRunner.create(get(linksToken), get(routerToken), clock));
@@ -224,7 +224,7 @@
 		runner: makeRunner(),
 		protocol: ports.callers,
 		makePreparer: ask => Preparer.create(preparerOptions(), ask),
-		waits: get(batchDeskToken),
+		waits: get(batchHandlerToken),
 		likelyPlace: (stage, nowMs) => get(routerToken).likelyPlace(stage, nowMs),
 		standingOf: plan => get(routerToken).standingOf(plan),
 		isOpen: (pool, nowMs) => get(availabilityToken).isOpen(pool, nowMs),
@@ -279,7 +279,7 @@
 		metrics,
 		ingress: get(ingressToken),
 		mesh: get(peerMeshToken),
-		desk: get(batchDeskToken),
+		desk: get(batchHandlerToken),
 		wire: get(wireServerToken),
 		feeds: [get(declarationFeedToken), get(serverFeedToken)],
 	});
--- a/src/daemon/node/direct-entry.ts
+++ b/src/daemon/node/direct-entry.ts
@@ -6,7 +6,7 @@
 import type {TextMetrics} from '../../base/node/text-metrics.js';
 import type {Ingress} from '../../direct/node/ingress.js';
 import type {PeerMesh} from '../../peers/node/peer-mesh.js';
-import type {BatchDesk} from '../../preparation/node/batch-desk.js';
+import type {BatchHandler} from '../../preparation/node/batch-handler.js';
 import type {Endpoint} from '../../wire/common/endpoint.js';
 import type {WireServer} from '../../wire/node/wire-server.js';
 import type {DirectEntrySettings} from '../common/direct-settings.js';
@@ -32,7 +32,7 @@
 	readonly metrics: TextMetrics;
 	readonly ingress: Ingress;
 	readonly mesh: PeerMesh;
-	readonly desk: BatchDesk;
+	readonly desk: BatchHandler;
 	readonly wire: WireServer;
 	readonly feeds: ReadonlyArray<Disposable & {start(): void}>;
 };
--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -11,8 +11,8 @@
 import type {Random} from '../../base/common/random.js';
 import type {CallerLimits} from '../../deployment/common/declaration.js';
 import type {DeploymentBoard} from '../../deployment/common/deployment-board.js';
-import {admit, type PoolWaits} from '../../preparation/common/admission.js';
-import type {Preparer, PreparationAsk} from '../../preparation/node/preparer.js';
+import {admit, type WaitEstimator} from '../../preparation/common/admission.js';
+import type {Preparer, PreparationRequest} from '../../preparation/node/preparer.js';
 import {contentIdOf} from '../../quarantine/common/request-content.js';
 import {requestLogMessages} from '../../request/common/request-log-messages.js';
 import {otherHostMs, type RequestPlan, type StagePlan} from '../../request/common/request-plan.js';
@@ -42,11 +42,11 @@
 	readonly links: DirectLinks;
 	readonly runner: RequestRunner;
 	readonly protocol: CallerProtocol;
-	readonly makePreparer: (ask: PreparationAsk) => Preparer;
+	readonly makePreparer: (ask: PreparationRequest) => Preparer;
 	/** Tells where a request with a shared part will most likely run. */
 	readonly likelyPlace: (stage: StagePlan, nowMs: number) => LikelyPlace;
 	/** Waits of the queues for steps. */
-	readonly waits: PoolWaits;
+	readonly waits: WaitEstimator;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly log: Logger;
@@ -279,7 +279,7 @@
 		const {random, waits, log, metrics} = this.options;
 		const rank = rankOf(arrival);
 		const admission = admit({
-			index, route, pieceCounts: ask.pieceCounts, rank, afterwardsMs, sinceFirstTryMs: arrival.sinceFirstTryMs, chance: random.next(),
+			index, route, pieceCounts: ask.pieceCounts, rank, firstTokenMs: afterwardsMs, sinceFirstTryMs: arrival.sinceFirstTryMs, jitter: random.next(),
 		}, waits);
 		if (admission.isAdmitted) {
 			return true;
@@ -315,7 +315,7 @@
 			targetMs: receivedMs + route.targetMs - sinceFirstTryMs,
 			deadlineMs,
 			hall,
-			afterwardsMs: firstMs,
+			firstTokenMs: firstMs,
 		});
 	}
 
--- a/src/direct/node/served-request.ts
+++ b/src/direct/node/served-request.ts
@@ -54,7 +54,7 @@
 			callerRequestId: ask.requestId, deadlineMs: plan.deadlineMs, isStreaming: plan.isStreaming, resumeAfter: ask.resumeAfter,
 			written() {
 				reservation?.dispose();
-				preparer?.sent();
+				preparer?.handleSent();
 			},
 		});
 		const callerGone = runner.start(plan, {
--- a/src/preparation/common/admission.test.ts
+++ b/src/preparation/common/admission.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {routeKinds, type Deployment, type Route} from '../../deployment/common/declaration.js';
 import {DeploymentIndex} from '../../deployment/common/deployment-index.js';
-import {admit, type AdmissionAsk} from './admission.js';
+import {admit, type AdmissionRequest} from './admission.js';
 
 const route: Route = {
 	name: 'r', hostName: 'h', pathPrefix: '/', kind: routeKinds.stream, timeoutMs: 8000, targetMs: 1000, rank: 0, targets: [{pool: 'model', weight: 1}],
@@ -15,19 +15,19 @@
 		maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1,
 	},
 };
-const ask: AdmissionAsk = {
-	index: DeploymentIndex.create(deployment), route, pieceCounts: [1, 1], rank: 0, afterwardsMs: 100, sinceFirstTryMs: 0, chance: 0,
+const request: AdmissionRequest = {
+	index: DeploymentIndex.create(deployment), route, pieceCounts: [1, 1], rank: 0, firstTokenMs: 100, sinceFirstTryMs: 0, jitter: 0,
 };
 const waits = (waitMs: number) => ({waitMs: () => waitMs});
 
 t.test('the predicted time is the sum of waits, step calls and time to the first token', async t => {
-	t.same(admit(ask, waits(0)), {isAdmitted: true, predictedMs: 500});
-	t.same(admit({...ask, pieceCounts: [1, 0]}, waits(50)), {isAdmitted: true, predictedMs: 350}, 'a step without pieces is skipped');
+	t.same(admit(request, waits(0)), {isAdmitted: true, predictedMs: 500});
+	t.same(admit({...request, pieceCounts: [1, 0]}, waits(50)), {isAdmitted: true, predictedMs: 350}, 'a step without pieces is skipped');
 });
 
 t.test('a request that would be late is refused with a retry delay that grows with the queue', async t => {
-	const short = admit(ask, waits(400));
-	const long = admit(ask, waits(900));
+	const short = admit(request, waits(400));
+	const long = admit(request, waits(900));
 	t.match([short, long], [{isAdmitted: false}, {isAdmitted: false}]);
 	if (!short.isAdmitted && !long.isAdmitted) {
 		t.ok(long.retryAfterMs > short.retryAfterMs && short.retryAfterMs >= 600);
@@ -35,11 +35,11 @@
 });
 
 t.test('a retry is admitted with a slightly later predicted time', async t => {
-	t.equal(admit({...ask, sinceFirstTryMs: 2000}, waits(450)).isAdmitted, true);
-	t.equal(admit({...ask, sinceFirstTryMs: 2000}, waits(1000)).isAdmitted, false);
+	t.equal(admit({...request, sinceFirstTryMs: 2000}, waits(450)).isAdmitted, true);
+	t.equal(admit({...request, sinceFirstTryMs: 2000}, waits(1000)).isAdmitted, false);
 });
 
 t.test('a first attempt predicted to miss its target is refused: a late response earns less than a retry in time', async t => {
-	t.equal(admit(ask, waits(240)).isAdmitted, true, 'predicted 980 ms of 1000');
-	t.equal(admit(ask, waits(260)).isAdmitted, false, 'predicted 1020 ms');
+	t.equal(admit(request, waits(240)).isAdmitted, true, 'predicted 980 ms of 1000');
+	t.equal(admit(request, waits(260)).isAdmitted, false, 'predicted 1020 ms');
 });
--- a/src/preparation/common/batch-call.ts
+++ b/src/preparation/common/batch-call.ts
@@ -3,7 +3,7 @@
 import type {BatchWork, PieceOutcome} from './work.js';
 
 /** One piece of a step, queued or sent. */
-export type BatchPiece = {readonly work: BatchWork; readonly piece: number; readonly readyMs: number; tries: number};
+export type BatchPiece = {readonly work: BatchWork; readonly piece: number; readonly readyMs: number; attempts: number};
 
 /** A call to one upstream with one or more pieces. */
 export type BatchCall = {
@@ -13,11 +13,11 @@
 	readonly sentMs: number;
 	readonly expectedMs: number;
 	/** Time at which the call times out. */
-	readonly limitMs: number;
+	readonly deadlineMs: number;
 };
 
 /** Outcome of a piece, reported to the host that submitted it. */
-export type PieceEnd = {readonly work: BatchWork; readonly piece: number; readonly outcome: PieceOutcome};
+export type FinishedPiece = {readonly work: BatchWork; readonly piece: number; readonly outcome: PieceOutcome};
 
 /** Why a call failed for all of its pieces. */
 export type CallFailure = 'refused' | 'unreachable' | 'broken' | 'replaced';
--- a/src/preparation/common/batch-protocol.ts
+++ b/src/preparation/common/batch-protocol.ts
@@ -11,7 +11,7 @@
 export type EncodedCall = {readonly method: 'POST'; readonly path: string; readonly headers: readonly Header[]; readonly body: Uint8Array};
 
 /** A response as received. */
-export type EncodedAnswer = {readonly status: number; readonly headers: readonly Header[]; readonly body: Uint8Array};
+export type EncodedResponse = {readonly status: number; readonly headers: readonly Header[]; readonly body: Uint8Array};
 
 /** Encodes calls to upstreams that process work in batches, and decodes their responses. */
 export type BatchProtocol = {
@@ -19,13 +19,13 @@
 	encodeRun(call: BatchCall, nowMs: number): EncodedCall;
 	/**
 	Decodes the response to a call.
-	@param answer - the response as received.
+	@param response - the response as received.
 	@param call - the call.
 	@returns an outcome for each piece, in order, or why the call failed.
 	*/
-	decodeRun(answer: EncodedAnswer, call: BatchCall): Outcome<readonly PieceOutcome[], CallFailure>;
+	decodeRun(response: EncodedResponse, call: BatchCall): Outcome<readonly PieceOutcome[], CallFailure>;
 	/** Reads what the response to any call reports about its server. */
-	readNotice(head: Omit<EncodedAnswer, 'body'>): ServerNotice;
+	readNotice(head: Omit<EncodedResponse, 'body'>): ServerNotice;
 	/** Encodes a notice that results are no longer needed, for the upstream that stores them. */
 	encodeRelease(handles: readonly string[], server: UpstreamServer): EncodedCall;
 };
--- /dev/null
+++ b/src/preparation/common/batch-scheduler.test.ts
@@ -0,0 +1,269 @@
+import t from 'tap';
+import type {BatchCapacity} from '../../deployment/common/declaration.js';
+import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
+import {cautions, type Caution} from '../../quarantine/common/quarantine.js';
+import type {BatchCall} from './batch-call.js';
+import {BatchScheduler} from './batch-scheduler.js';
+import {pieceFailures, type BatchWork, type PieceOutcome} from './work.js';
+
+const capacity: BatchCapacity = {
+	slots: 1, batchSize: 4, callMs: 100, itemMs: 10, roomBytes: 1000, resultTtlMs: 4000,
+};
+
+function server(serverId: string, hall = 'a'): UpstreamServer {
+	return {
+		serverId, instanceId: serverId, startedMs: 0, pool: 'p', address: '127.0.0.1', port: 1, hall, slots: 1, isLeaving: false,
+	};
+}
+
+function workOf(workId: string, pieceCount: number, changes: Partial<BatchWork> = {}): BatchWork {
+	return {
+		workId, pool: 'p', callerRequestId: workId, contentId: workId, pieceKey: 'k', step: 0, pieces: Array.from({length: pieceCount}, (_, piece) => piece), inputs: undefined,
+		resultBytes: 10, rank: 0, dueMs: 500, lateDueMs: 2000, deadlineMs: 5000, hall: '', crossingBytes: 0, ...changes,
+	};
+}
+
+const namesOf = (call: BatchCall) => call.pieces.map(({work, piece}) => `${work.workId}${piece}`).join(' ');
+const allDone = (call: BatchCall): PieceOutcome[] => call.pieces.map((_, index) => ({ok: true, ref: {handle: `${call.callId}-${index}`, serverId: call.server.serverId}}));
+
+t.test('pieces of several requests share a call, most urgent first, and no step is split', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('late', 2, {dueMs: 900}), 0);
+	scheduler.add(workOf('soon', 3, {dueMs: 300}), 0);
+	scheduler.add(workOf('one', 1, {dueMs: 950}), 0);
+	const [call, ...others] = scheduler.nextCalls([server('s')], capacity, 0);
+	t.equal(others.length, 0);
+	t.equal(namesOf(call), 'soon0 soon1 soon2 one0', 'a step that would be split waits, and a smaller one is sent instead');
+	t.equal(scheduler.nextCalls([server('s')], capacity, 1).length, 0, 'one call at a time');
+	scheduler.completeCall(call, allDone(call), capacity, 140);
+	t.equal(namesOf(scheduler.nextCalls([server('s')], capacity, 140)[0]), 'late0 late1');
+});
+
+t.test('a late step yields to others, whether it is the first step or a later one, but is sent in the end', async t => {
+	for (const inputs of [undefined, ['x']]) {
+		const scheduler = BatchScheduler.create();
+		scheduler.add(workOf('overdue', 4, {dueMs: 100, lateDueMs: 1500, inputs}), 0);
+		scheduler.add(workOf('fresh', 4, {dueMs: 1000}), 0);
+		t.equal(namesOf(scheduler.nextCalls([server('s')], capacity, 200)[0]).slice(0, 5), 'fresh');
+		scheduler.add(workOf('new', 4, {dueMs: 1600}), 600);
+		t.equal(namesOf(scheduler.nextCalls([server('t')], capacity, 600)[0]).slice(0, 3), 'new', 'work that can be in time goes first');
+		t.equal(namesOf(scheduler.nextCalls([server('u')], capacity, 610)[0]).slice(0, 7), 'overdue', 'then late work, without delay');
+	}
+});
+
+t.test('a late step fails with all of its pieces once it can\'t be done before its caller disconnects, and no earlier', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('late', 2, {dueMs: 100, lateDueMs: 1000}), 0);
+	scheduler.add(workOf('fresh', 40, {dueMs: 5000, lateDueMs: 9000, deadlineMs: 9000}), 0);
+	// 4 pieces a call of 140 ms: 40 pieces take 1,400 ms.
+	t.same(scheduler.failLate([server('s')], capacity, 50), [], 'not late yet');
+	const ends = scheduler.failLate([server('s')], capacity, 200);
+	t.same(ends.map(({work, piece, outcome}) => [work.workId, piece, outcome.ok || outcome.reason]), [['late', 0, 'late'], ['late', 1, 'late']]);
+	t.equal(scheduler.waitingCount, 40);
+	scheduler.add(workOf('other', 2, {dueMs: 100, lateDueMs: 3000}), 200);
+	t.same(scheduler.failLate([server('s')], capacity, 200), [], 'its turn comes before its caller disconnects');
+	t.same(scheduler.failLate([], capacity, 200), [], 'nothing can be predicted for a pool without upstreams');
+});
+
+t.test('a better rank outweighs a small difference in due time, not a larger one', async t => {
+	for (const [dueMs, first] of [[700, 'high'], [800, 'low']] as const) {
+		const scheduler = BatchScheduler.create();
+		scheduler.add(workOf('low', 4, {dueMs: 500, rank: 1}), 0);
+		scheduler.add(workOf('high', 4, {dueMs}), 0);
+		t.ok(namesOf(scheduler.nextCalls([server('s')], capacity, 0)[0]).startsWith(first), `due at ${dueMs}`);
+	}
+});
+
+t.test('the space used by results limits a call, and released results free it', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('a', 3, {resultBytes: 300}), 0);
+	const [call] = scheduler.nextCalls([server('s')], capacity, 0);
+	t.equal(call.pieces.length, 3);
+	scheduler.completeCall(call, allDone(call), capacity, 130);
+	scheduler.add(workOf('b', 1, {resultBytes: 300}), 130);
+	t.equal(scheduler.nextCalls([server('s')], capacity, 130).length, 0);
+	scheduler.freeResults('s', ['1-0']);
+	t.equal(scheduler.nextCalls([server('s')], capacity, 140).length, 1);
+});
+
+t.test('an upstream without space receives nothing for a while, and its pieces lose no attempt', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('a', 1), 0);
+	for (let round = 0; round < 8; round++) {
+		const nowMs = round * 300;
+		const [call] = scheduler.nextCalls([server('s')], capacity, nowMs);
+		t.same(scheduler.completeCall(call, [{ok: false, reason: pieceFailures.noRoom}], capacity, nowMs + 5), []);
+		t.equal(scheduler.nextCalls([server('s')], capacity, nowMs + 10).length, 0);
+	}
+});
+
+t.test('pieces of a failed call are sent to another upstream, and fail after a few attempts', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('a', 2), 0);
+	const servers = [server('s'), server('r')];
+	const [first] = scheduler.nextCalls(servers, capacity, 0);
+	t.same(scheduler.failCall(first, 'broken', 10), []);
+	const [second] = scheduler.nextCalls(servers, capacity, 10);
+	t.not(second.server.serverId, first.server.serverId);
+	scheduler.failCall(second, 'broken', 20);
+	let ends = 0;
+	for (let nowMs = 3000; ends === 0 && nowMs < 60_000; nowMs += 3000) {
+		for (const call of scheduler.nextCalls(servers, {...capacity}, Math.min(nowMs, 4000 + (nowMs / 100)))) {
+			ends += scheduler.failCall(call, 'broken', Math.min(nowMs, 4000 + (nowMs / 100))).length;
+		}
+	}
+
+	t.equal(ends, 2);
+});
+
+t.test('a piece waits briefly for an upstream in the data hall of its inputs, if there is one', async t => {
+	const scheduler = BatchScheduler.create();
+	const work = workOf('a', 2, {hall: 'b', crossingBytes: 2_000_000});
+	scheduler.add(work, 0);
+	t.equal(scheduler.nextCalls([server('s', 'a'), server('busy', 'b')].slice(0, 1), capacity, 0).length, 1, 'no upstream in that data hall, so no wait');
+	const patient = BatchScheduler.create();
+	patient.add(workOf('x', 4, {hall: 'b'}), 0);
+	patient.nextCalls([server('there', 'b')], capacity, 0);
+	patient.add(work, 0);
+	const servers = [server('s', 'a'), server('there', 'b')];
+	t.equal(patient.nextCalls(servers, capacity, 50).length, 0);
+	t.equal(patient.nextCalls(servers, capacity, 260).length, 1, 'the wait is limited');
+	const late = BatchScheduler.create();
+	late.add(workOf('x', 4, {hall: 'b'}), 0);
+	late.nextCalls([server('there', 'b')], capacity, 0);
+	late.add({...work, dueMs: -100}, 0);
+	t.equal(late.nextCalls(servers, capacity, 50).length, 0, 'a late piece waits as well');
+});
+
+t.test('the estimated wait grows with the queue ahead and with the measured slowness of calls', async t => {
+	const scheduler = BatchScheduler.create();
+	const servers = [server('s')];
+	t.equal(scheduler.waitMs(servers, capacity, 0, 0), 0);
+	scheduler.add(workOf('a', 4), 0);
+	const [call] = scheduler.nextCalls(servers, capacity, 0);
+	const shortMs = scheduler.waitMs(servers, capacity, 0, 0);
+	scheduler.add(workOf('b', 8), 0);
+	const longMs = scheduler.waitMs(servers, capacity, 0, 0);
+	t.ok(longMs > shortMs && shortMs > 0);
+	scheduler.completeCall(call, allDone(call), capacity, 1500);
+	scheduler.cancel('b');
+	scheduler.add(workOf('c', 8, {dueMs: 1900, lateDueMs: 3400}), 1500);
+	const slowMs = scheduler.waitMs(servers, capacity, 0, 1500);
+	t.ok(slowMs > 5 * longMs, 'ten times slower than declared, most of which is reflected after one call');
+	t.ok(slowMs < 10 * longMs);
+});
+
+t.test('the estimated wait is long where no upstream is healthy, and a call does not time out because all are slow', async t => {
+	const scheduler = BatchScheduler.create();
+	const servers = [server('s'), server('t')];
+	scheduler.add(workOf('a', 8), 0);
+	const calls = scheduler.nextCalls(servers, capacity, 0);
+	t.same(calls.map(({deadlineMs: deadlineMs}) => deadlineMs), [1340, 1340]);
+	for (const call of calls) {
+		scheduler.failCall(call, 'broken', call.deadlineMs);
+	}
+
+	t.equal(scheduler.waitMs(servers, capacity, 0, 1340), 2000, 'both have failed');
+	const [again] = scheduler.nextCalls(servers, capacity, 1600);
+	t.ok(again.deadlineMs - again.sentMs > 6000, 'they may be that slow');
+});
+
+t.test('a piece queued past its deadline fails as late', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('a', 1, {deadlineMs: 100}), 0);
+	t.same(scheduler.sweep(() => true, 50), []);
+	t.match(scheduler.sweep(() => true, 100), [{piece: 0, outcome: {ok: false, reason: 'late'}}]);
+	t.equal(scheduler.waitingCount, 0);
+});
+
+t.test('space used by results unknown to this host is discovered from refusals, and small results still fit', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('big', 4, {resultBytes: 200}), 0);
+	const [first] = scheduler.nextCalls([server('s')], capacity, 0);
+	const refuse = (call: BatchCall, taken: number): PieceOutcome[] => allDone(call).map((outcome, index) =>
+		index < taken ? outcome : {ok: false, reason: pieceFailures.noRoom});
+	scheduler.completeCall(first, refuse(first, 1), capacity, 140);
+	scheduler.freeResults('s', ['1-0']);
+	scheduler.add(workOf('small', 2, {dueMs: 300}), 150);
+	t.equal(namesOf(scheduler.nextCalls([server('s')], capacity, 150)[0]).slice(0, 13), 'small0 small1', 'space for results smaller than the refused one is used');
+	const small = BatchScheduler.create();
+	small.add(workOf('big', 1, {resultBytes: 200}), 0);
+	small.add(workOf('next', 2, {resultBytes: 200}), 0);
+	const [call] = small.nextCalls([server('s')], capacity, 0);
+	small.completeCall(call, refuse(call, 0), capacity, 100);
+	t.equal(small.nextCalls([server('s')], capacity, 200).length, 0, 'receives nothing for about the duration of a call');
+	const [tried] = small.nextCalls([server('s')], capacity, 360);
+	t.equal(tried.pieces.length, 1, 'then one result is tried');
+	small.completeCall(tried, allDone(tried), capacity, 470);
+	small.freeResults('s', [`${tried.callId}-0`]);
+	t.equal(small.nextCalls([server('s')], capacity, 470)[0].pieces.length, 2, 'and more once that one found space');
+});
+
+/**
+Guards against a thundering herd after a restart. Hosts that are not connected to each other yet call the same upstreams,
+which are full and refuse most calls. Each host must back off for longer after each refusal, so that the hosts leave
+space for each other until one of them batches for all. Asked again after every call duration, upstreams refused more
+calls, and steps were done no sooner.
+*/
+t.test('an upstream that was full is called again with a growing delay of at most two seconds', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('w', 1, {dueMs: 40_000, lateDueMs: 50_000, deadlineMs: 60_000}), 0);
+	let nowMs = 0;
+	for (const waitMs of [250, 500, 1000, 2000, 2000]) {
+		const [call] = scheduler.nextCalls([server('s')], capacity, nowMs);
+		scheduler.failCall(call, 'refused', nowMs);
+		t.equal(scheduler.nextCalls([server('s')], capacity, nowMs + waitMs - 1).length, 0, 'not earlier');
+		nowMs += waitMs;
+	}
+
+	t.equal(scheduler.nextCalls([server('s')], capacity, nowMs).length, 1, 'refusals do not count as attempts');
+});
+
+t.test('an upstream that fails receives nothing for a growing time', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('w', 1, {dueMs: 4000, lateDueMs: 5000}), 0);
+	scheduler.failCall(scheduler.nextCalls([server('s')], capacity, 0)[0], 'broken', 0);
+	t.equal(scheduler.nextCalls([server('s')], capacity, 249).length, 0);
+	scheduler.failCall(scheduler.nextCalls([server('s')], capacity, 250)[0], 'broken', 250);
+	t.equal(scheduler.nextCalls([server('s')], capacity, 749).length, 0);
+	t.equal(scheduler.nextCalls([server('s')], capacity, 750).length, 1);
+});
+
+t.test('pieces of a request that may crash upstreams are sent alone, wait or are barred; all others are sent as usual', async t => {
+	const handlings = new Map<string, Caution>([['alone', cautions.alone], ['wait', cautions.wait], ['barred', cautions.barred]]);
+	const scheduler = BatchScheduler.create(contentId => handlings.get(contentId) ?? cautions.none);
+	for (const [index, workId] of ['wait', 'barred', 'alone', 'a', 'b'].entries()) {
+		scheduler.add(workOf(workId, 1, {dueMs: 500 + index}), 0);
+	}
+
+	const calls = scheduler.nextCalls([server('s'), server('t'), server('u')], capacity, 0);
+	t.same(calls.map(call => namesOf(call)), ['alone0', 'a0 b0']);
+	t.match(scheduler.sweep(() => true, 1), [{work: {workId: 'barred'}, outcome: {ok: false, reason: pieceFailures.failed}}]);
+	t.equal(scheduler.waitingCount, 1);
+	handlings.delete('wait');
+	t.equal(namesOf(scheduler.nextCalls([server('u')], capacity, 2)[0]), 'wait0');
+});
+
+t.test('a host that resumes from suspension sends nothing whose deadline passed meanwhile', async t => {
+	const scheduler = BatchScheduler.create();
+	scheduler.add(workOf('over', 2, {deadlineMs: 5000}), 0);
+	scheduler.add(workOf('live', 2, {deadlineMs: 50_000}), 0);
+	t.same(scheduler.nextCalls([server('s')], capacity, 9000).map(call => namesOf(call)), ['live0 live1']);
+	t.match(scheduler.sweep(() => true, 9000), [{work: {workId: 'over'}}, {work: {workId: 'over'}}]);
+});
+
+t.test('an upstream with a rate limit gets no call above it, and counts as the corresponding fraction of an upstream', async t => {
+	const allowance = {left: 0, perS: Infinity};
+	const scheduler = BatchScheduler.create(undefined, ({serverId}) => serverId === 'bounded' ? allowance : {left: Infinity, perS: Infinity});
+	const both = [server('bounded'), server('free')];
+	scheduler.add(workOf('w', 8), 0);
+	t.same(scheduler.nextCalls(both, capacity, 0).map(call => call.server.serverId), ['free']);
+	allowance.left = 1;
+	allowance.perS = 2;
+	t.same(scheduler.nextCalls(both, capacity, 0).map(call => call.server.serverId), ['bounded']);
+	scheduler.add(workOf('next', 4), 0);
+	const waitMs = scheduler.waitMs([server('bounded')], capacity, 0, 0);
+	allowance.perS = Infinity;
+	// 2 calls of 140 ms per second are 0.28 of its capacity.
+	t.equal(Math.round(waitMs * 0.28), Math.round(scheduler.waitMs([server('bounded')], capacity, 0, 0)));
+});
--- a/src/preparation/common/batch-machine.ts
+++ b/src/preparation/common/batch-scheduler.ts
@@ -6,58 +6,58 @@
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import {cautions} from '../../quarantine/common/quarantine.js';
 import type {
-	BatchCall, BatchPiece, CallFailure, PieceEnd,
+	BatchCall, BatchPiece, CallFailure, FinishedPiece,
 } from './batch-call.js';
-import {fillCall} from './call-filling.js';
+import {selectPieces} from './piece-selection.js';
 import {rankPenaltyMs} from './piece-order.js';
-import {PieceQueue, type CautionSource} from './piece-queue.js';
+import {PieceQueue, type HandlingSource} from './piece-queue.js';
 import {PoolUpstreams, type AllowanceSource} from './pool-upstreams.js';
-import {readRoom} from './room-reading.js';
+import {spaceReportOf} from './space-report.js';
 import {fullCallMs, Throughput} from './throughput.js';
 import {
 	pieceFailures, type BatchWork, type PieceOutcome,
 } from './work.js';
 
 /** Wait reported if no upstream is healthy or all are in backoff: roughly the time until one is available again. */
-const noServerMs = 2000;
+const noUpstreamWaitMs = 2000;
 /** Time until a typical piece is due; determines the queue position of work whose wait is only estimated. */
-const usualDueMs = 500;
+const typicalDueMs = 500;
 /** With all upstreams busy and an empty queue, the first one is free after this share of a call, divided by their number. */
-const turnShare = 0.5;
+const firstFreeShare = 0.5;
 /** Attempts at one piece before it fails. */
-const mostTries = 4;
+const maxAttempts = 4;
 /** A call times out after this multiple of the typical duration of the pool's calls, plus a margin for the network. */
-const giveUpFactor = 6;
-const giveUpMarginMs = 500;
+const timeoutFactor = 6;
+const timeoutMarginMs = 500;
 
 /** State of a pool: queued pieces, calls in progress, the longest wait, and the space used by results. */
-export type BatchStanding = {readonly waiting: number; readonly calls: number; readonly oldestMs: number; readonly keptBytes: number};
+export type BatchStatus = {readonly waiting: number; readonly calls: number; readonly oldestMs: number; readonly keptBytes: number};
 
 /**
 State of a pool at the time of a call: data halls with upstreams that accept work, and the typical slowness of these
 upstreams.
 */
-type PoolNow = {readonly halls: ReadonlySet<string>; readonly usual: number};
+type PoolConditions = {readonly openHalls: ReadonlySet<string>; readonly typicalSlowness: number};
 
 /** Queue and calls in progress of one pool. */
-export class BatchMachine {
-	static create(cautionOf: CautionSource = () => cautions.none, allowanceOf: AllowanceSource = () => ({left: Infinity, perS: Infinity})): BatchMachine {
-		return new BatchMachine(cautionOf, allowanceOf);
+export class BatchScheduler {
+	static create(handlingOf: HandlingSource = () => cautions.none, allowanceOf: AllowanceSource = () => ({left: Infinity, perS: Infinity})): BatchScheduler {
+		return new BatchScheduler(handlingOf, allowanceOf);
 	}
 
-	private readonly waiting: PieceQueue;
+	private readonly queue: PieceQueue;
 	private readonly upstreams: PoolUpstreams;
 	private readonly throughput = Throughput.create();
 	private lastCallId = 0;
 
-	private constructor(cautionOf: CautionSource, allowanceOf: AllowanceSource) {
-		this.waiting = PieceQueue.create(cautionOf);
+	private constructor(cautionOf: HandlingSource, allowanceOf: AllowanceSource) {
+		this.queue = PieceQueue.create(cautionOf);
 		this.upstreams = PoolUpstreams.create(allowanceOf);
 	}
 
 	/** Number of pieces that wait for an upstream. */
 	get waitingCount(): number {
-		return this.waiting.size;
+		return this.queue.size;
 	}
 
 	/** Number of calls in progress. */
@@ -66,13 +66,13 @@
 	}
 
 	add(work: BatchWork, nowMs: number): void {
-		if (this.waiting.size === 0) {
-			this.throughput.queueBegan(nowMs);
+		if (this.queue.size === 0) {
+			this.throughput.startQueue(nowMs);
 		}
 
 		for (const piece of work.pieces) {
-			this.waiting.add({
-				work, piece, readyMs: nowMs, tries: 0,
+			this.queue.add({
+				work, piece, readyMs: nowMs, attempts: 0,
 			});
 		}
 	}
@@ -82,23 +82,23 @@
 	@param workId - ID of the work.
 	*/
 	cancel(workId: string): void {
-		this.waiting.removeWork(workId);
+		this.queue.removeWork(workId);
 	}
 
 	/**
 	Removes everything queued, as when another host takes over batching for the pool.
 	@returns the pieces, none of which has been started.
 	*/
-	takeWaiting(): PieceEnd[] {
-		return this.waiting.takeAll(pieceFailures.moved);
+	takeWaiting(): FinishedPiece[] {
+		return this.queue.takeAll(pieceFailures.moved);
 	}
 
 	/**
 	Fails everything queued, as when no upstream accepts work for some time.
 	@returns the pieces, none of which has been started.
 	*/
-	giveUpWaiting(): PieceEnd[] {
-		return this.waiting.takeAll(pieceFailures.noUpstream);
+	failWaiting(): FinishedPiece[] {
+		return this.queue.takeAll(pieceFailures.noUpstream);
 	}
 
 	/**
@@ -108,9 +108,9 @@
 	@param nowMs - the current time.
 	@returns the failed pieces; other pieces of the same steps may be in progress.
 	*/
-	giveUpLate(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): PieceEnd[] {
-		const count = this.upstreams.countAtWork(this.upstreams.soundOf(servers, nowMs), capacity, nowMs);
-		return count === 0 ? [] : this.waiting.takeHopeless(this.throughput.hopedPerMs(count, capacity, nowMs), nowMs);
+	failLate(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): FinishedPiece[] {
+		const count = this.upstreams.effectiveCount(this.upstreams.healthyOf(servers, nowMs), capacity, nowMs);
+		return count === 0 ? [] : this.queue.takeUnservable(this.throughput.optimisticPiecesPerMs(count, capacity, nowMs), nowMs);
 	}
 
 	/**
@@ -121,23 +121,23 @@
 	*/
 	nextCalls(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): BatchCall[] {
 		const calls: BatchCall[] = [];
-		if (this.waiting.size === 0) {
+		if (this.queue.size === 0) {
 			return calls;
 		}
 
-		this.waiting.sort(nowMs);
-		const open = servers.filter(server => this.upstreams.isOpen(server, nowMs));
-		const free = open.filter(server => this.upstreams.of(server).isFree(nowMs))
+		this.queue.sort(nowMs);
+		const allowed = servers.filter(server => this.upstreams.isAllowed(server, nowMs));
+		const free = allowed.filter(server => this.upstreams.of(server).isFree(nowMs))
 			.toSorted((left, right) => this.upstreams.of(left).slownessAt(nowMs) - this.upstreams.of(right).slownessAt(nowMs));
-		const sound = new Set(this.upstreams.soundOf(open, nowMs));
-		const usual = this.upstreams.usualSlowness(open, nowMs);
-		const halls = new Set(open.filter(server => !this.upstreams.of(server).isAvoided(nowMs)).map(server => server.hall));
+		const healthy = new Set(this.upstreams.healthyOf(allowed, nowMs));
+		const typicalSlowness = this.upstreams.typicalSlowness(allowed, nowMs);
+		const openHalls = new Set(allowed.filter(server => !this.upstreams.of(server).isAvoided(nowMs)).map(server => server.hall));
 		for (const server of free) {
-			if (!sound.has(server) && this.waiting.size <= sound.size * capacity.batchSize) {
+			if (!healthy.has(server) && this.queue.size <= healthy.size * capacity.batchSize) {
 				continue;
 			}
 
-			const call = this.callTo(server, capacity, {halls, usual}, nowMs);
+			const call = this.startCall(server, capacity, {openHalls: openHalls, typicalSlowness: typicalSlowness}, nowMs);
 			if (call) {
 				calls.push(call);
 			}
@@ -154,30 +154,30 @@
 	@param nowMs - the current time.
 	@returns the pieces that are finished; the others are queued again.
 	*/
-	answered(call: BatchCall, outcomes: readonly PieceOutcome[], capacity: BatchCapacity, nowMs: number): PieceEnd[] {
+	completeCall(call: BatchCall, outcomes: readonly PieceOutcome[], capacity: BatchCapacity, nowMs: number): FinishedPiece[] {
 		const state = this.upstreams.of(call.server);
-		state.answered(call, nowMs);
-		this.throughput.count(outcomes.filter(outcome => outcome.ok).length, nowMs);
-		state.room.learn(readRoom(call, outcomes), capacity, nowMs);
-		const ends: PieceEnd[] = [];
+		state.completeCall(call, nowMs);
+		this.throughput.record(outcomes.filter(outcome => outcome.ok).length, nowMs);
+		state.space.update(spaceReportOf(call, outcomes), capacity, nowMs);
+		const finished: FinishedPiece[] = [];
 		for (const [index, item] of call.pieces.entries()) {
-			const {work, piece, tries} = item;
+			const {work, piece, attempts: attempts} = item;
 			const outcome = outcomes[index];
 			if (outcome.ok) {
-				state.room.keep(outcome.ref.handle, work.resultBytes, nowMs + capacity.resultTtlMs);
+				state.space.add(outcome.ref.handle, work.resultBytes, nowMs + capacity.resultTtlMs);
 			}
 
-			const hadNoRoom = !outcome.ok && outcome.reason === pieceFailures.noRoom;
-			const mayRetry = hadNoRoom || (!outcome.ok && outcome.reason === pieceFailures.failed);
-			if (mayRetry && tries < mostTries) {
+			const hadNoSpace = !outcome.ok && outcome.reason === pieceFailures.noRoom;
+			const mayRetry = hadNoSpace || (!outcome.ok && outcome.reason === pieceFailures.failed);
+			if (mayRetry && attempts < maxAttempts) {
 				// An attempt that found no space cost only a round trip, so it does not count.
-				this.waiting.add(hadNoRoom ? {...item, tries: tries - 1} : item);
+				this.queue.add(hadNoSpace ? {...item, attempts: attempts - 1} : item);
 			} else {
-				ends.push({work, piece, outcome});
+				finished.push({work, piece, outcome});
 			}
 		}
 
-		return ends;
+		return finished;
 	}
 
 	/**
@@ -187,20 +187,20 @@
 	@param nowMs - the current time.
 	@returns the pieces that have failed for good; the others are queued again.
 	*/
-	failed(call: BatchCall, reason: CallFailure, nowMs: number): PieceEnd[] {
-		this.upstreams.of(call.server).failed(call, nowMs);
-		const ends: PieceEnd[] = [];
+	failCall(call: BatchCall, reason: CallFailure, nowMs: number): FinishedPiece[] {
+		this.upstreams.of(call.server).failCall(call, nowMs);
+		const finished: FinishedPiece[] = [];
 		for (const item of call.pieces) {
 			// A refused call cost the upstream nothing, so it does not count.
-			const tries = item.tries - (reason === 'refused' ? 1 : 0);
-			if (tries >= mostTries || nowMs >= item.work.deadlineMs) {
-				ends.push({work: item.work, piece: item.piece, outcome: {ok: false, reason: pieceFailures.failed}});
+			const attempts = item.attempts - (reason === 'refused' ? 1 : 0);
+			if (attempts >= maxAttempts || nowMs >= item.work.deadlineMs) {
+				finished.push({work: item.work, piece: item.piece, outcome: {ok: false, reason: pieceFailures.failed}});
 			} else {
-				this.waiting.add({...item, tries});
+				this.queue.add({...item, attempts: attempts});
 			}
 		}
 
-		return ends;
+		return finished;
 	}
 
 	/**
@@ -208,8 +208,8 @@
 	@param serverId - the upstream that stores them.
 	@param handles - handles of the results.
 	*/
-	released(serverId: string, handles: readonly string[]): void {
-		this.upstreams.released(serverId, handles);
+	freeResults(serverId: string, handles: readonly string[]): void {
+		this.upstreams.freeResults(serverId, handles);
 	}
 
 	/**
@@ -218,9 +218,9 @@
 	@param nowMs - the current time.
 	@returns the pieces that have failed.
 	*/
-	sweep(isKnown: (serverId: string) => boolean, nowMs: number): PieceEnd[] {
+	sweep(isKnown: (serverId: string) => boolean, nowMs: number): FinishedPiece[] {
 		this.upstreams.sweep(isKnown);
-		return this.waiting.sweep(nowMs);
+		return this.queue.sweep(nowMs);
 	}
 
 	/**
@@ -228,17 +228,17 @@
 	@param serverId - the upstream.
 	@param nowMs - the current time.
 	*/
-	keptAt(serverId: string, nowMs: number): number {
-		return this.upstreams.keptAt(serverId, nowMs);
+	usedBytesAt(serverId: string, nowMs: number): number {
+		return this.upstreams.usedBytesAt(serverId, nowMs);
 	}
 
 	/**
 	Returns the state of the pool for logs.
 	@param nowMs - the current time.
 	*/
-	describe(nowMs: number): BatchStanding {
+	describe(nowMs: number): BatchStatus {
 		return {
-			waiting: this.waiting.size, calls: this.callCount, oldestMs: Math.round(this.waiting.oldestMs(nowMs)), keptBytes: this.upstreams.keptBytes(nowMs),
+			waiting: this.queue.size, calls: this.callCount, oldestMs: Math.round(this.queue.oldestMs(nowMs)), keptBytes: this.upstreams.usedBytes(nowMs),
 		};
 	}
 
@@ -251,20 +251,20 @@
 	@returns the wait in milliseconds; 0 while an upstream is free.
 	*/
 	waitMs(servers: readonly UpstreamServer[], capacity: BatchCapacity, rank: number, nowMs: number): number {
-		const sound = this.upstreams.soundOf(servers, nowMs);
-		const count = this.upstreams.countAtWork(sound, capacity, nowMs);
+		const healthy = this.upstreams.healthyOf(servers, nowMs);
+		const count = this.upstreams.effectiveCount(healthy, capacity, nowMs);
 		if (count === 0) {
-			return noServerMs;
+			return noUpstreamWaitMs;
 		}
 
-		const free = sound.filter(server => this.upstreams.of(server).call === undefined && this.upstreams.isOpen(server, nowMs)).length;
-		const ownKey = nowMs + usualDueMs + (rank * rankPenaltyMs);
-		const ahead = this.waiting.countAhead(ownKey, nowMs);
+		const free = healthy.filter(server => this.upstreams.of(server).call === undefined && this.upstreams.isAllowed(server, nowMs)).length;
+		const urgency = nowMs + typicalDueMs + (rank * rankPenaltyMs);
+		const ahead = this.queue.countAhead(urgency, nowMs);
 		if (free > 0 && ahead === 0) {
 			return 0;
 		}
 
-		return (ahead / this.throughput.donePerMs(count, capacity, nowMs)) + ((turnShare * fullCallMs(capacity)) / count);
+		return (ahead / this.throughput.piecesPerMs(count, capacity, nowMs)) + ((firstFreeShare * fullCallMs(capacity)) / count);
 	}
 
 	/**
@@ -273,11 +273,11 @@
 	@param nowMs - the current time.
 	*/
 	usualSlowness(servers: readonly UpstreamServer[], nowMs: number): number {
-		return this.upstreams.usualSlowness(servers, nowMs);
+		return this.upstreams.typicalSlowness(servers, nowMs);
 	}
 
-	private callTo(server: UpstreamServer, capacity: BatchCapacity, {halls, usual}: PoolNow, nowMs: number): BatchCall | undefined {
-		const pieces = this.take(server, capacity, halls, nowMs);
+	private startCall(server: UpstreamServer, capacity: BatchCapacity, {openHalls: openHalls, typicalSlowness: typicalSlowness}: PoolConditions, nowMs: number): BatchCall | undefined {
+		const pieces = this.takePieces(server, capacity, openHalls, nowMs);
 		if (pieces.length === 0) {
 			return undefined;
 		}
@@ -285,19 +285,19 @@
 		const expectedMs = capacity.callMs + (pieces.length * capacity.itemMs);
 		this.lastCallId++;
 		const call: BatchCall = {
-			callId: this.lastCallId, server, pieces, sentMs: nowMs, expectedMs, limitMs: nowMs + (giveUpFactor * expectedMs * Math.max(1, usual)) + giveUpMarginMs,
+			callId: this.lastCallId, server, pieces, sentMs: nowMs, expectedMs, deadlineMs: nowMs + (timeoutFactor * expectedMs * Math.max(1, typicalSlowness)) + timeoutMarginMs,
 		};
 		this.upstreams.of(server).call = call;
 		return call;
 	}
 
 	/** Takes the most urgent pieces for one call off the queue. */
-	private take(server: UpstreamServer, {batchSize, roomBytes}: BatchCapacity, halls: ReadonlySet<string>, nowMs: number): BatchPiece[] {
-		const leftBytes = this.upstreams.of(server).room.leftBytes(roomBytes, nowMs);
-		const taken = fillCall(this.waiting.sendable(), {
-			batchSize, leftBytes, hall: server.hall, halls,
+	private takePieces(server: UpstreamServer, {batchSize, roomBytes}: BatchCapacity, openHalls: ReadonlySet<string>, nowMs: number): BatchPiece[] {
+		const freeBytes = this.upstreams.of(server).space.freeBytes(roomBytes, nowMs);
+		const taken = selectPieces(this.queue.sendable(), {
+			batchSize, freeBytes: freeBytes, hall: server.hall, openHalls: openHalls,
 		}, nowMs);
-		this.waiting.remove(taken);
-		return [...taken].map(item => ({...item, tries: item.tries + 1}));
+		this.queue.remove(taken);
+		return [...taken].map(item => ({...item, attempts: item.attempts + 1}));
 	}
 }
--- a/src/preparation/common/batch-upstream.ts
+++ b/src/preparation/common/batch-upstream.ts
@@ -1,6 +1,6 @@
 /** State of one upstream that processes work in batches: its call, slowness, failures and space for results. */
 import type {BatchCall} from './batch-call.js';
-import {ResultRoom} from './result-room.js';
+import {ResultSpace} from './result-space.js';
 
 /** Weight of the latest call in the measured slowness. */
 const slownessWeight = 0.6;
@@ -10,10 +10,10 @@
 Bound on the slowness derived from a call that timed out: it shows that the call would have taken longer, not how much
 longer, and an upstream that hangs must not count as infinitely slow.
 */
-const mostGivenUpSlowness = 20;
+const maxTimedOutSlowness = 20;
 /** Time without work after a failed call; it doubles with each further failure. */
-const avoidMs = 250;
-const longestAvoidMs = 2000;
+const firstAvoidMs = 250;
+const maxAvoidMs = 2000;
 
 /** Tracks one upstream. */
 export class BatchUpstream {
@@ -23,7 +23,7 @@
 
 	/** The call in progress. */
 	call: BatchCall | undefined;
-	readonly room = ResultRoom.create();
+	readonly space = ResultSpace.create();
 	private slowness = 1;
 	private measuredMs = 0;
 	private avoidedUntilMs = -Infinity;
@@ -43,8 +43,8 @@
 		return 1 + ((this.slowness - 1) * (2 ** (-(nowMs - this.measuredMs) / slownessHalfLifeMs)));
 	}
 
-	answered(call: BatchCall, nowMs: number): void {
-		this.end(call);
+	completeCall(call: BatchCall, nowMs: number): void {
+		this.clearCall(call);
 		this.failures = 0;
 		this.avoidedUntilMs = -Infinity;
 		const ratio = (nowMs - call.sentMs) / call.expectedMs;
@@ -52,20 +52,20 @@
 		this.measuredMs = nowMs;
 	}
 
-	failed(call: BatchCall, nowMs: number): void {
-		this.end(call);
-		const ratio = Math.min(mostGivenUpSlowness, (nowMs - call.sentMs) / call.expectedMs);
-		if (nowMs >= call.limitMs && ratio > this.slownessAt(nowMs)) {
+	failCall(call: BatchCall, nowMs: number): void {
+		this.clearCall(call);
+		const ratio = Math.min(maxTimedOutSlowness, (nowMs - call.sentMs) / call.expectedMs);
+		if (nowMs >= call.deadlineMs && ratio > this.slownessAt(nowMs)) {
 			// The call timed out. If all upstreams are that slow, the next call is given more time.
 			this.slowness = ratio;
 			this.measuredMs = nowMs;
 		}
 
-		this.avoidedUntilMs = nowMs + Math.min(longestAvoidMs, avoidMs * (2 ** this.failures));
+		this.avoidedUntilMs = nowMs + Math.min(maxAvoidMs, firstAvoidMs * (2 ** this.failures));
 		this.failures++;
 	}
 
-	private end(call: BatchCall): void {
+	private clearCall(call: BatchCall): void {
 		if (this.call === call) {
 			this.call = undefined;
 		}
--- a/src/preparation/common/fetch-time.ts
+++ b/src/preparation/common/fetch-time.ts
@@ -8,9 +8,9 @@
 */
 const fetchStartMs = 20;
 /** An upstream serves its results one after another; the results of two full calls may be requested on its link at once. */
-const fetchedCalls = 2;
+const queuedFullCalls = 2;
 /** Link speed if none is declared: 10 Gbit/s, common between hosts that store large results. */
-const usualLinkBytesPerMs = 1_250_000;
+const defaultLinkBytesPerMs = 1_250_000;
 
 /**
 Estimates the time after which a request that was written has certainly fetched the results it reads.
@@ -18,12 +18,12 @@
 @param index - the declaration in force; defaults replace what it does not specify.
 */
 export function fetchTimeMs(steps: readonly PreparationStep[], index: DeploymentIndex | undefined): number {
-	let longestMs = 0;
+	let maxMs = 0;
 	for (const {pool, resultBytes} of steps) {
 		const batch = index?.pool(pool)?.batch;
-		const bytes = fetchedCalls * (batch?.batchSize ?? 1) * resultBytes;
-		longestMs = Math.max(longestMs, bytes / (batch?.linkBytesPerMs ?? usualLinkBytesPerMs));
+		const bytes = queuedFullCalls * (batch?.batchSize ?? 1) * resultBytes;
+		maxMs = Math.max(maxMs, bytes / (batch?.linkBytesPerMs ?? defaultLinkBytesPerMs));
 	}
 
-	return fetchStartMs + longestMs;
+	return fetchStartMs + maxMs;
 }
--- a/src/preparation/common/overloaded-pool.test.ts
+++ b/src/preparation/common/overloaded-pool.test.ts
@@ -12,7 +12,7 @@
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import type {BatchCall} from './batch-call.js';
-import {BatchMachine} from './batch-machine.js';
+import {BatchScheduler} from './batch-scheduler.js';
 import type {BatchWork, PieceOutcome} from './work.js';
 
 const capacity: BatchCapacity = {
@@ -36,7 +36,7 @@
 
 /** Simulates the load. Returns by rank the share of the steps requested between two times that was done in time. */
 function play(untilMs: number) {
-	const machine = BatchMachine.create();
+	const scheduler = BatchScheduler.create();
 	const calls: BatchCall[] = [];
 	const dueMs = new Map<string, {readonly askedMs: number; readonly dueMs: number; readonly rank: number}>();
 	const doneMs = new Map<string, number>();
@@ -50,7 +50,7 @@
 			for (; owed[index] >= 1; owed[index]--) {
 				const workId = `${kind.rank}-${dueMs.size}`;
 				dueMs.set(workId, {askedMs: nowMs, dueMs: nowMs + kind.dueMs, rank: kind.rank});
-				machine.add(workOf(workId, kind.rank, nowMs + kind.dueMs), nowMs);
+				scheduler.add(workOf(workId, kind.rank, nowMs + kind.dueMs), nowMs);
 			}
 		}
 
@@ -65,13 +65,13 @@
 				doneMs.set(work.workId, nowMs);
 			}
 
-			machine.answered(call, outcomes, capacity, nowMs);
+			scheduler.completeCall(call, outcomes, capacity, nowMs);
 		}
 
-		calls.push(...machine.nextCalls(servers, capacity, nowMs));
-		for (const {work} of [...machine.giveUpLate(servers, capacity, nowMs), ...machine.sweep(() => true, nowMs)]) {
+		calls.push(...scheduler.nextCalls(servers, capacity, nowMs));
+		for (const {work} of [...scheduler.failLate(servers, capacity, nowMs), ...scheduler.sweep(() => true, nowMs)]) {
 			endedMs.set(work.workId, endedMs.get(work.workId) ?? nowMs);
-			machine.cancel(work.workId);
+			scheduler.cancel(work.workId);
 		}
 	}
 
--- a/src/preparation/common/piece-order.ts
+++ b/src/preparation/common/piece-order.ts
@@ -9,7 +9,7 @@
 */
 export const rankPenaltyMs = 250;
 /** Longest wait for an upstream in the data hall of the inputs: about a full call, in which each upstream becomes free once. */
-const longestPatienceMs = 300;
+const maxHallWaitMs = 300;
 
 /** Later than any due time: places late pieces behind all that can still be in time. */
 const lateOffsetMs = 3_600_000;
@@ -44,10 +44,10 @@
 @param item - the piece.
 @param nowMs - the current time.
 */
-export function isPatient({work, readyMs}: BatchPiece, nowMs: number): boolean {
-	const patienceMs = Math.min(longestPatienceMs, crossingCostMs(work.crossingBytes * work.pieces.length));
+export function shouldWaitForHall({work, readyMs}: BatchPiece, nowMs: number): boolean {
+	const hallWaitMs = Math.min(maxHallWaitMs, crossingCostMs(work.crossingBytes * work.pieces.length));
 	// A piece that is late already loses nothing by waiting; one that is in time must not become late by it.
-	const untilMs = readyMs + patienceMs;
+	const untilMs = readyMs + hallWaitMs;
 	return nowMs < (readyMs < work.dueMs ? Math.min(untilMs, work.dueMs) : untilMs);
 }
 
--- a/src/preparation/common/piece-queue.ts
+++ b/src/preparation/common/piece-queue.ts
@@ -1,11 +1,11 @@
 /** Queue of the pieces of all requests that wait for one pool. */
 import {cautions, type Caution} from '../../quarantine/common/quarantine.js';
-import type {BatchPiece, PieceEnd} from './batch-call.js';
+import type {BatchPiece, FinishedPiece} from './batch-call.js';
 import {isLate, urgencyOf} from './piece-order.js';
 import {pieceFailures, type BatchWork, type PieceFailure} from './work.js';
 
 /** Returns how pieces of a request may be sent to an upstream, by the content ID of the request. */
-export type CautionSource = (contentId: string) => Caution;
+export type HandlingSource = (contentId: string) => Caution;
 
 /** Queued pieces in the order in which they are sent. */
 export class PieceQueue {
@@ -13,15 +13,15 @@
 	Creates an empty queue.
 	@param handlingOf - returns how each piece may be sent.
 	*/
-	static create(cautionOf: CautionSource): PieceQueue {
-		return new PieceQueue(cautionOf);
+	static create(handlingOf: HandlingSource): PieceQueue {
+		return new PieceQueue(handlingOf);
 	}
 
 	private pieces: BatchPiece[] = [];
 	/** Pieces whose deadline passed in the queue; the next sweep fails them. */
 	private expired: BatchPiece[] = [];
 
-	private constructor(private readonly cautionOf: CautionSource) {}
+	private constructor(private readonly handlingOf: HandlingSource) {}
 
 	get size(): number {
 		return this.pieces.length;
@@ -51,8 +51,8 @@
 	Removes all queued pieces; none of them has been started.
 	@param reason - reported as the cause.
 	*/
-	takeAll(reason: PieceFailure): PieceEnd[] {
-		const taken = endsOf(this.pieces, reason);
+	takeAll(reason: PieceFailure): FinishedPiece[] {
+		const taken = finishAll(this.pieces, reason);
 		this.pieces = [];
 		return taken;
 	}
@@ -69,31 +69,31 @@
 
 	/** Pieces that may be sent in one call. A request that may have crashed upstreams goes alone; all others may be combined. */
 	sendable(): readonly BatchPiece[] {
-		const first = this.pieces.find(({work}) => this.mayGo(work));
+		const first = this.pieces.find(({work}) => this.isSendable(work));
 		if (!first) {
 			return [];
 		}
 
 		const {contentId} = first.work;
-		return this.cautionOf(contentId) === cautions.alone
+		return this.handlingOf(contentId) === cautions.alone
 			? this.pieces.filter(({work}) => work.contentId === contentId)
-			: this.pieces.filter(({work}) => this.cautionOf(work.contentId) === cautions.none);
+			: this.pieces.filter(({work}) => this.handlingOf(work.contentId) === cautions.none);
 	}
 
 	/**
 	Removes pieces that are no longer sent: those past their deadline, and those of barred requests.
 	@param nowMs - the current time.
 	*/
-	sweep(nowMs: number): PieceEnd[] {
+	sweep(nowMs: number): FinishedPiece[] {
 		this.dropExpired(nowMs);
 		const {expired} = this;
 		this.expired = [];
-		const barred = new Set(this.pieces.filter(({work}) => this.cautionOf(work.contentId) === cautions.barred));
+		const barred = new Set(this.pieces.filter(({work}) => this.handlingOf(work.contentId) === cautions.barred));
 		if (barred.size > 0) {
 			this.remove(barred);
 		}
 
-		return [...endsOf(expired, pieceFailures.late), ...endsOf([...barred], pieceFailures.failed)];
+		return [...finishAll(expired, pieceFailures.late), ...finishAll([...barred], pieceFailures.failed)];
 	}
 
 	/**
@@ -102,21 +102,21 @@
 	@param perMs - pieces that the pool completes per millisecond.
 	@param nowMs - the current time.
 	*/
-	takeHopeless(perMs: number, nowMs: number): PieceEnd[] {
+	takeUnservable(perMs: number, nowMs: number): FinishedPiece[] {
 		this.sort(nowMs);
-		const hopeless = new Set<string>();
+		const unservable = new Set<string>();
 		for (const [index, {work}] of this.pieces.entries()) {
 			if (isLate(work, nowMs) && nowMs + (index / perMs) > work.lateDueMs) {
-				hopeless.add(work.workId);
+				unservable.add(work.workId);
 			}
 		}
 
-		const taken = this.pieces.filter(({work}) => hopeless.has(work.workId));
+		const taken = this.pieces.filter(({work}) => unservable.has(work.workId));
 		if (taken.length > 0) {
 			this.remove(new Set(taken));
 		}
 
-		return endsOf(taken, pieceFailures.late);
+		return finishAll(taken, pieceFailures.late);
 	}
 
 	/**
@@ -141,9 +141,9 @@
 		return oldestMs;
 	}
 
-	private mayGo({contentId}: BatchWork): boolean {
-		const caution = this.cautionOf(contentId);
-		return caution === cautions.none || caution === cautions.alone;
+	private isSendable({contentId}: BatchWork): boolean {
+		const handling = this.handlingOf(contentId);
+		return handling === cautions.none || handling === cautions.alone;
 	}
 
 	private dropExpired(nowMs: number): void {
@@ -155,6 +155,6 @@
 	}
 }
 
-function endsOf(pieces: readonly BatchPiece[], reason: PieceFailure): PieceEnd[] {
+function finishAll(pieces: readonly BatchPiece[], reason: PieceFailure): FinishedPiece[] {
 	return pieces.map(({work, piece}) => ({work, piece, outcome: {ok: false, reason}}));
 }
--- a/src/preparation/common/pool-upstreams.ts
+++ b/src/preparation/common/pool-upstreams.ts
@@ -54,10 +54,10 @@
 	@param serverId - the upstream that stores them.
 	@param handles - handles of the results.
 	*/
-	released(serverId: string, handles: readonly string[]): void {
+	freeResults(serverId: string, handles: readonly string[]): void {
 		const upstream = this.byId.get(serverId);
 		for (const handle of handles) {
-			upstream?.room.free(handle);
+			upstream?.space.free(handle);
 		}
 	}
 
@@ -78,21 +78,21 @@
 	@param serverId - the upstream.
 	@param nowMs - the current time.
 	*/
-	keptAt(serverId: string, nowMs: number): number {
-		return this.byId.get(serverId)?.room.takenBytes(nowMs) ?? 0;
+	usedBytesAt(serverId: string, nowMs: number): number {
+		return this.byId.get(serverId)?.space.usedBytes(nowMs) ?? 0;
 	}
 
 	/**
 	Returns the space used by results at all upstreams, in bytes.
 	@param nowMs - the current time.
 	*/
-	keptBytes(nowMs: number): number {
-		let keptBytes = 0;
-		for (const {room} of this.byId.values()) {
-			keptBytes += room.takenBytes(nowMs);
+	usedBytes(nowMs: number): number {
+		let usedBytes = 0;
+		for (const {space: space} of this.byId.values()) {
+			usedBytes += space.usedBytes(nowMs);
 		}
 
-		return keptBytes;
+		return usedBytes;
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	@param server - the upstream.
 	@param nowMs - the current time.
 	*/
-	isOpen(server: UpstreamServer, nowMs: number): boolean {
+	isAllowed(server: UpstreamServer, nowMs: number): boolean {
 		return this.allowanceOf(server, nowMs).left > 0;
 	}
 
@@ -109,9 +109,9 @@
 	@param servers - upstreams that accept work.
 	@param nowMs - the current time.
 	*/
-	soundOf(servers: readonly UpstreamServer[], nowMs: number): UpstreamServer[] {
-		const mostSlowness = slowFactor * Math.max(1, this.usualSlowness(servers, nowMs));
-		return servers.filter(server => !this.of(server).isAvoided(nowMs) && this.of(server).slownessAt(nowMs) <= mostSlowness);
+	healthyOf(servers: readonly UpstreamServer[], nowMs: number): UpstreamServer[] {
+		const maxSlowness = slowFactor * Math.max(1, this.typicalSlowness(servers, nowMs));
+		return servers.filter(server => !this.of(server).isAvoided(nowMs) && this.of(server).slownessAt(nowMs) <= maxSlowness);
 	}
 
 	/**
@@ -121,7 +121,7 @@
 	@param capacity - declared capacity of each upstream.
 	@param nowMs - the current time.
 	*/
-	countAtWork(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): number {
+	effectiveCount(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): number {
 		const callMs = fullCallMs(capacity);
 		let count = 0;
 		for (const server of servers) {
@@ -138,7 +138,7 @@
 	@param nowMs - the current time.
 	@returns the ratio; 1 if all upstreams fail.
 	*/
-	usualSlowness(servers: readonly UpstreamServer[], nowMs: number): number {
+	typicalSlowness(servers: readonly UpstreamServer[], nowMs: number): number {
 		const slowness = servers.map(server => this.of(server)).filter(upstream => !upstream.isAvoided(nowMs))
 			.map(upstream => upstream.slownessAt(nowMs)).toSorted((left, right) => left - right);
 		return slowness[Math.floor((slowness.length - 1) / 2)] ?? 1;
--- a/src/preparation/common/preparation.ts
+++ b/src/preparation/common/preparation.ts
@@ -3,7 +3,7 @@
 import type {ResultRef, StepWork} from './work.js';
 
 /** A deferrable step starts once the longest other path has no more than this many steps left. */
-const headStartSteps = 2;
+const maxOtherRemainingSteps = 2;
 
 type Step = {
 	readonly declared: PreparationStep;
@@ -37,24 +37,24 @@
 
 	/** Whether all results that the request reads are available. */
 	get isComplete(): boolean {
-		return this.steps.every((step, index) => !this.isLast(index) || isDone(step));
+		return this.steps.every((step, index) => !this.isFinal(index) || isDone(step));
 	}
 
 	/** Results that the request itself reads: those of the steps on which no other step depends. */
 	get finalRefs(): ResultRef[] {
-		return this.steps.flatMap((step, index) => this.isLast(index) && !step.isSpent ? present(step) : []);
+		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isSpent ? availableRefs(step) : []);
 	}
 
 	/** The same results, each with its upstream and its size in bytes. */
 	finalSizes(): Array<{readonly serverId: string; readonly bytes: number}> {
-		return this.steps.flatMap((step, index) => this.isLast(index) && !step.isSpent
-			? present(step).map(({serverId}) => ({serverId, bytes: step.declared.resultBytes}))
+		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isSpent
+			? availableRefs(step).map(({serverId}) => ({serverId, bytes: step.declared.resultBytes}))
 			: []);
 	}
 
 	/** All results that are stored somewhere. */
 	get allRefs(): ResultRef[] {
-		return this.steps.flatMap(step => step.isSpent ? [] : present(step));
+		return this.steps.flatMap(step => step.isSpent ? [] : availableRefs(step));
 	}
 
 	/**
@@ -62,26 +62,26 @@
 	pool can do.
 	@returns the results.
 	*/
-	takeSpent(): ResultRef[] {
-		const spent: ResultRef[] = [];
+	takeUnneeded(): ResultRef[] {
+		const unneeded: ResultRef[] = [];
 		for (const [index, step] of this.steps.entries()) {
 			if (!step.isSpent && !this.isNeeded(index) && isDone(step)) {
 				step.isSpent = true;
-				spent.push(...present(step));
+				unneeded.push(...availableRefs(step));
 			}
 		}
 
-		return spent;
+		return unneeded;
 	}
 
 	/**
 	Takes the results that the request itself reads, so that they can be released once it has read them.
 	@returns the results.
 	*/
-	takeFinals(): ResultRef[] {
+	takeFinalRefs(): ResultRef[] {
 		const finals = this.finalRefs;
 		for (const [index, step] of this.steps.entries()) {
-			step.isSpent ||= this.isLast(index);
+			step.isSpent ||= this.isFinal(index);
 		}
 
 		return finals;
@@ -92,17 +92,17 @@
 	@param index - the step; its own duration is not included.
 	@param timeOf - returns the duration of a step of a pool.
 	*/
-	timeBehindMs(index: number, timeOf: (pool: string) => number): number {
-		const ways = this.steps.flatMap(({declared, results}, other) =>
-			declared.after.includes(index) && results.length > 0 ? [timeOf(declared.pool) + this.timeBehindMs(other, timeOf)] : []);
-		return Math.max(0, ...ways);
+	dependentsMs(index: number, timeOf: (pool: string) => number): number {
+		const pathsMs = this.steps.flatMap(({declared, results}, other) =>
+			declared.after.includes(index) && results.length > 0 ? [timeOf(declared.pool) + this.dependentsMs(other, timeOf)] : []);
+		return Math.max(0, ...pathsMs);
 	}
 
 	/** Number of steps on the longest path from a step to the end, including the step itself. */
-	stepsLeft(index: number): number {
-		const behind = this.steps.flatMap(({declared, results}, other) =>
-			declared.after.includes(index) && results.length > 0 ? [this.stepsLeft(other)] : []);
-		return 1 + Math.max(0, ...behind);
+	remainingSteps(index: number): number {
+		const counts = this.steps.flatMap(({declared, results}, other) =>
+			declared.after.includes(index) && results.length > 0 ? [this.remainingSteps(other)] : []);
+		return 1 + Math.max(0, ...counts);
 	}
 
 	/**
@@ -110,11 +110,11 @@
 	@returns work; its pieces count as requested from now on.
 	*/
 	advance(): StepWork[] {
-		this.renewSpent();
+		this.renewReleased();
 		const works: StepWork[] = [];
 		for (const [index, step] of this.steps.entries()) {
 			const missing = step.results.flatMap((result, piece) => result !== undefined || step.pending.has(piece) ? [] : [piece]);
-			if (missing.length === 0 || !this.isNeeded(index) || !this.hasInputs(step) || this.canWait(index)) {
+			if (missing.length === 0 || !this.isNeeded(index) || !this.hasInputs(step) || this.canDefer(index)) {
 				continue;
 			}
 
@@ -130,7 +130,7 @@
 
 	/** Results that each piece of a step reads. */
 	inputRefs(index: number): ResultRef[] {
-		return this.steps[index].declared.after.flatMap(input => present(this.steps[input]));
+		return this.steps[index].declared.after.flatMap(input => availableRefs(this.steps[input]));
 	}
 
 	/** Approximate number of bytes that each piece of a step reads. */
@@ -151,7 +151,7 @@
 	@param ref - its result.
 	@returns false if the result is not needed, as when another one arrived first.
 	*/
-	done(index: number, piece: number, ref: ResultRef): boolean {
+	completePiece(index: number, piece: number, ref: ResultRef): boolean {
 		const step = this.steps[index];
 		step.pending.delete(piece);
 		if (step.results[piece]) {
@@ -167,31 +167,31 @@
 	@param index - its step.
 	@param piece - its number.
 	*/
-	failed(index: number, piece: number): void {
+	failPiece(index: number, piece: number): void {
 		this.steps[index].pending.delete(piece);
 	}
 
 	/**
 	Discards inputs of a step that were reported lost.
 	@param index - the step that was to read them.
-	@param isKept - whether a server is still listed; if all of them are, all inputs are computed again.
+	@param isListed - whether a server is still listed; if all of them are, all inputs are computed again.
 	@returns the discarded results.
 	*/
-	inputsLost(index: number, isKept: (serverId: string) => boolean): ResultRef[] {
-		return this.giveUp(this.steps[index].declared.after, isKept);
+	discardInputs(index: number, isListed: (serverId: string) => boolean): ResultRef[] {
+		return this.discard(this.steps[index].declared.after, isListed);
 	}
 
 	/**
 	Discards lost results that the request itself was to read.
-	@param isKept - as for the inputs of a step.
+	@param isListed - as for the inputs of a step.
 	@returns the discarded results.
 	*/
-	finalsLost(isKept: (serverId: string) => boolean): ResultRef[] {
-		return this.giveUp([...this.steps.keys()].filter(index => this.isLast(index) && !this.steps[index].isSpent), isKept);
+	discardFinals(isListed: (serverId: string) => boolean): ResultRef[] {
+		return this.discard([...this.steps.keys()].filter(index => this.isFinal(index) && !this.steps[index].isSpent), isListed);
 	}
 
 	/** Requests released results again if they are needed once more because a result that was computed from them is lost. */
-	private renewSpent(): void {
+	private renewReleased(): void {
 		for (const [index, step] of [...this.steps.entries()].toReversed()) {
 			if (step.isSpent && this.isNeeded(index)) {
 				step.isSpent = false;
@@ -200,23 +200,23 @@
 		}
 	}
 
-	private giveUp(indexes: readonly number[], isKept: (serverId: string) => boolean): ResultRef[] {
-		const refs = indexes.flatMap(index => present(this.steps[index]));
-		const lost = refs.filter(ref => !isKept(ref.serverId));
-		const given = new Set(lost.length > 0 ? lost : refs);
+	private discard(indexes: readonly number[], isListed: (serverId: string) => boolean): ResultRef[] {
+		const refs = indexes.flatMap(index => availableRefs(this.steps[index]));
+		const lost = refs.filter(ref => !isListed(ref.serverId));
+		const discarded = new Set(lost.length > 0 ? lost : refs);
 		for (const index of indexes) {
 			const {results} = this.steps[index];
 			for (const [piece, ref] of results.entries()) {
-				if (ref && given.has(ref)) {
+				if (ref && discarded.has(ref)) {
 					results[piece] = undefined;
 				}
 			}
 		}
 
-		return [...given];
+		return [...discarded];
 	}
 
-	private isLast(index: number): boolean {
+	private isFinal(index: number): boolean {
 		return this.steps.every(({declared}) => !declared.after.includes(index));
 	}
 
@@ -224,18 +224,18 @@
 	Whether a step that only the request itself reads can be deferred. It would be done long before the others, and its
 	results would use space meanwhile. It starts when the longest other path has as many steps left and one more.
 	*/
-	private canWait(index: number): boolean {
-		if (!this.isLast(index) || this.steps[index].declared.after.length > 0) {
+	private canDefer(index: number): boolean {
+		if (!this.isFinal(index) || this.steps[index].declared.after.length > 0) {
 			return false;
 		}
 
-		const others = this.steps.flatMap((step, other) => other !== index && !isDone(step) && this.hasInputs(step) ? [this.stepsLeft(other)] : []);
-		return Math.max(0, ...others) > headStartSteps;
+		const others = this.steps.flatMap((step, other) => other !== index && !isDone(step) && this.hasInputs(step) ? [this.remainingSteps(other)] : []);
+		return Math.max(0, ...others) > maxOtherRemainingSteps;
 	}
 
 	/** Whether something still has to read the results of this step. */
 	private isNeeded(index: number): boolean {
-		return this.isLast(index) || this.steps.some((other, otherIndex) =>
+		return this.isFinal(index) || this.steps.some((other, otherIndex) =>
 			other.declared.after.includes(index) && !isDone(other) && this.isNeeded(otherIndex));
 	}
 
@@ -246,7 +246,7 @@
 	private inputsOf({declared}: Step): string[] | undefined {
 		return declared.after.length === 0
 			? undefined
-			: declared.after.flatMap(index => present(this.steps[index]).map(ref => ref.handle));
+			: declared.after.flatMap(index => availableRefs(this.steps[index]).map(ref => ref.handle));
 	}
 }
 
@@ -254,6 +254,6 @@
 	return step.results.every(Boolean);
 }
 
-function present(step: Step): ResultRef[] {
+function availableRefs(step: Step): ResultRef[] {
 	return step.results.filter(ref => ref !== undefined);
 }
--- a/src/preparation/common/told-waits.ts
+++ b/src/preparation/common/reported-waits.ts
@@ -2,25 +2,25 @@
 import type {BatchWaitsMessage} from '../../wire/common/messages.js';
 
 /** Time for which a reported wait is valid. */
-const toldLifeMs = 500;
+const reportLifetimeMs = 500;
 /** Number of ranks that are reported separately; higher ranks count as the last one. */
-const ranksTold = 6;
+const reportedRanks = 6;
 
 /** Reported waits of one pool, by rank. */
-export type PoolWaits = BatchWaitsMessage['pools'][number];
+export type PoolWaitReport = BatchWaitsMessage['pools'][number];
 
 /** A pool that this host batches, as the source of its waits. */
-export type WaitingPool = {waitMs(rank: number): number};
+export type WaitSource = {waitMs(rank: number): number};
 
-type Told = {readonly waitMsByRank: readonly number[]; readonly atMs: number};
+type StoredReport = {readonly waitMsByRank: readonly number[]; readonly atMs: number};
 
 /** Stores the waits that peers reported, and determines what to report of this host's own pools. */
-export class ToldWaits {
-	static create(): ToldWaits {
-		return new ToldWaits();
+export class ReportedWaits {
+	static create(): ReportedWaits {
+		return new ReportedWaits();
 	}
 
-	private readonly told = new Map<string, Told>();
+	private readonly reports = new Map<string, StoredReport>();
 	/** Pools of this host whose wait was last reported as more than zero. */
 	private readonly waitingPools = new Set<string>();
 
@@ -29,8 +29,8 @@
 	@param waits - the waits by rank.
 	@param nowMs - the current time.
 	*/
-	take({pool, waitMsByRank}: PoolWaits, nowMs: number): void {
-		this.told.set(pool, {waitMsByRank, atMs: nowMs});
+	record({pool, waitMsByRank}: PoolWaitReport, nowMs: number): void {
+		this.reports.set(pool, {waitMsByRank, atMs: nowMs});
 	}
 
 	/**
@@ -41,23 +41,23 @@
 	@returns the wait; 0 if none was reported recently.
 	*/
 	waitMs(pool: string, rank: number, nowMs: number): number {
-		const told = this.told.get(pool);
-		const isFresh = told !== undefined && nowMs - told.atMs < toldLifeMs;
-		return isFresh ? told.waitMsByRank[Math.min(rank, ranksTold - 1)] ?? 0 : 0;
+		const report = this.reports.get(pool);
+		const isFresh = report !== undefined && nowMs - report.atMs < reportLifetimeMs;
+		return isFresh ? report.waitMsByRank[Math.min(rank, reportedRanks - 1)] ?? 0 : 0;
 	}
 
 	/**
 	Returns the waits to report to peers now: those of pools with a queue, and one report for each queue that has emptied.
 	@param pools - the pools that this host batches.
 	*/
-	news(pools: ReadonlyMap<string, WaitingPool>): PoolWaits[] {
-		const news: PoolWaits[] = [];
-		for (const [pool, batches] of pools) {
-			const waitMsByRank = Array.from({length: ranksTold}, (_, rank) => Math.round(batches.waitMs(rank)));
+	updates(pools: ReadonlyMap<string, WaitSource>): PoolWaitReport[] {
+		const updates: PoolWaitReport[] = [];
+		for (const [pool, source] of pools) {
+			const waitMsByRank = Array.from({length: reportedRanks}, (_, rank) => Math.round(source.waitMs(rank)));
 			const hasWait = waitMsByRank.some(waitMs => waitMs > 0);
 			const wasWaiting = this.waitingPools.delete(pool);
 			if (hasWait || wasWaiting) {
-				news.push({pool, waitMsByRank});
+				updates.push({pool, waitMsByRank});
 			}
 
 			if (hasWait) {
@@ -65,6 +65,6 @@
 			}
 		}
 
-		return news;
+		return updates;
 	}
 }
--- a/src/preparation/common/result-room.ts
+++ b/src/preparation/common/result-space.ts
@@ -4,54 +4,54 @@
 */
 
 /** Share of an upstream's space for results that is used: the upstream's own count may be ahead of the count here. */
-const usedRoomShare = 0.95;
+const usableShare = 0.95;
 /** Share of the space used by unknown results that is assumed to be still in use after a call that found enough space. */
-const unknownRoomKept = 0.5;
+const unknownRetainedShare = 0.5;
 /** Time, about one call, after which an upstream without space is tried again with one result of the size it refused. */
-const roomTryMs = 250;
+const refusedRetryMs = 250;
 
-type Held = {readonly bytes: number; readonly untilMs: number};
+type UsedSpace = {readonly bytes: number; readonly untilMs: number};
 
 /** Space usage derived from the response to a call. */
-export type RoomReading = {
+export type SpaceReport = {
 	/** Total size of the results that were stored. */
-	readonly madeBytes: number;
+	readonly storedBytes: number;
 	/** Size of the smallest result that found no space; absent if all did. */
 	readonly refusedBytes: number | undefined;
 };
 
 /** Tracks the space at one upstream. */
-export class ResultRoom {
-	static create(): ResultRoom {
-		return new ResultRoom();
+export class ResultSpace {
+	static create(): ResultSpace {
+		return new ResultSpace();
 	}
 
-	private readonly results = new Map<string, Held>();
+	private readonly results = new Map<string, UsedSpace>();
 	/** Space used by results unknown to this host; the upstream drops them itself in the end. */
-	private unknown: Held | undefined;
+	private unknown: UsedSpace | undefined;
 	/** Space reserved for one refused result until it is tried again. */
-	private refused: Held | undefined;
+	private refused: UsedSpace | undefined;
 
 	/**
 	Returns the space available for new results, in bytes.
 	@param roomBytes - space of the upstream, as declared.
 	@param nowMs - the current time.
 	*/
-	leftBytes(roomBytes: number, nowMs: number): number {
-		return (roomBytes * usedRoomShare) - this.takenBytes(nowMs);
+	freeBytes(roomBytes: number, nowMs: number): number {
+		return (roomBytes * usableShare) - this.usedBytes(nowMs);
 	}
 
 	/**
 	Returns the space in use, in bytes, and removes expired results.
 	@param nowMs - the current time.
 	*/
-	takenBytes(nowMs: number): number {
+	usedBytes(nowMs: number): number {
 		let sumBytes = bytesAt(this.unknown, nowMs) + bytesAt(this.refused, nowMs);
-		for (const [handle, held] of this.results) {
-			if (nowMs >= held.untilMs) {
+		for (const [handle, used] of this.results) {
+			if (nowMs >= used.untilMs) {
 				this.results.delete(handle);
 			} else {
-				sumBytes += held.bytes;
+				sumBytes += used.bytes;
 			}
 		}
 
@@ -64,7 +64,7 @@
 	@param bytes - its size.
 	@param untilMs - when the upstream drops it by itself.
 	*/
-	keep(handle: string, bytes: number, untilMs: number): void {
+	add(handle: string, bytes: number, untilMs: number): void {
 		this.results.set(handle, {bytes, untilMs});
 	}
 
@@ -81,19 +81,19 @@
 	@param capacity - space of the upstream, and how long it stores results.
 	@param nowMs - the current time.
 	*/
-	learn({madeBytes, refusedBytes}: RoomReading, capacity: {readonly roomBytes: number; readonly resultTtlMs: number}, nowMs: number): void {
+	update({storedBytes: storedBytes, refusedBytes}: SpaceReport, capacity: {readonly roomBytes: number; readonly resultTtlMs: number}, nowMs: number): void {
 		if (refusedBytes !== undefined) {
 			this.unknown = undefined;
 			this.refused = undefined;
-			const unknownBytes = this.leftBytes(capacity.roomBytes, nowMs) - madeBytes - refusedBytes;
+			const unknownBytes = this.freeBytes(capacity.roomBytes, nowMs) - storedBytes - refusedBytes;
 			this.unknown = {bytes: Math.max(0, unknownBytes), untilMs: nowMs + capacity.resultTtlMs};
-			this.refused = {bytes: refusedBytes, untilMs: nowMs + roomTryMs};
-		} else if (this.unknown && madeBytes > 0) {
-			this.unknown = {...this.unknown, bytes: this.unknown.bytes * unknownRoomKept};
+			this.refused = {bytes: refusedBytes, untilMs: nowMs + refusedRetryMs};
+		} else if (this.unknown && storedBytes > 0) {
+			this.unknown = {...this.unknown, bytes: this.unknown.bytes * unknownRetainedShare};
 		}
 	}
 }
 
-function bytesAt(held: Held | undefined, nowMs: number): number {
-	return held === undefined || nowMs >= held.untilMs ? 0 : held.bytes;
+function bytesAt(used: UsedSpace | undefined, nowMs: number): number {
+	return used === undefined || nowMs >= used.untilMs ? 0 : used.bytes;
 }
--- a/src/preparation/common/slow-pool.test.ts
+++ b/src/preparation/common/slow-pool.test.ts
@@ -12,7 +12,7 @@
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import {admit} from './admission.js';
 import type {BatchCall} from './batch-call.js';
-import {BatchMachine} from './batch-machine.js';
+import {BatchScheduler} from './batch-scheduler.js';
 import type {BatchWork, PieceOutcome} from './work.js';
 
 const capacity: BatchCapacity = {
@@ -52,7 +52,7 @@
 
 /** Simulates a load. Returns the outcomes of the requests, and the number of calls to each worker. */
 function play({perS, slowness, untilMs}: Load) {
-	const machine = BatchMachine.create();
+	const scheduler = BatchScheduler.create();
 	const open = new Map<string, {readonly receivedMs: number; left: number}>();
 	const calls: BatchCall[] = [];
 	const callCounts = servers.map(() => 0);
@@ -61,13 +61,13 @@
 	let served = 0;
 	let owed = 0;
 	const take = (call: BatchCall, nowMs: number) => {
-		machine.answered(call, call.pieces.map((_, piece): PieceOutcome => ({ok: true, ref: {handle: `${call.callId}-${piece}`, serverId: call.server.serverId}})), capacity, nowMs);
+		scheduler.completeCall(call, call.pieces.map((_, piece): PieceOutcome => ({ok: true, ref: {handle: `${call.callId}-${piece}`, serverId: call.server.serverId}})), capacity, nowMs);
 		for (const {work} of call.pieces) {
 			const request = open.get(work.workId)!;
 			request.left--;
 			if (request.left === 0 && work.step === 0) {
 				request.left = piecesOf[1];
-				machine.add(workOf(work.workId, 1, request.receivedMs), nowMs);
+				scheduler.add(workOf(work.workId, 1, request.receivedMs), nowMs);
 			} else if (request.left === 0) {
 				served++;
 			}
@@ -81,11 +81,11 @@
 			const workId = `r${asked}`;
 			asked++;
 			const admission = admit({
-				index, route, pieceCounts: piecesOf, rank: 0, afterwardsMs: 20, sinceFirstTryMs: 0, chance: 0,
-			}, {waitMs: (_, rank) => machine.waitMs(servers, capacity, rank, nowMs)});
+				index, route, pieceCounts: piecesOf, rank: 0, firstTokenMs: 20, sinceFirstTryMs: 0, jitter: 0,
+			}, {waitMs: (_, rank) => scheduler.waitMs(servers, capacity, rank, nowMs)});
 			if (admission.isAdmitted) {
 				open.set(workId, {receivedMs: nowMs, left: piecesOf[0]});
-				machine.add(workOf(workId, 0, nowMs), nowMs);
+				scheduler.add(workOf(workId, 0, nowMs), nowMs);
 			} else {
 				refusedMs.push(nowMs);
 			}
@@ -93,8 +93,8 @@
 
 		for (const call of calls.splice(0)) {
 			const number = servers.indexOf(call.server);
-			if (nowMs >= call.limitMs) {
-				machine.failed(call, 'broken', nowMs);
+			if (nowMs >= call.deadlineMs) {
+				scheduler.failCall(call, 'broken', nowMs);
 			} else if (nowMs >= call.sentMs + (declaredMs(call.pieces.length) * slowness[number])) {
 				take(call, nowMs);
 			} else {
@@ -102,13 +102,13 @@
 			}
 		}
 
-		for (const call of machine.nextCalls(servers, capacity, nowMs)) {
+		for (const call of scheduler.nextCalls(servers, capacity, nowMs)) {
 			callCounts[servers.indexOf(call.server)]++;
 			calls.push(call);
 		}
 
-		machine.giveUpLate(servers, capacity, nowMs);
-		machine.sweep(() => true, nowMs);
+		scheduler.failLate(servers, capacity, nowMs);
+		scheduler.sweep(() => true, nowMs);
 	}
 
 	return {
--- a/src/preparation/common/step-times.ts
+++ b/src/preparation/common/step-times.ts
@@ -6,7 +6,7 @@
 Durations are capped at this multiple of the typical one: a step that gave way to more urgent ones says little about the
 pool.
 */
-const mostFactor = 3;
+const maxFactor = 3;
 
 /** Moving averages of step durations. */
 export class StepTimes {
@@ -14,7 +14,7 @@
 		return new StepTimes();
 	}
 
-	private readonly usual = new Map<string, number>();
+	private readonly typical = new Map<string, number>();
 
 	/**
 	Records the duration of a finished step.
@@ -22,12 +22,12 @@
 	@param tookMs - time from submission to completion.
 	*/
 	record(pool: string, tookMs: number): void {
-		const usualMs = this.usual.get(pool);
-		this.usual.set(pool, usualMs === undefined ? tookMs : usualMs + (smoothing * (Math.min(tookMs, usualMs * mostFactor) - usualMs)));
+		const typicalMs = this.typical.get(pool);
+		this.typical.set(pool, typicalMs === undefined ? tookMs : typicalMs + (smoothing * (Math.min(tookMs, typicalMs * maxFactor) - typicalMs)));
 	}
 
 	/** @returns the typical duration of the pool's steps, or undefined before one is done. */
-	usualMs(pool: string): number | undefined {
-		return this.usual.get(pool);
+	typicalMs(pool: string): number | undefined {
+		return this.typical.get(pool);
 	}
 }
--- a/src/preparation/common/throughput.ts
+++ b/src/preparation/common/throughput.ts
@@ -3,12 +3,12 @@
 
 const windowMs = 1500;
 /** Minimum age of a queue before its throughput is significant: several calls of each upstream. */
-const shortestMs = 700;
+const minQueueAgeMs = 700;
 /**
 Share of the declared throughput that is assumed for a pool that made no progress: the hosts may have been lost rather
 than its upstreams.
 */
-const leastHopedShare = 0.25;
+const minAssumedShare = 0.25;
 
 /** Counts the pieces completed while a queue exists. */
 export class Throughput {
@@ -16,17 +16,17 @@
 		return new Throughput();
 	}
 
-	private done: Array<{readonly atMs: number; readonly pieces: number}> = [];
-	private beganMs = 0;
+	private completed: Array<{readonly atMs: number; readonly pieces: number}> = [];
+	private queueStartMs = 0;
 
 	/** Starts a new measurement when work is queued after a time without a queue. */
-	queueBegan(nowMs: number): void {
-		this.beganMs = nowMs;
-		this.done = [];
+	startQueue(nowMs: number): void {
+		this.queueStartMs = nowMs;
+		this.completed = [];
 	}
 
-	count(pieces: number, nowMs: number): void {
-		this.done.push({atMs: nowMs, pieces});
+	record(pieces: number, nowMs: number): void {
+		this.completed.push({atMs: nowMs, pieces});
 	}
 
 	/**
@@ -36,9 +36,9 @@
 	@param capacity - capacity of each upstream.
 	@param nowMs - the current time.
 	*/
-	donePerMs(upstreams: number, capacity: BatchCapacity, nowMs: number): number {
-		const best = bestPerMs(upstreams, capacity);
-		return Math.min(best, this.seenPerMs(nowMs) ?? best);
+	piecesPerMs(upstreams: number, capacity: BatchCapacity, nowMs: number): number {
+		const declaredRate = declaredPerMs(upstreams, capacity);
+		return Math.min(declaredRate, this.measuredPerMs(nowMs) ?? declaredRate);
 	}
 
 	/**
@@ -47,19 +47,19 @@
 	@param capacity - capacity of each upstream.
 	@param nowMs - the current time.
 	*/
-	hopedPerMs(upstreams: number, capacity: BatchCapacity, nowMs: number): number {
-		return Math.max(this.donePerMs(upstreams, capacity, nowMs), leastHopedShare * bestPerMs(upstreams, capacity));
+	optimisticPiecesPerMs(upstreams: number, capacity: BatchCapacity, nowMs: number): number {
+		return Math.max(this.piecesPerMs(upstreams, capacity, nowMs), minAssumedShare * declaredPerMs(upstreams, capacity));
 	}
 
 	/** Pieces completed per millisecond; undefined while the queue is too young. */
-	private seenPerMs(nowMs: number): number | undefined {
-		const sinceMs = Math.max(this.beganMs, nowMs - windowMs);
-		if (nowMs - sinceMs < shortestMs) {
+	private measuredPerMs(nowMs: number): number | undefined {
+		const sinceMs = Math.max(this.queueStartMs, nowMs - windowMs);
+		if (nowMs - sinceMs < minQueueAgeMs) {
 			return undefined;
 		}
 
-		this.done = this.done.filter(({atMs}) => atMs > sinceMs);
-		const pieces = this.done.reduce((sum, item) => sum + item.pieces, 0);
+		this.completed = this.completed.filter(({atMs}) => atMs > sinceMs);
+		const pieces = this.completed.reduce((sum, item) => sum + item.pieces, 0);
 		return Math.max(1, pieces) / (nowMs - sinceMs);
 	}
 }
@@ -73,6 +73,6 @@
 }
 
 /** Declared number of pieces per millisecond with full calls. */
-function bestPerMs(upstreams: number, capacity: BatchCapacity): number {
+function declaredPerMs(upstreams: number, capacity: BatchCapacity): number {
 	return (upstreams * capacity.batchSize) / fullCallMs(capacity);
 }
--- a/src/preparation/common/work-messages.ts
+++ b/src/preparation/common/work-messages.ts
@@ -3,7 +3,7 @@
 clocks differ.
 */
 import type {BatchEndsMessage, BatchWorkMessage} from '../../wire/common/messages.js';
-import type {PieceEnd} from './batch-call.js';
+import type {FinishedPiece} from './batch-call.js';
 import {
 	pieceFailures, type BatchWork, type PieceFailure, type PieceOutcome,
 } from './work.js';
@@ -42,7 +42,7 @@
 Creates the message that reports the outcome of a piece to the host that submitted it.
 @param end - the outcome.
 */
-export function messageOfEnd({work, piece, outcome}: PieceEnd): BatchEndsMessage {
+export function messageOfFinished({work, piece, outcome}: FinishedPiece): BatchEndsMessage {
 	return {
 		type: 'batchEnds',
 		workId: work.workId,
--- a/src/preparation/node/batch-desk.test.ts
+++ b/src/preparation/node/batch-handler.test.ts
@@ -5,25 +5,25 @@
 import type {PeerMessage} from '../../peers/node/peer-mesh.js';
 import {rendezvousOwner} from '../../routing/common/rendezvous.js';
 import type {Message} from '../../wire/common/messages.js';
-import type {PieceEnd} from '../common/batch-call.js';
+import type {FinishedPiece} from '../common/batch-call.js';
 import {pieceFailures, type BatchWork, type PieceOutcome} from '../common/work.js';
-import {BatchDesk, type PeerLine, type PoolBatches} from './batch-desk.js';
+import {BatchHandler, type BatchPeerMesh, type PoolBatches} from './batch-handler.js';
 
 /** Hosts of one test, each with its handler; messages arrive immediately. */
 class Hosts {
-	readonly desks = new Map<string, BatchDesk>();
+	readonly handlers = new Map<string, BatchHandler>();
 	readonly clock = ManualClock.create();
 	/** Pieces held by each host, by host ID. */
-	readonly queues = new Map<string, PieceEnd[]>();
-	private readonly lines = new Map<string, {readonly receive: Emitter<PeerMessage>; readonly change: Emitter<void>}>();
-	private readonly rooms = new Map<string, number>();
+	readonly queues = new Map<string, FinishedPiece[]>();
+	private readonly meshEvents = new Map<string, {readonly receive: Emitter<PeerMessage>; readonly change: Emitter<void>}>();
+	private readonly capacities = new Map<string, number>();
 	private live: string[] = [];
 
-	add(hostId: string, room = 1): BatchDesk {
-		this.rooms.set(hostId, room);
+	add(hostId: string, capacity = 1): BatchHandler {
+		this.capacities.set(hostId, capacity);
 		const receive = Emitter.create<PeerMessage>();
 		const change = Emitter.create<void>();
-		const mesh: PeerLine = {
+		const mesh: BatchPeerMesh = {
 			onDidReceive: receive.event,
 			onDidChange: change.event,
 			onDidLose: Emitter.create<string>().event,
@@ -31,39 +31,39 @@
 			send: (to, message) => this.deliver(hostId, to, message),
 			broadcast: () => undefined,
 		};
-		Object.defineProperty(mesh, 'liveRooms', {get: () => new Map(this.live.filter(other => other !== hostId).map(other => [other, this.rooms.get(other) ?? 0]))});
-		this.lines.set(hostId, {receive, change});
-		const desk = BatchDesk.create({
-			hostId, room, mesh, clock: this.clock, log: silentLoggers.for('test'),
+		Object.defineProperty(mesh, 'liveRooms', {get: () => new Map(this.live.filter(other => other !== hostId).map(other => [other, this.capacities.get(other) ?? 0]))});
+		this.meshEvents.set(hostId, {receive, change});
+		const handler = BatchHandler.create({
+			hostId, capacity: capacity, mesh, clock: this.clock, log: silentLoggers.for('test'),
 			isLeaving: () => !this.live.includes(hostId),
-			makePool: (pool, ended) => this.makePool(hostId, pool, ended),
+			makePool: (pool, onFinished) => this.makePool(hostId, pool, onFinished),
 		});
-		this.desks.set(hostId, desk);
+		this.handlers.set(hostId, handler);
 		this.setLive([...this.live, hostId]);
-		return desk;
+		return handler;
 	}
 
 	setLive(live: string[]): void {
 		this.live = live;
-		for (const {change} of this.lines.values()) {
+		for (const {change} of this.meshEvents.values()) {
 			change.fire();
 		}
 	}
 
 	private deliver(from: string, to: string, message: Message): boolean {
-		this.lines.get(to)?.receive.fire({hostId: from, message});
-		return this.lines.has(to);
+		this.meshEvents.get(to)?.receive.fire({hostId: from, message});
+		return this.meshEvents.has(to);
 	}
 
-	private makePool(hostId: string, _pool: string, ended: (end: PieceEnd) => void): PoolBatches {
-		const queue: PieceEnd[] = [];
+	private makePool(hostId: string, _pool: string, ended: (end: FinishedPiece) => void): PoolBatches {
+		const queue: FinishedPiece[] = [];
 		this.queues.set(hostId, queue);
 		return {
 			get isIdle() {
 				return queue.length === 0;
 			},
 			add(work) {
-				queue.push(...work.pieces.map((piece): PieceEnd => ({work, piece, outcome: {ok: true, ref: {handle: `${hostId}${piece}`, serverId: 's'}}})));
+				queue.push(...work.pieces.map((piece): FinishedPiece => ({work, piece, outcome: {ok: true, ref: {handle: `${hostId}${piece}`, serverId: 's'}}})));
 			},
 			cancel: () => undefined,
 			handOver() {
@@ -98,10 +98,10 @@
 	t.equal(hosts.queues.get(other)!.length, 0);
 	t.equal(hosts.queues.get(owner)!.length, 2);
 	hosts.setLive([other]);
-	hosts.desks.get(owner)!.handOver();
+	hosts.handlers.get(owner)!.handOver();
 	t.equal(hosts.queues.get(owner)!.length, 0, 'a host that is leaving transfers its queue');
 	t.equal(hosts.queues.get(other)!.length, 2);
-	t.ok(hosts.desks.get(owner)!.isIdle, 'and holds nothing any more');
+	t.ok(hosts.handlers.get(owner)!.isIdle, 'and holds nothing any more');
 	t.same(outcomes, []);
 });
 
--- a/src/preparation/node/batch-desk.ts
+++ b/src/preparation/node/batch-handler.ts
@@ -11,10 +11,10 @@
 import {roomiestHosts} from '../../routing/common/host-room.js';
 import {rendezvousOwner} from '../../routing/common/rendezvous.js';
 import type {BatchEndsMessage, BatchWaitsMessage, Message} from '../../wire/common/messages.js';
-import type {PieceEnd} from '../common/batch-call.js';
-import {ToldWaits} from '../common/told-waits.js';
+import type {FinishedPiece} from '../common/batch-call.js';
+import {ReportedWaits} from '../common/reported-waits.js';
 import {
-	messageOfEnd, messageOfWork, outcomeOfEnd, workOfMessage,
+	messageOfFinished, messageOfWork, outcomeOfEnd, workOfMessage,
 } from '../common/work-messages.js';
 import {
 	pieceFailures, type BatchWork, type PieceOutcome, type ResultRef,
@@ -22,12 +22,12 @@
 import type {BatchPool} from './batch-pool.js';
 
 /** Receives the outcomes of the pieces of one work as they arrive, one for each piece. */
-export type EndsTaker = (piece: number, outcome: PieceOutcome) => void;
+export type PieceListener = (piece: number, outcome: PieceOutcome) => void;
 
 /** Accepts work of requests and releases results. */
-export type WorkTaker = {
+export type WorkHandler = {
 	/** Submits work. */
-	submit(work: BatchWork, taker: EndsTaker): void;
+	submit(work: BatchWork, listener: PieceListener): void;
 	/** Cancels work that is not finished. */
 	cancel(workId: string): void;
 	/** Releases results that a pool stores. */
@@ -37,62 +37,62 @@
 };
 
 /** Connections to peers, as needed for batching. */
-export type PeerLine = Pick<PeerMesh, 'onDidReceive' | 'onDidLose' | 'onDidChange' | 'liveRooms' | 'send' | 'broadcast'>;
+export type BatchPeerMesh = Pick<PeerMesh, 'onDidReceive' | 'onDidLose' | 'onDidChange' | 'liveRooms' | 'send' | 'broadcast'>;
 
 /** Batches of one pool. */
 export type PoolBatches = Pick<BatchPool, 'isIdle' | 'add' | 'cancel' | 'handOver' | 'release' | 'waitMs' | 'dispose'>;
 
 /** Dependencies and settings. */
-export type BatchDeskOptions = {
+export type BatchHandlerOptions = {
 	readonly hostId: string;
 	/** This host's capacity for shared work. */
-	readonly room: number;
-	readonly mesh: PeerLine;
+	readonly capacity: number;
+	readonly mesh: BatchPeerMesh;
 	readonly clock: Clock;
 	readonly log: Logger;
 	/** Whether this host is about to stop, so that other hosts batch instead. */
 	readonly isLeaving: () => boolean;
-	readonly makePool: (pool: string, ended: (end: PieceEnd) => void) => PoolBatches;
+	readonly makePool: (pool: string, onFinished: (finished: FinishedPiece) => void) => PoolBatches;
 };
 
 /** Interval at which waits are reported and work queued here for other hosts is transferred: several times per call duration. */
-const tellMs = 100;
+const reportIntervalMs = 100;
 
 /** A peer whose work this host holds, and the number of its unfinished pieces. */
-type Asker = {readonly hostId: string; open: number};
+type PeerWork = {readonly hostId: string; openCount: number};
 
 /** Work this host submitted: its unfinished pieces, and the host that batches it. */
-type Asked = {readonly work: BatchWork; readonly taker: EndsTaker; readonly open: Set<number>; owner: string};
+type SubmittedWork = {readonly work: BatchWork; readonly listener: PieceListener; readonly openPieces: Set<number>; owner: string};
 
-export const batchDeskToken: InjectionToken<BatchDesk> = Symbol('BatchDesk');
+export const batchHandlerToken: InjectionToken<BatchHandler> = Symbol('BatchDesk');
 
 /** Submits work to the hosts that batch it, and batches what is submitted to this host. */
-export class BatchDesk implements WorkTaker, Disposable {
-	static create(options: BatchDeskOptions): BatchDesk {
-		return new BatchDesk(options);
+export class BatchHandler implements WorkHandler, Disposable {
+	static create(options: BatchHandlerOptions): BatchHandler {
+		return new BatchHandler(options);
 	}
 
 	/** Unfinished work of this host's own requests, by work ID. */
-	private readonly asked = new Map<string, Asked>();
+	private readonly submitted = new Map<string, SubmittedWork>();
 	/** Work of peers held by this host, by work ID. */
-	private readonly askers = new Map<string, Asker>();
+	private readonly peerWorks = new Map<string, PeerWork>();
 	/** Pools this host batches, or has batched. */
 	private readonly pools = new Map<string, PoolBatches>();
 	private readonly owned = DisposableStore.create();
-	private readonly toldWaits = ToldWaits.create();
+	private readonly reportedWaits = ReportedWaits.create();
 
-	private constructor(private readonly options: BatchDeskOptions) {
+	private constructor(private readonly options: BatchHandlerOptions) {
 		const {mesh} = options;
-		this.owned.add(setRepeating(options.clock, () => tellMs, () => {
+		this.owned.add(setRepeating(options.clock, () => reportIntervalMs, () => {
 			// Pieces of failed calls are queued again where they were, even if another host batches the pool by now.
 			this.handOver();
-			this.tellWaits();
+			this.reportWaits();
 		}));
 		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
-			this.receive(hostId, message);
+			this.handleMessage(hostId, message);
 		}));
 		this.owned.add(mesh.onDidLose(hostId => {
-			this.lost(hostId);
+			this.handleLostPeer(hostId);
 		}));
 		this.owned.add(mesh.onDidChange(() => {
 			this.handOver();
@@ -101,7 +101,7 @@
 
 	/** Whether no work of this host or of a peer is queued or in progress here. */
 	get isIdle(): boolean {
-		return this.askers.size === 0 && [...this.pools.values()].every(pool => pool.isIdle);
+		return this.peerWorks.size === 0 && [...this.pools.values()].every(pool => pool.isIdle);
 	}
 
 	/**
@@ -113,7 +113,7 @@
 	waitMs(pool: string, rank: number): number {
 		return this.ownerOf(pool) === this.options.hostId
 			? this.pools.get(pool)?.waitMs(rank) ?? 0
-			: this.toldWaits.waitMs(pool, rank, this.options.clock.nowMs());
+			: this.reportedWaits.waitMs(pool, rank, this.options.clock.nowMs());
 	}
 
 	/**
@@ -121,12 +121,12 @@
 	@param work - pieces of one step.
 	@param listener - called once with the outcome of each piece.
 	*/
-	submit(work: BatchWork, taker: EndsTaker): void {
-		const asked: Asked = {
-			work, taker, open: new Set(work.pieces), owner: '',
+	submit(work: BatchWork, listener: PieceListener): void {
+		const submitted: SubmittedWork = {
+			work, listener: listener, openPieces: new Set(work.pieces), owner: '',
 		};
-		this.asked.set(work.workId, asked);
-		this.place(asked, work.pieces);
+		this.submitted.set(work.workId, submitted);
+		this.submitPieces(submitted, work.pieces);
 	}
 
 	/**
@@ -134,17 +134,17 @@
 	@param workId - ID of the work.
 	*/
 	cancel(workId: string): void {
-		const asked = this.asked.get(workId);
-		if (!asked) {
+		const submitted = this.submitted.get(workId);
+		if (!submitted) {
 			return;
 		}
 
-		this.asked.delete(workId);
-		const {pool} = asked.work;
-		if (asked.owner === this.options.hostId) {
+		this.submitted.delete(workId);
+		const {pool} = submitted.work;
+		if (submitted.owner === this.options.hostId) {
 			this.pools.get(pool)?.cancel(workId);
 		} else {
-			this.options.mesh.send(asked.owner, {type: 'batchCancel', pool, workId});
+			this.options.mesh.send(submitted.owner, {type: 'batchCancel', pool, workId});
 		}
 	}
 
@@ -183,8 +183,8 @@
 		}
 	}
 
-	private tellWaits(): void {
-		const pools = this.toldWaits.news(this.pools);
+	private reportWaits(): void {
+		const pools = this.reportedWaits.updates(this.pools);
 		if (pools.length > 0) {
 			this.options.mesh.broadcast({type: 'batchWaits', pools});
 		}
@@ -192,30 +192,30 @@
 
 	/** Returns the host that batches for a pool now. */
 	private ownerOf(pool: string): string {
-		const {hostId, room, mesh, isLeaving} = this.options;
-		const rooms = mesh.liveRooms;
-		const batchesItself = !isLeaving() || rooms.size === 0;
-		return rendezvousOwner(pool, roomiestHosts(batchesItself ? new Map([...rooms, [hostId, room]]) : rooms)) ?? hostId;
+		const {hostId, capacity: capacity, mesh, isLeaving} = this.options;
+		const capacities = mesh.liveRooms;
+		const isCandidate = !isLeaving() || capacities.size === 0;
+		return rendezvousOwner(pool, roomiestHosts(isCandidate ? new Map([...capacities, [hostId, capacity]]) : capacities)) ?? hostId;
 	}
 
 	/** Submits pieces to the host that batches their pool, or queues them here if that host can't be reached. */
-	private place(asked: Asked, pieces: readonly number[]): void {
+	private submitPieces(submitted: SubmittedWork, pieces: readonly number[]): void {
 		const {hostId, mesh, clock} = this.options;
-		const work = {...asked.work, pieces};
-		asked.owner = this.ownerOf(work.pool);
-		if (asked.owner !== hostId && mesh.send(asked.owner, messageOfWork(work, clock.nowMs()))) {
+		const work = {...submitted.work, pieces};
+		submitted.owner = this.ownerOf(work.pool);
+		if (submitted.owner !== hostId && mesh.send(submitted.owner, messageOfWork(work, clock.nowMs()))) {
 			return;
 		}
 
-		asked.owner = hostId;
+		submitted.owner = hostId;
 		this.poolOf(work.pool).add(work);
 	}
 
 	private poolOf(name: string): PoolBatches {
 		let pool = this.pools.get(name);
 		if (!pool) {
-			pool = this.options.makePool(name, end => {
-				this.ended(end);
+			pool = this.options.makePool(name, finished => {
+				this.handleFinished(finished);
 			});
 			this.pools.set(name, pool);
 		}
@@ -223,28 +223,28 @@
 		return pool;
 	}
 
-	private receive(hostId: string, message: Message): void {
+	private handleMessage(hostId: string, message: Message): void {
 		switch (message.type) {
 			case 'batchWork': {
 				// Pieces of one work may arrive in several messages, as when they were transferred.
-				const known = this.askers.get(message.workId);
-				this.askers.set(message.workId, {hostId, open: (known?.open ?? 0) + message.pieces.length});
+				const held = this.peerWorks.get(message.workId);
+				this.peerWorks.set(message.workId, {hostId, openCount: (held?.openCount ?? 0) + message.pieces.length});
 				this.poolOf(message.pool).add(workOfMessage(message, this.options.clock.nowMs()));
 				break;
 			}
 
 			case 'batchEnds': {
-				this.takeEnds(message);
+				this.handleEnds(message);
 				break;
 			}
 
 			case 'batchWaits': {
-				this.takeWaits(hostId, message);
+				this.handleWaitReports(hostId, message);
 				break;
 			}
 
 			case 'batchCancel': {
-				this.askers.delete(message.workId);
+				this.peerWorks.delete(message.workId);
 				this.pools.get(message.pool)?.cancel(message.workId);
 				break;
 			}
@@ -261,11 +261,11 @@
 	}
 
 	/** Handles the outcome of a piece of this host's own pools. */
-	private ended(end: PieceEnd): void {
-		const {work: {workId, pool}, piece, outcome} = end;
-		const asker = this.askers.get(workId);
-		if (asker === undefined) {
-			if (!this.tell(workId, piece, outcome) && outcome.ok) {
+	private handleFinished(finished: FinishedPiece): void {
+		const {work: {workId, pool}, piece, outcome} = finished;
+		const peerWork = this.peerWorks.get(workId);
+		if (peerWork === undefined) {
+			if (!this.notify(workId, piece, outcome) && outcome.ok) {
 				// The request has ended in the meantime: the result would only use space.
 				this.poolOf(pool).release([outcome.ref]);
 			}
@@ -273,63 +273,63 @@
 			return;
 		}
 
-		asker.open--;
-		if (asker.open <= 0) {
-			this.askers.delete(workId);
+		peerWork.openCount--;
+		if (peerWork.openCount <= 0) {
+			this.peerWorks.delete(workId);
 		}
 
-		this.options.mesh.send(asker.hostId, messageOfEnd(end));
+		this.options.mesh.send(peerWork.hostId, messageOfFinished(finished));
 	}
 
 	/** Only the host that batches a pool knows its wait. */
-	private takeWaits(hostId: string, {pools}: BatchWaitsMessage): void {
+	private handleWaitReports(hostId: string, {pools}: BatchWaitsMessage): void {
 		for (const waits of pools) {
 			if (this.ownerOf(waits.pool) === hostId) {
-				this.toldWaits.take(waits, this.options.clock.nowMs());
+				this.reportedWaits.record(waits, this.options.clock.nowMs());
 			}
 		}
 	}
 
-	private takeEnds({workId, pool, ends}: BatchEndsMessage): void {
+	private handleEnds({workId, pool, ends}: BatchEndsMessage): void {
 		for (const end of ends) {
 			const outcome = outcomeOfEnd(end);
-			if (!this.tell(workId, end.piece, outcome) && outcome.ok) {
+			if (!this.notify(workId, end.piece, outcome) && outcome.ok) {
 				this.release(pool, [outcome.ref]);
 			}
 		}
 	}
 
 	/** @returns whether the outcome was still awaited. */
-	private tell(workId: string, piece: number, outcome: PieceOutcome): boolean {
-		const asked = this.asked.get(workId);
-		if (!asked?.open.has(piece)) {
+	private notify(workId: string, piece: number, outcome: PieceOutcome): boolean {
+		const submitted = this.submitted.get(workId);
+		if (!submitted?.openPieces.has(piece)) {
 			return false;
 		}
 
 		if (!outcome.ok && outcome.reason === pieceFailures.moved) {
-			this.place(asked, [piece]);
+			this.submitPieces(submitted, [piece]);
 			return true;
 		}
 
-		asked.open.delete(piece);
-		if (asked.open.size === 0) {
-			this.asked.delete(workId);
+		submitted.openPieces.delete(piece);
+		if (submitted.openPieces.size === 0) {
+			this.submitted.delete(workId);
 		}
 
-		asked.taker(piece, outcome);
+		submitted.listener(piece, outcome);
 		return true;
 	}
 
-	private lost(hostId: string): void {
-		this.giveUpFor(hostId);
-		this.placeAgain(hostId);
+	private handleLostPeer(hostId: string): void {
+		this.cancelWorkOf(hostId);
+		this.resubmitWorkOf(hostId);
 	}
 
 	/** Cancels the work that a lost host submitted: nobody waits for it any more. */
-	private giveUpFor(hostId: string): void {
-		for (const [workId, asker] of this.askers) {
-			if (asker.hostId === hostId) {
-				this.askers.delete(workId);
+	private cancelWorkOf(hostId: string): void {
+		for (const [workId, peerWork] of this.peerWorks) {
+			if (peerWork.hostId === hostId) {
+				this.peerWorks.delete(workId);
 				for (const pool of this.pools.values()) {
 					pool.cancel(workId);
 				}
@@ -338,13 +338,13 @@
 	}
 
 	/** Submits the work that a lost host held again. */
-	private placeAgain(hostId: string): void {
-		for (const asked of this.asked.values()) {
-			if (asked.owner === hostId) {
+	private resubmitWorkOf(hostId: string): void {
+		for (const submitted of this.submitted.values()) {
+			if (submitted.owner === hostId) {
 				this.options.log.warn('Lost the host that batched the work of a request; submitting the work again.', {
-					request: asked.work.callerRequestId, host: hostId, pool: asked.work.pool, pieces: asked.open.size,
+					request: submitted.work.callerRequestId, host: hostId, pool: submitted.work.pool, pieces: submitted.openPieces.size,
 				});
-				this.place(asked, [...asked.open]);
+				this.submitPieces(submitted, [...submitted.openPieces]);
 			}
 		}
 	}
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -16,25 +16,25 @@
 import type {SendBounds} from '../../routing/common/send-bounds.js';
 import type {BoundedWork} from '../../routing/common/send-share.js';
 import type {WindowedBudget} from '../../routing/common/windowed-budget.js';
-import type {BatchCall, PieceEnd} from '../common/batch-call.js';
-import {BatchMachine} from '../common/batch-machine.js';
+import type {BatchCall, FinishedPiece} from '../common/batch-call.js';
+import {BatchScheduler} from '../common/batch-scheduler.js';
 import type {BatchProtocol, EncodedCall} from '../common/batch-protocol.js';
 import type {BatchWork, ResultRef} from '../common/work.js';
 import {PoolLog} from './pool-log.js';
 import {ResultReleases} from './result-releases.js';
 
 /** Interval at which a queue is checked: a fraction of a call's duration. */
-const tickMs = 25;
+const pollIntervalMs = 25;
 /** Maximum number of connections to one upstream: one for the call in progress, the others for releases. */
-const mostLanes = 3;
-const releaseLimitMs = 1000;
+const maxConnections = 3;
+const releaseTimeoutMs = 1000;
 /** One host batches a pool for all hosts, so the entire allowance of an upstream is available to it. */
-const soleWork: BoundedWork = {isSoleSender: true};
+const soleSender: BoundedWork = {isSoleSender: true};
 
 /** Dependencies and settings. */
 export type BatchPoolOptions = {
 	readonly pool: string;
-	readonly board: DeploymentBoard;
+	readonly tracker: DeploymentBoard;
 	readonly registry: ServerRegistry;
 	/** Processes what servers report about themselves. */
 	readonly notices: Pick<ServerNotices, 'answered'>;
@@ -45,7 +45,7 @@
 	readonly clock: Clock;
 	readonly log: Logger;
 	readonly metrics: Metrics;
-	readonly ended: (end: PieceEnd) => void;
+	readonly onFinished: (end: FinishedPiece) => void;
 };
 
 /** Queue, calls and releases of one pool. */
@@ -54,8 +54,8 @@
 		return new BatchPool(options);
 	}
 
-	private readonly machine: BatchMachine;
-	private readonly lanes = new Map<string, LanePool>();
+	private readonly scheduler: BatchScheduler;
+	private readonly connectionPools = new Map<string, LanePool>();
 	private readonly releases: ResultReleases;
 	private readonly owned = DisposableStore.create();
 	private readonly controller = new AbortController();
@@ -64,16 +64,16 @@
 
 	private constructor(private readonly options: BatchPoolOptions) {
 		this.log = PoolLog.create(options);
-		this.machine = BatchMachine.create(contentId => options.quarantine.cautionOf(contentId), (server, nowMs) => options.bounds.allowance(server, soleWork, nowMs));
+		this.scheduler = BatchScheduler.create(contentId => options.quarantine.cautionOf(contentId), (server, nowMs) => options.bounds.allowance(server, soleSender, nowMs));
 		this.releases = this.owned.add(ResultReleases.create({
 			registry: options.registry,
 			clock: options.clock,
 			resultTtlMs: () => this.capacity?.resultTtlMs ?? 0,
-			mayGet: server => this.mayRelease(server),
+			maySend: server => this.mayRelease(server),
 			send: async (server, handles) => this.sendRelease(server, handles),
-			gone: (serverId, handles) => {
-				this.machine.released(serverId, handles);
-				this.pump();
+			onUpstreamGone: (serverId, handles) => {
+				this.scheduler.freeResults(serverId, handles);
+				this.schedule();
 			},
 		}));
 		// Each call in progress listens, and there may be as many calls as the pool has upstreams.
@@ -87,7 +87,7 @@
 
 	/** Whether nothing is queued or in progress. */
 	get isIdle(): boolean {
-		return this.machine.waitingCount === 0 && this.machine.callCount === 0;
+		return this.scheduler.waitingCount === 0 && this.scheduler.callCount === 0;
 	}
 
 	/**
@@ -97,23 +97,23 @@
 	waitMs(rank: number): number {
 		const {capacity} = this;
 		const {registry, pool, clock} = this.options;
-		return capacity ? this.machine.waitMs(registry.usable(pool), capacity, rank, clock.nowMs()) : 0;
+		return capacity ? this.scheduler.waitMs(registry.usable(pool), capacity, rank, clock.nowMs()) : 0;
 	}
 
 	add(work: BatchWork): void {
 		const nowMs = this.options.clock.nowMs();
-		this.machine.add(work, nowMs);
+		this.scheduler.add(work, nowMs);
 		this.options.budget.countFirst(nowMs, work.pieces.length);
-		this.pump();
+		this.schedule();
 	}
 
 	cancel(workId: string): void {
-		this.machine.cancel(workId);
+		this.scheduler.cancel(workId);
 	}
 
 	/** Removes all queued pieces; each is reported as moved. */
 	handOver(): void {
-		this.report(this.machine.takeWaiting());
+		this.notifyFinished(this.scheduler.takeWaiting());
 	}
 
 	release(refs: readonly ResultRef[]): void {
@@ -124,47 +124,47 @@
 		this.owned.dispose();
 		this.timer?.dispose();
 		this.controller.abort();
-		for (const pool of this.lanes.values()) {
+		for (const pool of this.connectionPools.values()) {
 			pool.dispose();
 		}
 	}
 
 	private get capacity(): BatchCapacity | undefined {
-		return this.options.board.current?.pool(this.options.pool)?.batch;
+		return this.options.tracker.current?.pool(this.options.pool)?.batch;
 	}
 
-	private pump(): void {
+	private schedule(): void {
 		const {registry, clock, pool} = this.options;
 		const {capacity} = this;
 		const nowMs = clock.nowMs();
 		if (capacity) {
-			for (const call of this.machine.nextCalls(registry.usable(pool), capacity, nowMs)) {
-				void this.run(call, capacity);
+			for (const call of this.scheduler.nextCalls(registry.usable(pool), capacity, nowMs)) {
+				void this.runCall(call, capacity);
 			}
 
-			this.report(this.machine.giveUpLate(registry.usable(pool), capacity, nowMs));
+			this.notifyFinished(this.scheduler.failLate(registry.usable(pool), capacity, nowMs));
 		}
 
 		if (registry.isPoolClosed(pool)) {
-			this.report(this.machine.giveUpWaiting());
+			this.notifyFinished(this.scheduler.failWaiting());
 		}
 
-		this.log.standing(this.machine, registry.usable(pool), nowMs);
-		this.report(this.machine.sweep(serverId => registry.get(serverId) !== undefined, nowMs));
-		if (this.machine.waitingCount > 0) {
-			this.timer ??= clock.setTimer(tickMs, () => {
+		this.log.logStatus(this.scheduler, registry.usable(pool), nowMs);
+		this.notifyFinished(this.scheduler.sweep(serverId => registry.get(serverId) !== undefined, nowMs));
+		if (this.scheduler.waitingCount > 0) {
+			this.timer ??= clock.setTimer(pollIntervalMs, () => {
 				this.timer = undefined;
-				this.pump();
+				this.schedule();
 			});
 		}
 	}
 
-	private async run(call: BatchCall, capacity: BatchCapacity): Promise<void> {
+	private async runCall(call: BatchCall, capacity: BatchCapacity): Promise<void> {
 		const {clock, protocol, registry, notices, bounds, log, metrics, pool} = this.options;
 		const {server} = call;
-		const lane = this.lanesOf(server).acquire(false);
-		if (!lane) {
-			this.report(this.machine.failed(call, 'unreachable', clock.nowMs()));
+		const connection = this.connectionPoolOf(server).acquire(false);
+		if (!connection) {
+			this.notifyFinished(this.scheduler.failCall(call, 'unreachable', clock.nowMs()));
 			return;
 		}
 
@@ -174,30 +174,30 @@
 		}
 
 		bounds.sent(server, call.sentMs);
-		const limit = TimeLimit.create(clock, call.limitMs - clock.nowMs(), this.controller.signal);
-		const answer = await collectAnswer(lane, optionsOf(protocol.encodeRun(call, clock.nowMs())), limit.signal, head => {
+		const timeLimit = TimeLimit.create(clock, call.deadlineMs - clock.nowMs(), this.controller.signal);
+		const response = await collectAnswer(connection, requestOptionsOf(protocol.encodeRun(call, clock.nowMs())), timeLimit.signal, head => {
 			notices.answered(server, protocol.readNotice(head), call.sentMs, clock.nowMs());
 		});
-		const isGivenUp = limit.signal.aborted;
-		limit.dispose();
+		const hasTimedOut = timeLimit.signal.aborted;
+		timeLimit.dispose();
 		if (this.controller.signal.aborted) {
 			return;
 		}
 
-		if (!answer.ok && answer.error.wasWritten && !isGivenUp) {
-			this.brokeOff(call);
+		if (!response.ok && response.error.wasWritten && !hasTimedOut) {
+			this.reportInterrupted(call);
 		}
 
 		const nowMs = clock.nowMs();
-		const decoded = answer.ok ? protocol.decodeRun(answer.value, call) : undefined;
+		const decoded = response.ok ? protocol.decodeRun(response.value, call) : undefined;
 		if (decoded?.ok) {
 			metrics.timing('batch.call', nowMs - call.sentMs, {pool});
 			metrics.increment('batch.pieces', call.pieces.length, {pool});
-			this.log.noRoom(call, decoded.value, this.machine.keptAt(server.serverId, nowMs), capacity);
-			this.report(this.machine.answered(call, decoded.value, capacity, nowMs));
+			this.log.logNoSpace(call, decoded.value, this.scheduler.usedBytesAt(server.serverId, nowMs), capacity);
+			this.notifyFinished(this.scheduler.completeCall(call, decoded.value, capacity, nowMs));
 		} else {
-			const reason = decoded?.error ?? (answer.ok || answer.error.wasWritten ? 'broken' : 'unreachable');
-			const detail = answer.ok ? `status ${answer.value.status}` : answer.error.message;
+			const reason = decoded?.error ?? (response.ok || response.error.wasWritten ? 'broken' : 'unreachable');
+			const detail = response.ok ? `status ${response.value.status}` : response.error.message;
 			log.warn('A batch came to nothing; its pieces wait again.', {
 				pool, server: server.serverId, pieces: call.pieces.length, reason, detail, tookMs: Math.round(nowMs - call.sentMs),
 			});
@@ -206,81 +206,81 @@
 				registry.addressTaken(server.serverId);
 			}
 
-			this.report(this.machine.failed(call, reason, nowMs));
+			this.notifyFinished(this.scheduler.failCall(call, reason, nowMs));
 		}
 
-		this.pump();
+		this.schedule();
 	}
 
 	/** Reports an interrupted call: any of the requests with a piece in it may have crashed its upstream. */
-	private brokeOff({server, pieces}: BatchCall): void {
+	private reportInterrupted({server, pieces}: BatchCall): void {
 		for (const {contentId, callerRequestId} of new Map(pieces.map(({work}) => [work.contentId, work])).values()) {
 			this.options.quarantine.brokeOff(contentId, server, callerRequestId);
 		}
 	}
 
-	private report(ends: readonly PieceEnd[]): void {
-		for (const end of ends) {
-			this.options.ended(end);
+	private notifyFinished(finished: readonly FinishedPiece[]): void {
+		for (const end of finished) {
+			this.options.onFinished(end);
 		}
 	}
 
 	/** Whether a release may be sent. Where the rate of an upstream is limited, one send is reserved for queued pieces. */
 	private mayRelease(server: UpstreamServer): boolean {
-		const kept = this.machine.waitingCount > 0 ? 1 : 0;
-		return this.options.bounds.allowance(server, soleWork, this.options.clock.nowMs()).left > kept;
+		const reserved = this.scheduler.waitingCount > 0 ? 1 : 0;
+		return this.options.bounds.allowance(server, soleSender, this.options.clock.nowMs()).left > reserved;
 	}
 
 	private async sendRelease(server: UpstreamServer, handles: readonly string[]): Promise<void> {
-		const lane = this.lanesOf(server).acquire(false);
+		const connection = this.connectionPoolOf(server).acquire(false);
 		const {protocol, notices, bounds, log, pool, clock} = this.options;
-		if (!lane) {
+		if (!connection) {
 			// All connections are in use: it is tried again with the next releases.
 			this.release(handles.map(handle => ({handle, serverId: server.serverId})));
 			return;
 		}
 
-		const limit = TimeLimit.create(clock, releaseLimitMs, this.controller.signal);
+		const timeLimit = TimeLimit.create(clock, releaseTimeoutMs, this.controller.signal);
 		const sentMs = clock.nowMs();
 		bounds.sent(server, sentMs);
-		const answer = await collectAnswer(lane, optionsOf(protocol.encodeRelease(handles, server)), limit.signal, head => {
+		const response = await collectAnswer(connection, requestOptionsOf(protocol.encodeRelease(handles, server)), timeLimit.signal, head => {
 			notices.answered(server, protocol.readNotice(head), sentMs, clock.nowMs());
 		});
-		limit.dispose();
-		if (answer.ok) {
+		timeLimit.dispose();
+		if (response.ok) {
 			// The space is free only now: an earlier call would find none.
-			this.machine.released(server.serverId, handles);
-			this.pump();
+			this.scheduler.freeResults(server.serverId, handles);
+			this.schedule();
 		} else if (!this.controller.signal.aborted) {
 			// Nothing is lost: the upstream drops expired results by itself.
 			log.debug('Results could not be released.', {
-				pool, server: server.serverId, results: handles.length, reason: answer.error.message,
+				pool, server: server.serverId, results: handles.length, reason: response.error.message,
 			});
 		}
 	}
 
 	private serverChanged(server: UpstreamServer, isGone: boolean): void {
-		const lanes = this.lanes.get(server.serverId);
-		if (isGone && lanes && !lanes.hasBusy) {
-			this.lanes.delete(server.serverId);
-			lanes.dispose();
+		const connectionPool = this.connectionPools.get(server.serverId);
+		if (isGone && connectionPool && !connectionPool.hasBusy) {
+			this.connectionPools.delete(server.serverId);
+			connectionPool.dispose();
 		}
 
-		this.pump();
+		this.schedule();
 	}
 
-	private lanesOf(server: UpstreamServer): LanePool {
-		let lanes = this.lanes.get(server.serverId);
-		if (!lanes) {
-			lanes = LanePool.create(server, this.options.clock, () => mostLanes);
-			this.lanes.set(server.serverId, lanes);
+	private connectionPoolOf(server: UpstreamServer): LanePool {
+		let connectionPool = this.connectionPools.get(server.serverId);
+		if (!connectionPool) {
+			connectionPool = LanePool.create(server, this.options.clock, () => maxConnections);
+			this.connectionPools.set(server.serverId, connectionPool);
 		}
 
-		return lanes;
+		return connectionPool;
 	}
 }
 
-function optionsOf(call: EncodedCall) {
+function requestOptionsOf(call: EncodedCall) {
 	return {
 		method: call.method, path: call.path, headers: call.headers.flatMap(({name, value}) => [name, value]), body: call.body,
 	};
--- a/src/preparation/node/pool-log.ts
+++ b/src/preparation/node/pool-log.ts
@@ -8,14 +8,14 @@
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import {requestLogMessages} from '../../request/common/request-log-messages.js';
 import type {BatchCall} from '../common/batch-call.js';
-import type {BatchMachine} from '../common/batch-machine.js';
+import type {BatchScheduler} from '../common/batch-scheduler.js';
 import {pieceFailures, type PieceOutcome} from '../common/work.js';
 
 /** Interval at which a queue that does not empty is logged. */
-const tellMs = 1000;
+const logIntervalMs = 1000;
 /** Ratio of actual to declared call duration above which a pool is logged as slow, and below which it no longer is. */
-const slowSlowness = 1.7;
-const usualAgainSlowness = 1.3;
+const slowThreshold = 1.7;
+const recoveredThreshold = 1.3;
 
 /** Dependencies and settings. */
 export type PoolLogOptions = {
@@ -30,7 +30,7 @@
 		return new PoolLog(options);
 	}
 
-	private toldMs = -Infinity;
+	private lastLoggedMs = -Infinity;
 	/** Whether the pool was last logged as slow. */
 	private isSlow = false;
 
@@ -42,14 +42,14 @@
 	@param servers - upstreams that accept work.
 	@param nowMs - the current time.
 	*/
-	standing(machine: Pick<BatchMachine, 'waitingCount' | 'describe' | 'usualSlowness'>, servers: readonly UpstreamServer[], nowMs: number): void {
+	logStatus(scheduler: Pick<BatchScheduler, 'waitingCount' | 'describe' | 'usualSlowness'>, servers: readonly UpstreamServer[], nowMs: number): void {
 		const {pool, log} = this.options;
-		if (machine.waitingCount > 0 && nowMs - this.toldMs >= tellMs) {
-			this.toldMs = nowMs;
-			log.info(requestLogMessages.poolWaits, {pool, servers: servers.length, ...machine.describe(nowMs)});
+		if (scheduler.waitingCount > 0 && nowMs - this.lastLoggedMs >= logIntervalMs) {
+			this.lastLoggedMs = nowMs;
+			log.info(requestLogMessages.poolWaits, {pool, servers: servers.length, ...scheduler.describe(nowMs)});
 		}
 
-		this.slowness(machine.usualSlowness(servers, nowMs), servers.length);
+		this.logSlowness(scheduler.usualSlowness(servers, nowMs), servers.length);
 	}
 
 	/**
@@ -59,7 +59,7 @@
 	@param knownBytes - space known to be in use.
 	@param capacity - capacity of the upstream.
 	*/
-	noRoom({server, pieces}: BatchCall, outcomes: readonly PieceOutcome[], knownBytes: number, capacity: BatchCapacity): void {
+	logNoSpace({server, pieces}: BatchCall, outcomes: readonly PieceOutcome[], knownBytes: number, capacity: BatchCapacity): void {
 		const refused = outcomes.filter(outcome => !outcome.ok && outcome.reason === pieceFailures.noRoom).length;
 		if (refused > 0) {
 			const {pool, log, metrics} = this.options;
@@ -71,8 +71,8 @@
 	}
 
 	/** Logs that the declared duration is wrong or that all upstreams have a problem: once, and once more when it is over. */
-	private slowness(slowness: number, serverCount: number): void {
-		const isSlow = slowness > (this.isSlow ? usualAgainSlowness : slowSlowness);
+	private logSlowness(slowness: number, serverCount: number): void {
+		const isSlow = slowness > (this.isSlow ? recoveredThreshold : slowThreshold);
 		if (isSlow !== this.isSlow) {
 			this.isSlow = isSlow;
 			this.options.log.info(isSlow ? 'Calls to a pool take longer than declared.' : 'Calls to a pool take about as long as declared again.', {
--- a/src/preparation/node/preparer.test.ts
+++ b/src/preparation/node/preparer.test.ts
@@ -7,8 +7,8 @@
 import {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {pieceFailures, type BatchWork, type ResultRef} from '../common/work.js';
 import {StepTimes} from '../common/step-times.js';
-import type {EndsTaker, WorkTaker} from './batch-desk.js';
-import {Preparer, type PreparationAsk} from './preparer.js';
+import type {PieceListener, WorkHandler} from './batch-handler.js';
+import {Preparer, type PreparationRequest} from './preparer.js';
 
 const log = silentLoggers.for('test');
 const route: Route = {
@@ -20,11 +20,11 @@
 const inputsOf = (handle: string) => ({ok: true, value: {handles: [handle], bytesByHall: new Map([['x', 10]])}});
 
 /** Overrides of the defaults. */
-type Changes = {readonly released?: ResultRef[]; readonly clock?: Clock; readonly stepTimes?: StepTimes; readonly ask?: Partial<PreparationAsk>};
+type Overrides = {readonly released?: ResultRef[]; readonly clock?: Clock; readonly stepTimes?: StepTimes; readonly request?: Partial<PreparationRequest>};
 
-function makePreparer(submit: (work: BatchWork, taker: EndsTaker) => void, changes: Changes = {}): Preparer {
-	const {released = [], clock = ManualClock.create(), stepTimes = StepTimes.create(), ask = {}} = changes;
-	const desk: WorkTaker = {
+function makePreparer(submit: (work: BatchWork, listener: PieceListener) => void, changes: Overrides = {}): Preparer {
+	const {released = [], clock = ManualClock.create(), stepTimes = StepTimes.create(), request: request = {}} = changes;
+	const handler: WorkHandler = {
 		submit,
 		cancel: () => undefined,
 		release(_pool, refs) {
@@ -40,18 +40,18 @@
 		})),
 	}, 0);
 	return Preparer.create({
-		desk, board: DeploymentBoard.create(log), registry, clock, log, stepTimes,
+		handler: handler, tracker: DeploymentBoard.create(log), registry, clock, log, stepTimes,
 	}, {
-		requestId: 'r', callerRequestId: 'r', contentId: 'c', route, pieceCounts: [2, 1], pieceKey: 'k', rank: 0, receivedMs: 0, targetMs: 1000, deadlineMs: 5000, hall: '', afterwardsMs: 100, ...ask,
+		requestId: 'r', callerRequestId: 'r', contentId: 'c', route, pieceCounts: [2, 1], pieceKey: 'k', rank: 0, receivedMs: 0, targetMs: 1000, deadlineMs: 5000, hall: '', firstTokenMs: 100, ...request,
 	});
 }
 
 t.test('a piece that is late at once fails the preparation, and is not requested again', async t => {
 	let asked = 0;
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		asked++;
 		for (const piece of work.pieces) {
-			taker(piece, {ok: false, reason: pieceFailures.late});
+			listener(piece, {ok: false, reason: pieceFailures.late});
 		}
 	});
 	const result = await preparer.run(false);
@@ -61,11 +61,11 @@
 
 t.test('pieces that fail together count once and are requested again together', async t => {
 	const works: string[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		works.push(`${work.pool}:${work.pieces.join(',')}`);
 		const isFailing = work.pool === 'a' && works.length <= 6;
 		for (const piece of work.pieces) {
-			taker(piece, isFailing ? {ok: false, reason: pieceFailures.failed} : {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
+			listener(piece, isFailing ? {ok: false, reason: pieceFailures.failed} : {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
 		}
 	}, {clock: SystemClock.create()});
 	t.same(await preparer.run(false), inputsOf('b0'));
@@ -74,9 +74,9 @@
 
 t.test('results are released once nothing reads them any more', async t => {
 	const released: ResultRef[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		for (const piece of work.pieces) {
-			taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
 		}
 	}, {released});
 	t.same(await preparer.run(false), inputsOf('b0'));
@@ -87,10 +87,10 @@
 
 t.test('results lost after the last step are computed again from the first step on', async t => {
 	const works: string[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		works.push(`${work.pool}:${work.pieces.join(',')}`);
 		for (const piece of work.pieces) {
-			taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${works.length}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${works.length}`, serverId: work.pool}});
 		}
 	});
 	await preparer.run(false);
@@ -102,15 +102,15 @@
 	const released: ResultRef[] = [];
 	const clock = ManualClock.create();
 	const works: string[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		works.push(work.pool);
 		for (const piece of work.pieces) {
-			taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${works.length}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${works.length}`, serverId: work.pool}});
 		}
 	}, {released, clock});
 	await preparer.run(false);
 	released.length = 0;
-	preparer.sent();
+	preparer.handleSent();
 	clock.advance(10);
 	t.same(released, [], 'not before the upstream can have fetched them');
 	clock.advance(50);
@@ -138,13 +138,13 @@
 
 t.test('a step fails when its response could no longer arrive in time, or after half of the caller\'s time', async t => {
 	const given: number[] = [];
-	const start = (ask: Partial<PreparationAsk>) => {
-		void makePreparer((work, taker) => {
+	const start = (ask: Partial<PreparationRequest>) => {
+		void makePreparer((work, listener) => {
 			given.push(work.deadlineMs);
 			for (const piece of work.pieces) {
-				taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
+				listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
 			}
-		}, {clock: SystemClock.create(), ask}).run(false);
+		}, {clock: SystemClock.create(), request: ask}).run(false);
 	};
 
 	start({});
@@ -152,7 +152,7 @@
 		setImmediate(resolve);
 	});
 	t.same(given, [2500, 4900], 'half of 5000 ms before anything is done; then until 100 ms remain for the model');
-	start({afterwardsMs: 3000});
+	start({firstTokenMs: 3000});
 	t.equal(given[2], 2000);
 });
 
@@ -163,10 +163,10 @@
 */
 t.test('a request for which something was done does not fail after half of its time', async t => {
 	const given: number[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		given.push(work.deadlineMs);
 		for (const piece of work.pieces) {
-			taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${given.length}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${given.length}`, serverId: work.pool}});
 		}
 	}, {clock: SystemClock.create()});
 	await preparer.run(false);
@@ -181,7 +181,7 @@
 */
 t.test('a retry waits as long as a first attempt; only its due time counts from the first attempt', async t => {
 	const workOf = async (sinceFirstTryMs: number): Promise<BatchWork> => new Promise(resolve => {
-		void makePreparer(resolve, {ask: {receivedMs: 10_000, targetMs: 11_000 - sinceFirstTryMs, deadlineMs: 19_000}}).run(false);
+		void makePreparer(resolve, {request: {receivedMs: 10_000, targetMs: 11_000 - sinceFirstTryMs, deadlineMs: 19_000}}).run(false);
 	});
 	const [first, returning] = [await workOf(0), await workOf(4000)];
 	t.equal(returning.dueMs, first.dueMs - 4000);
--- a/src/preparation/node/preparer.ts
+++ b/src/preparation/node/preparer.ts
@@ -13,28 +13,28 @@
 	pieceFailures, type BatchWork, type PieceOutcome, type ResultRef, type StepWork,
 } from '../common/work.js';
 import type {StepTimes} from '../common/step-times.js';
-import type {WorkTaker} from './batch-desk.js';
+import type {WorkHandler} from './batch-handler.js';
 
 /** Maximum number of failures before the request fails. */
-const mostFailures = 6;
+const maxFailures = 6;
 /** Failures that are not retried: a piece that is late at once, or one that no upstream accepts, would be requested for ever. */
-const finalFailures = new Set<string>([pieceFailures.late, pieceFailures.noUpstream]);
+const permanentFailures = new Set<string>([pieceFailures.late, pieceFailures.noUpstream]);
 /**
 Multiple of the target after which late work is useless. Callers of streams disconnect when nothing has arrived for four
 times the target; one of the four is reserved for delivering the response.
 */
-const patienceTargets = 3;
+const maxWaitTargets = 3;
 /**
 Share of its caller's timeout that a request may wait for its first step: after that, a response would rarely arrive in
 time.
 */
-const unbegunShare = 0.5;
+const maxUnstartedShare = 0.5;
 /** Bounds of the delay after which a refused caller is asked to retry. */
-const shortestRetryAfterMs = 400;
-const longestRetryAfterMs = 2000;
+const minRetryAfterMs = 400;
+const maxRetryAfterMs = 2000;
 
 /** Properties of a request that its preparation depends on. */
-export type PreparationAsk = {
+export type PreparationRequest = {
 	readonly requestId: string;
 	readonly callerRequestId: string;
 	readonly contentId: string;
@@ -48,13 +48,13 @@
 	/** Data hall of the upstream that will read the results; empty if it is not known. */
 	readonly hall: string;
 	/** Approximate time from the end of the preparation to the first token. */
-	readonly afterwardsMs: number;
+	readonly firstTokenMs: number;
 };
 
 /** Dependencies and settings. */
 export type PreparerOptions = {
-	readonly desk: WorkTaker;
-	readonly board: DeploymentBoard;
+	readonly handler: WorkHandler;
+	readonly tracker: DeploymentBoard;
 	readonly registry: ServerRegistry;
 	readonly clock: Clock;
 	readonly log: Logger;
@@ -66,29 +66,29 @@
 
 /** Preparation of one request. */
 export class Preparer {
-	static create(options: PreparerOptions, ask: PreparationAsk): Preparer {
-		return new Preparer(options, ask);
+	static create(options: PreparerOptions, request: PreparationRequest): Preparer {
+		return new Preparer(options, request);
 	}
 
 	private readonly preparation: Preparation;
-	private readonly openWorks = new Set<string>();
+	private readonly openWorkIds = new Set<string>();
 	/** Settles the current run; absent if there is none. */
 	private settle: ((result: Result) => void) | undefined;
 	/** Number of works submitted so far, used to number them. */
 	private workCount = 0;
 	private failureCount = 0;
 	/** Whether an upstream has completed something for this request. */
-	private hasBegun = false;
+	private hasStarted = false;
 	/** Whether an advance is already scheduled. */
-	private isAdvancing = false;
+	private isAdvanceScheduled = false;
 	/** Whether a failure was counted since the last advance. */
 	private hasFailed = false;
-	private isOver = false;
+	private hasEnded = false;
 	/** Runs while the upstream fetches the results it reads. */
 	private fetchTimer: Disposable | undefined;
 
-	private constructor(private readonly options: PreparerOptions, private readonly ask: PreparationAsk) {
-		this.preparation = Preparation.create(ask.route.steps, ask.pieceCounts);
+	private constructor(private readonly options: PreparerOptions, private readonly request: PreparationRequest) {
+		this.preparation = Preparation.create(request.route.steps, request.pieceCounts);
 	}
 
 	/**
@@ -96,10 +96,10 @@
 	@param isRetry - whether the request found results lost that were computed before.
 	@returns the results that the request reads.
 	*/
-	async run(isAgain: boolean): Promise<Result> {
-		if (isAgain) {
+	async run(isRetry: boolean): Promise<Result> {
+		if (isRetry) {
 			this.fetchTimer?.dispose();
-			this.release(this.preparation.finalsLost(serverId => this.isKept(serverId)));
+			this.release(this.preparation.discardFinals(serverId => this.isListed(serverId)));
 		}
 
 		return new Promise(resolve => {
@@ -113,26 +113,26 @@
 	else, long before its first event, and the space for results limits what a pool can do, so they are released once they
 	must have been fetched. If they have not been, the upstream reports that nothing ran, and they are computed again.
 	*/
-	sent(): void {
+	handleSent(): void {
 		this.fetchTimer?.dispose();
-		const {board, clock} = this.options;
-		this.fetchTimer = clock.setTimer(fetchTimeMs(this.ask.route.steps, board.current), () => {
-			if (!this.isOver) {
-				this.release(this.preparation.takeFinals());
+		const {tracker: tracker, clock} = this.options;
+		this.fetchTimer = clock.setTimer(fetchTimeMs(this.request.route.steps, tracker.current), () => {
+			if (!this.hasEnded) {
+				this.release(this.preparation.takeFinalRefs());
 			}
 		});
 	}
 
 	/** Called when the request has ended or has read its results: cancels its work and releases all results. */
 	end(): void {
-		if (this.isOver) {
+		if (this.hasEnded) {
 			return;
 		}
 
-		this.isOver = true;
+		this.hasEnded = true;
 		this.fetchTimer?.dispose();
-		for (const workId of this.openWorks) {
-			this.options.desk.cancel(workId);
+		for (const workId of this.openWorkIds) {
+			this.options.handler.cancel(workId);
 		}
 
 		this.release(this.preparation.allRefs);
@@ -164,47 +164,47 @@
 
 	private submit(work: StepWork): void {
 		this.workCount++;
-		const workId = `${this.ask.requestId}/${this.workCount}`;
-		this.openWorks.add(workId);
-		let open = work.pieces.length;
-		const {desk, clock, stepTimes} = this.options;
+		const workId = `${this.request.requestId}/${this.workCount}`;
+		this.openWorkIds.add(workId);
+		let openCount = work.pieces.length;
+		const {handler: handler, clock, stepTimes} = this.options;
 		const submittedMs = clock.nowMs();
 		const batchWork = this.batchWorkOf(work, workId);
-		desk.submit(batchWork, (piece, outcome) => {
-			open--;
-			if (open === 0) {
-				this.openWorks.delete(workId);
+		handler.submit(batchWork, (piece, outcome) => {
+			openCount--;
+			if (openCount === 0) {
+				this.openWorkIds.delete(workId);
 				if (outcome.ok && submittedMs < batchWork.dueMs) {
 					stepTimes.record(batchWork.pool, clock.nowMs() - submittedMs);
 				}
 			}
 
-			this.ended(work.step, piece, outcome);
+			this.handleOutcome(work.step, piece, outcome);
 		});
 	}
 
 	/** Returns the work of a step as submitted for batching: with the request's ID, rank and times, and the preferred data hall. */
 	private batchWorkOf(work: StepWork, workId: string): BatchWork {
-		const {ask} = this;
-		const step = ask.route.steps[work.step];
-		const behindMs = this.preparation.timeBehindMs(work.step, pool => this.options.stepTimes.usualMs(pool) ?? this.callMs(pool));
-		const afterMs = ask.afterwardsMs + this.callMs(step.pool) + behindMs;
-		const dueMs = ask.targetMs - afterMs;
-		const giveUpMs = this.giveUpMs(work);
+		const {request: request} = this;
+		const step = request.route.steps[work.step];
+		const dependentsMs = this.preparation.dependentsMs(work.step, pool => this.options.stepTimes.typicalMs(pool) ?? this.callMs(pool));
+		const remainingMs = request.firstTokenMs + this.callMs(step.pool) + dependentsMs;
+		const dueMs = request.targetMs - remainingMs;
+		const waitDeadlineMs = this.waitDeadlineMs(work);
 		return {
 			...work,
 			workId,
 			pool: step.pool,
-			callerRequestId: ask.callerRequestId,
-			contentId: ask.contentId,
-			pieceKey: ask.pieceKey,
+			callerRequestId: request.callerRequestId,
+			contentId: request.contentId,
+			pieceKey: request.pieceKey,
 			resultBytes: step.resultBytes,
-			rank: ask.rank,
+			rank: request.rank,
 			dueMs,
 			// A caller disconnects according to the time of this attempt, however long ago its first one was.
-			lateDueMs: Math.min(giveUpMs, ask.receivedMs + (patienceTargets * ask.route.targetMs) - afterMs),
-			deadlineMs: giveUpMs,
-			...this.placeOf(work),
+			lateDueMs: Math.min(waitDeadlineMs, request.receivedMs + (maxWaitTargets * request.route.targetMs) - remainingMs),
+			deadlineMs: waitDeadlineMs,
+			...this.preferredHallOf(work),
 		};
 	}
 
@@ -213,19 +213,19 @@
 	disconnects, or earlier if nothing was done for the request yet, while the caller still has time to retry or to do
 	without.
 	*/
-	private giveUpMs({step}: StepWork): number {
-		const {ask} = this;
-		const neededMs = ask.afterwardsMs + this.callMs(ask.route.steps[step].pool) + this.preparation.timeBehindMs(step, pool => this.callMs(pool));
-		const lastStartMs = ask.deadlineMs - neededMs;
-		const patientMs = ask.receivedMs + ((ask.deadlineMs - ask.receivedMs) * unbegunShare);
-		return this.hasBegun ? lastStartMs : Math.min(lastStartMs, patientMs);
+	private waitDeadlineMs({step}: StepWork): number {
+		const {request: request} = this;
+		const neededMs = request.firstTokenMs + this.callMs(request.route.steps[step].pool) + this.preparation.dependentsMs(step, pool => this.callMs(pool));
+		const lastStartMs = request.deadlineMs - neededMs;
+		const unstartedDeadlineMs = request.receivedMs + ((request.deadlineMs - request.receivedMs) * maxUnstartedShare);
+		return this.hasStarted ? lastStartMs : Math.min(lastStartMs, unstartedDeadlineMs);
 	}
 
 	/** Returns where a step runs best: where its inputs are stored or, if it has none, where its results are read. */
-	private placeOf({step: index, inputs}: StepWork): {readonly hall: string; readonly crossingBytes: number} {
-		const {steps} = this.ask.route;
+	private preferredHallOf({step: index, inputs}: StepWork): {readonly hall: string; readonly crossingBytes: number} {
+		const {steps} = this.request.route;
 		if (!inputs) {
-			return {hall: this.ask.hall, crossingBytes: steps[index].resultBytes};
+			return {hall: this.request.hall, crossingBytes: steps[index].resultBytes};
 		}
 
 		const refs = this.preparation.inputRefs(index);
@@ -241,50 +241,50 @@
 
 	/** Declared duration of a half-full call of a pool, in milliseconds. */
 	private callMs(pool: string): number {
-		const batch = this.options.board.current?.pool(pool)?.batch;
+		const batch = this.options.tracker.current?.pool(pool)?.batch;
 		return batch ? batch.callMs + (batch.itemMs * batch.batchSize / 2) : 0;
 	}
 
-	private ended(index: number, piece: number, outcome: PieceOutcome): void {
-		const {pool} = this.ask.route.steps[index];
+	private handleOutcome(index: number, piece: number, outcome: PieceOutcome): void {
+		const {pool} = this.request.route.steps[index];
 		if (outcome.ok) {
-			this.hasBegun = true;
-			const isWanted = this.preparation.done(index, piece, outcome.ref);
-			if (this.isOver || !isWanted) {
-				this.options.desk.release(pool, [outcome.ref]);
+			this.hasStarted = true;
+			const isNeeded = this.preparation.completePiece(index, piece, outcome.ref);
+			if (this.hasEnded || !isNeeded) {
+				this.options.handler.release(pool, [outcome.ref]);
 				return;
 			}
 
-			this.release(this.preparation.takeSpent());
+			this.release(this.preparation.takeUnneeded());
 		} else {
-			this.preparation.failed(index, piece);
-			if (this.isOver) {
+			this.preparation.failPiece(index, piece);
+			if (this.hasEnded) {
 				return;
 			}
 
-			this.failed(index, outcome.reason);
+			this.handleFailure(index, outcome.reason);
 		}
 
-		this.advanceSoon();
+		this.scheduleAdvance();
 	}
 
 	/** Pieces of one call finish together, so the work that depends on them is requested together as well. */
-	private advanceSoon(): void {
-		if (this.isAdvancing) {
+	private scheduleAdvance(): void {
+		if (this.isAdvanceScheduled) {
 			return;
 		}
 
-		this.isAdvancing = true;
+		this.isAdvanceScheduled = true;
 		queueMicrotask(() => {
-			this.isAdvancing = false;
+			this.isAdvanceScheduled = false;
 			this.hasFailed = false;
-			if (!this.isOver && this.settle) {
+			if (!this.hasEnded && this.settle) {
 				this.advance();
 			}
 		});
 	}
 
-	private failed(index: number, reason: string): void {
+	private handleFailure(index: number, reason: string): void {
 		// Pieces of one step fail together: they count once.
 		if (this.hasFailed) {
 			return;
@@ -293,13 +293,13 @@
 		this.hasFailed = true;
 		this.failureCount++;
 		this.options.log.warn('A piece of a request\'s work failed.', {
-			request: this.ask.callerRequestId, step: index, reason, failures: this.failureCount,
+			request: this.request.callerRequestId, step: index, reason, failures: this.failureCount,
 		});
 		if (reason === pieceFailures.inputsGone) {
-			this.release(this.preparation.inputsLost(index, serverId => this.isKept(serverId)));
+			this.release(this.preparation.discardInputs(index, serverId => this.isListed(serverId)));
 		}
 
-		if (finalFailures.has(reason) || this.failureCount > mostFailures) {
+		if (permanentFailures.has(reason) || this.failureCount > maxFailures) {
 			this.end();
 			this.finish(fail({
 				code: failureCodes.preparationFailed,
@@ -311,11 +311,11 @@
 
 	/** Time in which the current queue is expected to empty, in milliseconds. */
 	private retryAfterMs(index: number): number {
-		const waitMs = this.options.desk.waitMs(this.ask.route.steps[index].pool, this.ask.rank);
-		return Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, waitMs));
+		const waitMs = this.options.handler.waitMs(this.request.route.steps[index].pool, this.request.rank);
+		return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs));
 	}
 
-	private isKept(serverId: string): boolean {
+	private isListed(serverId: string): boolean {
 		return this.options.registry.get(serverId) !== undefined;
 	}
 
@@ -330,7 +330,7 @@
 		}
 
 		for (const [pool, poolRefs] of byPool) {
-			this.options.desk.release(pool, poolRefs);
+			this.options.handler.release(pool, poolRefs);
 		}
 	}
 
--- a/src/preparation/node/result-releases.test.ts
+++ b/src/preparation/node/result-releases.test.ts
@@ -9,17 +9,17 @@
 
 function makeReleases() {
 	const clock = ManualClock.create();
-	const state = {isListed: true, isDrained: false, mayGet: true};
+	const state = {isListed: true, isDrained: false, maySend: true};
 	const sent: string[][] = [];
 	const gone: string[][] = [];
 	const releases = ResultReleases.create({
 		registry: {get: () => state.isListed ? server : undefined, takesNew: () => !state.isDrained},
 		resultTtlMs: () => 4000,
-		mayGet: () => state.mayGet,
+		maySend: () => state.maySend,
 		async send(_, handles) {
 			sent.push([...handles]);
 		},
-		gone(_, handles) {
+		onUpstreamGone(_, handles) {
 			gone.push([...handles]);
 		},
 		clock,
@@ -44,18 +44,18 @@
 
 t.test('releases that may not be sent yet are sent later, or not at all once the upstream has dropped the results itself', async t => {
 	const {clock, state, sent, add} = makeReleases();
-	state.mayGet = false;
+	state.maySend = false;
 	add('a');
 	clock.advance(1000);
 	add('b');
 	t.same(sent, []);
-	state.mayGet = true;
+	state.maySend = true;
 	clock.advance(250);
 	t.same(sent, [['a', 'b']]);
-	state.mayGet = false;
+	state.maySend = false;
 	add('c');
 	clock.advance(4500);
-	state.mayGet = true;
+	state.maySend = true;
 	clock.advance(1000);
 	t.equal(sent.length, 1);
 });
@@ -83,7 +83,7 @@
 	const releases: ResultReleases = ResultReleases.create({
 		registry: {get: () => server, takesNew: () => true},
 		resultTtlMs: () => 4000,
-		mayGet: () => true,
+		maySend: () => true,
 		async send(_, handles) {
 			tries++;
 			// An endless loop would block the test's own timeout.
@@ -95,7 +95,7 @@
 				releases.add(handles.map(handle => ({handle, serverId: server.serverId})));
 			}
 		},
-		gone: () => undefined,
+		onUpstreamGone: () => undefined,
 		clock,
 	});
 	releases.add([{handle: 'a', serverId: server.serverId}]);
--- a/src/preparation/node/result-releases.ts
+++ b/src/preparation/node/result-releases.ts
@@ -6,9 +6,9 @@
 import type {ResultRef} from '../common/work.js';
 
 /** Time for which releases are collected before they are sent: far less than the time for which results are stored. */
-const gatherMs = 30;
+const collectMs = 30;
 /** The same for releases that could not be sent, as when their upstream may receive nothing just now. */
-const againMs = 250;
+const retryMs = 250;
 
 /** Dependencies and settings. */
 export type ResultReleasesOptions = {
@@ -16,15 +16,15 @@
 	/** Returns how long upstreams store results that are not released. */
 	readonly resultTtlMs: () => number;
 	/** Whether a release may be sent to an upstream now. */
-	readonly mayGet: (server: UpstreamServer) => boolean;
+	readonly maySend: (server: UpstreamServer) => boolean;
 	/** Sends a release. */
 	readonly send: (server: UpstreamServer, handles: readonly string[]) => Promise<void>;
 	/** Called when results are gone with their upstream. */
-	readonly gone: (serverId: string, handles: readonly string[]) => void;
+	readonly onUpstreamGone: (serverId: string, handles: readonly string[]) => void;
 	readonly clock: Clock;
 };
 
-type Gathered = {readonly handles: string[]; readonly sinceMs: number};
+type PendingRelease = {readonly handles: string[]; readonly sinceMs: number};
 
 /** Collects releases by upstream. */
 export class ResultReleases implements Disposable {
@@ -32,7 +32,7 @@
 		return new ResultReleases(options);
 	}
 
-	private readonly gathered = new Map<string, Gathered>();
+	private readonly pending = new Map<string, PendingRelease>();
 	private timer: Disposable | undefined;
 
 	private constructor(private readonly options: ResultReleasesOptions) {}
@@ -43,27 +43,27 @@
 	*/
 	add(refs: readonly ResultRef[]): void {
 		for (const {serverId, handle} of refs) {
-			this.of(serverId).handles.push(handle);
+			this.pendingFor(serverId).handles.push(handle);
 		}
 
-		this.sendIn(gatherMs);
+		this.scheduleSend(collectMs);
 	}
 
 	dispose(): void {
 		this.timer?.dispose();
 	}
 
-	private of(serverId: string): Gathered {
-		let gathered = this.gathered.get(serverId);
-		if (!gathered) {
-			gathered = {handles: [], sinceMs: this.options.clock.nowMs()};
-			this.gathered.set(serverId, gathered);
+	private pendingFor(serverId: string): PendingRelease {
+		let release = this.pending.get(serverId);
+		if (!release) {
+			release = {handles: [], sinceMs: this.options.clock.nowMs()};
+			this.pending.set(serverId, release);
 		}
 
-		return gathered;
+		return release;
 	}
 
-	private sendIn(delayMs: number): void {
+	private scheduleSend(delayMs: number): void {
 		this.timer ??= this.options.clock.setTimer(delayMs, () => {
 			this.timer = undefined;
 			this.sendAll();
@@ -71,25 +71,25 @@
 	}
 
 	private sendAll(): void {
-		const {registry, gone, mayGet, send} = this.options;
+		const {registry, onUpstreamGone: onUpstreamGone, maySend: maySend, send} = this.options;
 		// Releases that can't be sent are queued again during the loop, and are left for the next time.
-		const due = [...this.gathered];
+		const due = [...this.pending];
 		for (const [serverId, {handles, sinceMs}] of due) {
 			const server = registry.get(serverId);
-			if (server && registry.takesNew(server) && !mayGet(server) && !this.isOver(sinceMs)) {
+			if (server && registry.takesNew(server) && !maySend(server) && !this.isExpired(sinceMs)) {
 				continue;
 			}
 
-			this.gathered.delete(serverId);
+			this.pending.delete(serverId);
 			if (!server) {
-				gone(serverId, handles);
-			} else if (registry.takesNew(server) && mayGet(server)) {
+				onUpstreamGone(serverId, handles);
+			} else if (registry.takesNew(server) && maySend(server)) {
 				void send(server, handles);
 			}
 		}
 
-		if (this.gathered.size > 0) {
-			this.sendIn(againMs);
+		if (this.pending.size > 0) {
+			this.scheduleSend(retryMs);
 		}
 	}
 
@@ -97,7 +97,7 @@
 	Whether the upstream has dropped the results itself because their retention time has passed. This happens where releases
 	can't be sent: to an upstream that is leaving, in a drained data hall or behind a rate limit.
 	*/
-	private isOver(sinceMs: number): boolean {
+	private isExpired(sinceMs: number): boolean {
 		return this.options.clock.nowMs() - sinceMs >= this.options.resultTtlMs();
 	}
 }
