--- a/src/preparation/common/admission.ts
+++ b/src/preparation/common/admission.ts
@@ -56,7 +56,7 @@
 @param waits - estimates of the current queue waits.
 */
 export function admit(request: AdmissionRequest, waits: WaitEstimator): Admission {
-	const {route, sinceFirstTryMs, firstTokenMs: firstTokenMs, jitter: jitter} = request;
+	const {route, sinceFirstTryMs, firstTokenMs, jitter} = request;
 	const predictedMs = preparationMs(request, waits) + firstTokenMs;
 	const isFirstAttempt = sinceFirstTryMs <= route.timeoutMs * retryAgeShare;
 	const maxMs = route.targetMs * (isFirstAttempt ? maxFirstAttemptTargets : maxRetryTargets);
--- a/src/preparation/common/batch-scheduler.ts
+++ b/src/preparation/common/batch-scheduler.ts
@@ -137,7 +137,7 @@
 				continue;
 			}
 
-			const call = this.startCall(server, capacity, {openHalls: openHalls, typicalSlowness: typicalSlowness}, nowMs);
+			const call = this.startCall(server, capacity, {openHalls, typicalSlowness}, nowMs);
 			if (call) {
 				calls.push(call);
 			}
@@ -161,7 +161,7 @@
 		state.space.update(spaceReportOf(call, outcomes), capacity, nowMs);
 		const finished: FinishedPiece[] = [];
 		for (const [index, item] of call.pieces.entries()) {
-			const {work, piece, attempts: attempts} = item;
+			const {work, piece, attempts} = item;
 			const outcome = outcomes[index];
 			if (outcome.ok) {
 				state.space.add(outcome.ref.handle, work.resultBytes, nowMs + capacity.resultTtlMs);
@@ -196,7 +196,7 @@
 			if (attempts >= maxAttempts || nowMs >= item.work.deadlineMs) {
 				finished.push({work: item.work, piece: item.piece, outcome: {ok: false, reason: pieceFailures.failed}});
 			} else {
-				this.queue.add({...item, attempts: attempts});
+				this.queue.add({...item, attempts});
 			}
 		}
 
@@ -272,11 +272,11 @@
 	@param servers - upstreams that accept work.
 	@param nowMs - the current time.
 	*/
-	usualSlowness(servers: readonly UpstreamServer[], nowMs: number): number {
+	typicalSlowness(servers: readonly UpstreamServer[], nowMs: number): number {
 		return this.upstreams.typicalSlowness(servers, nowMs);
 	}
 
-	private startCall(server: UpstreamServer, capacity: BatchCapacity, {openHalls: openHalls, typicalSlowness: typicalSlowness}: PoolConditions, nowMs: number): BatchCall | undefined {
+	private startCall(server: UpstreamServer, capacity: BatchCapacity, {openHalls, typicalSlowness}: PoolConditions, nowMs: number): BatchCall | undefined {
 		const pieces = this.takePieces(server, capacity, openHalls, nowMs);
 		if (pieces.length === 0) {
 			return undefined;
@@ -295,7 +295,7 @@
 	private takePieces(server: UpstreamServer, {batchSize, roomBytes}: BatchCapacity, openHalls: ReadonlySet<string>, nowMs: number): BatchPiece[] {
 		const freeBytes = this.upstreams.of(server).space.freeBytes(roomBytes, nowMs);
 		const taken = selectPieces(this.queue.sendable(), {
-			batchSize, freeBytes: freeBytes, hall: server.hall, openHalls: openHalls,
+			batchSize, freeBytes, hall: server.hall, openHalls,
 		}, nowMs);
 		this.queue.remove(taken);
 		return [...taken].map(item => ({...item, attempts: item.attempts + 1}));
--- a/src/preparation/common/piece-selection.ts
+++ b/src/preparation/common/piece-selection.ts
@@ -21,7 +21,7 @@
 @param nowMs - the current time.
 @returns the selected pieces.
 */
-export function selectPieces(waiting: readonly BatchPiece[], {batchSize, freeBytes: freeBytes, hall, openHalls: openHalls}: CallLimits, nowMs: number): ReadonlySet<BatchPiece> {
+export function selectPieces(waiting: readonly BatchPiece[], {batchSize, freeBytes, hall, openHalls}: CallLimits, nowMs: number): ReadonlySet<BatchPiece> {
 	let remainingBytes = freeBytes;
 	const taken = new Set<BatchPiece>();
 	for (const items of groupByWork(waiting)) {
--- a/src/preparation/common/pool-upstreams.ts
+++ b/src/preparation/common/pool-upstreams.ts
@@ -88,7 +88,7 @@
 	*/
 	usedBytes(nowMs: number): number {
 		let usedBytes = 0;
-		for (const {space: space} of this.byId.values()) {
+		for (const {space} of this.byId.values()) {
 			usedBytes += space.usedBytes(nowMs);
 		}
 
--- a/src/preparation/common/preparation.ts
+++ b/src/preparation/common/preparation.ts
@@ -10,7 +10,7 @@
 	readonly results: Array<ResultRef | undefined>;
 	readonly pending: Set<number>;
 	/** Whether its results were released because every step that reads them is done. */
-	isSpent: boolean;
+	isReleased: boolean;
 };
 
 /** Tracks the steps of one request; does not call any upstream itself. */
@@ -31,7 +31,7 @@
 			declared: step,
 			results: Array.from({length: pieceCounts[index] ?? 1}, () => undefined),
 			pending: new Set<number>(),
-			isSpent: false,
+			isReleased: false,
 		}));
 	}
 
@@ -42,19 +42,19 @@
 
 	/** Results that the request itself reads: those of the steps on which no other step depends. */
 	get finalRefs(): ResultRef[] {
-		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isSpent ? availableRefs(step) : []);
+		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isReleased ? availableRefs(step) : []);
 	}
 
 	/** The same results, each with its upstream and its size in bytes. */
 	finalSizes(): Array<{readonly serverId: string; readonly bytes: number}> {
-		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isSpent
+		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isReleased
 			? availableRefs(step).map(({serverId}) => ({serverId, bytes: step.declared.resultBytes}))
 			: []);
 	}
 
 	/** All results that are stored somewhere. */
 	get allRefs(): ResultRef[] {
-		return this.steps.flatMap(step => step.isSpent ? [] : availableRefs(step));
+		return this.steps.flatMap(step => step.isReleased ? [] : availableRefs(step));
 	}
 
 	/**
@@ -65,8 +65,8 @@
 	takeUnneeded(): ResultRef[] {
 		const unneeded: ResultRef[] = [];
 		for (const [index, step] of this.steps.entries()) {
-			if (!step.isSpent && !this.isNeeded(index) && isDone(step)) {
-				step.isSpent = true;
+			if (!step.isReleased && !this.isNeeded(index) && isDone(step)) {
+				step.isReleased = true;
 				unneeded.push(...availableRefs(step));
 			}
 		}
@@ -81,7 +81,7 @@
 	takeFinalRefs(): ResultRef[] {
 		const finals = this.finalRefs;
 		for (const [index, step] of this.steps.entries()) {
-			step.isSpent ||= this.isFinal(index);
+			step.isReleased ||= this.isFinal(index);
 		}
 
 		return finals;
@@ -187,14 +187,14 @@
 	@returns the discarded results.
 	*/
 	discardFinals(isListed: (serverId: string) => boolean): ResultRef[] {
-		return this.discard([...this.steps.keys()].filter(index => this.isFinal(index) && !this.steps[index].isSpent), isListed);
+		return this.discard([...this.steps.keys()].filter(index => this.isFinal(index) && !this.steps[index].isReleased), isListed);
 	}
 
 	/** Requests released results again if they are needed once more because a result that was computed from them is lost. */
 	private renewReleased(): void {
 		for (const [index, step] of [...this.steps.entries()].toReversed()) {
-			if (step.isSpent && this.isNeeded(index)) {
-				step.isSpent = false;
+			if (step.isReleased && this.isNeeded(index)) {
+				step.isReleased = false;
 				step.results.fill(undefined);
 			}
 		}
--- a/src/preparation/common/result-space.ts
+++ b/src/preparation/common/result-space.ts
@@ -81,7 +81,7 @@
 	@param capacity - space of the upstream, and how long it stores results.
 	@param nowMs - the current time.
 	*/
-	update({storedBytes: storedBytes, refusedBytes}: SpaceReport, capacity: {readonly roomBytes: number; readonly resultTtlMs: number}, nowMs: number): void {
+	update({storedBytes, refusedBytes}: SpaceReport, capacity: {readonly roomBytes: number; readonly resultTtlMs: number}, nowMs: number): void {
 		if (refusedBytes !== undefined) {
 			this.unknown = undefined;
 			this.refused = undefined;
--- a/src/preparation/common/space-report.ts
+++ b/src/preparation/common/space-report.ts
@@ -20,5 +20,5 @@
 		}
 	}
 
-	return {storedBytes: storedBytes, refusedBytes};
+	return {storedBytes, refusedBytes};
 }
--- a/src/preparation/node/batch-handler.test.ts
+++ b/src/preparation/node/batch-handler.test.ts
@@ -34,7 +34,7 @@
 		Object.defineProperty(mesh, 'liveRooms', {get: () => new Map(this.live.filter(other => other !== hostId).map(other => [other, this.capacities.get(other) ?? 0]))});
 		this.meshEvents.set(hostId, {receive, change});
 		const handler = BatchHandler.create({
-			hostId, capacity: capacity, mesh, clock: this.clock, log: silentLoggers.for('test'),
+			hostId, capacity, mesh, clock: this.clock, log: silentLoggers.for('test'),
 			isLeaving: () => !this.live.includes(hostId),
 			makePool: (pool, onFinished) => this.makePool(hostId, pool, onFinished),
 		});
--- a/src/preparation/node/batch-handler.ts
+++ b/src/preparation/node/batch-handler.ts
@@ -64,7 +64,7 @@
 /** Work this host submitted: its unfinished pieces, and the host that batches it. */
 type SubmittedWork = {readonly work: BatchWork; readonly listener: PieceListener; readonly openPieces: Set<number>; owner: string};
 
-export const batchHandlerToken: InjectionToken<BatchHandler> = Symbol('BatchDesk');
+export const batchHandlerToken: InjectionToken<BatchHandler> = Symbol('BatchHandler');
 
 /** Submits work to the hosts that batch it, and batches what is submitted to this host. */
 export class BatchHandler implements WorkHandler, Disposable {
@@ -123,7 +123,7 @@
 	*/
 	submit(work: BatchWork, listener: PieceListener): void {
 		const submitted: SubmittedWork = {
-			work, listener: listener, openPieces: new Set(work.pieces), owner: '',
+			work, listener, openPieces: new Set(work.pieces), owner: '',
 		};
 		this.submitted.set(work.workId, submitted);
 		this.submitPieces(submitted, work.pieces);
@@ -192,7 +192,7 @@
 
 	/** Returns the host that batches for a pool now. */
 	private ownerOf(pool: string): string {
-		const {hostId, capacity: capacity, mesh, isLeaving} = this.options;
+		const {hostId, capacity, mesh, isLeaving} = this.options;
 		const capacities = mesh.liveRooms;
 		const isCandidate = !isLeaving() || capacities.size === 0;
 		return rendezvousOwner(pool, roomiestHosts(isCandidate ? new Map([...capacities, [hostId, capacity]]) : capacities)) ?? hostId;
--- a/src/preparation/node/pool-log.ts
+++ b/src/preparation/node/pool-log.ts
@@ -42,14 +42,14 @@
 	@param servers - upstreams that accept work.
 	@param nowMs - the current time.
 	*/
-	logStatus(scheduler: Pick<BatchScheduler, 'waitingCount' | 'describe' | 'usualSlowness'>, servers: readonly UpstreamServer[], nowMs: number): void {
+	logStatus(scheduler: Pick<BatchScheduler, 'waitingCount' | 'describe' | 'typicalSlowness'>, servers: readonly UpstreamServer[], nowMs: number): void {
 		const {pool, log} = this.options;
 		if (scheduler.waitingCount > 0 && nowMs - this.lastLoggedMs >= logIntervalMs) {
 			this.lastLoggedMs = nowMs;
 			log.info(requestLogMessages.poolWaits, {pool, servers: servers.length, ...scheduler.describe(nowMs)});
 		}
 
-		this.logSlowness(scheduler.usualSlowness(servers, nowMs), servers.length);
+		this.logSlowness(scheduler.typicalSlowness(servers, nowMs), servers.length);
 	}
 
 	/**
--- a/src/preparation/node/preparer.test.ts
+++ b/src/preparation/node/preparer.test.ts
@@ -23,7 +23,7 @@
 type Overrides = {readonly released?: ResultRef[]; readonly clock?: Clock; readonly stepTimes?: StepTimes; readonly request?: Partial<PreparationRequest>};
 
 function makePreparer(submit: (work: BatchWork, listener: PieceListener) => void, changes: Overrides = {}): Preparer {
-	const {released = [], clock = ManualClock.create(), stepTimes = StepTimes.create(), request: request = {}} = changes;
+	const {released = [], clock = ManualClock.create(), stepTimes = StepTimes.create(), request = {}} = changes;
 	const handler: WorkHandler = {
 		submit,
 		cancel: () => undefined,
@@ -40,9 +40,10 @@
 		})),
 	}, 0);
 	return Preparer.create({
-		handler: handler, tracker: DeploymentBoard.create(log), registry, clock, log, stepTimes,
+		handler, tracker: DeploymentBoard.create(log), registry, clock, log, stepTimes,
 	}, {
-		requestId: 'r', callerRequestId: 'r', contentId: 'c', route, pieceCounts: [2, 1], pieceKey: 'k', rank: 0, receivedMs: 0, targetMs: 1000, deadlineMs: 5000, hall: '', firstTokenMs: 100, ...request,
+		requestId: 'r', callerRequestId: 'r', contentId: 'c', route, pieceCounts: [2, 1], pieceKey: 'k', rank: 0,
+		receivedMs: 0, targetMs: 1000, deadlineMs: 5000, hall: '', firstTokenMs: 100, ...request,
 	});
 }
 
--- a/src/preparation/node/preparer.ts
+++ b/src/preparation/node/preparer.ts
@@ -115,7 +115,7 @@
 	*/
 	handleSent(): void {
 		this.fetchTimer?.dispose();
-		const {tracker: tracker, clock} = this.options;
+		const {tracker, clock} = this.options;
 		this.fetchTimer = clock.setTimer(fetchTimeMs(this.request.route.steps, tracker.current), () => {
 			if (!this.hasEnded) {
 				this.release(this.preparation.takeFinalRefs());
@@ -167,7 +167,7 @@
 		const workId = `${this.request.requestId}/${this.workCount}`;
 		this.openWorkIds.add(workId);
 		let openCount = work.pieces.length;
-		const {handler: handler, clock, stepTimes} = this.options;
+		const {handler, clock, stepTimes} = this.options;
 		const submittedMs = clock.nowMs();
 		const batchWork = this.batchWorkOf(work, workId);
 		handler.submit(batchWork, (piece, outcome) => {
@@ -185,7 +185,7 @@
 
 	/** Returns the work of a step as submitted for batching: with the request's ID, rank and times, and the preferred data hall. */
 	private batchWorkOf(work: StepWork, workId: string): BatchWork {
-		const {request: request} = this;
+		const {request} = this;
 		const step = request.route.steps[work.step];
 		const dependentsMs = this.preparation.dependentsMs(work.step, pool => this.options.stepTimes.typicalMs(pool) ?? this.callMs(pool));
 		const remainingMs = request.firstTokenMs + this.callMs(step.pool) + dependentsMs;
@@ -214,7 +214,7 @@
 	without.
 	*/
 	private waitDeadlineMs({step}: StepWork): number {
-		const {request: request} = this;
+		const {request} = this;
 		const neededMs = request.firstTokenMs + this.callMs(request.route.steps[step].pool) + this.preparation.dependentsMs(step, pool => this.callMs(pool));
 		const lastStartMs = request.deadlineMs - neededMs;
 		const unstartedDeadlineMs = request.receivedMs + ((request.deadlineMs - request.receivedMs) * maxUnstartedShare);
--- a/src/preparation/node/result-releases.ts
+++ b/src/preparation/node/result-releases.ts
@@ -71,7 +71,7 @@
 	}
 
 	private sendAll(): void {
-		const {registry, onUpstreamGone: onUpstreamGone, maySend: maySend, send} = this.options;
+		const {registry, onUpstreamGone, maySend, send} = this.options;
 		// Releases that can't be sent are queued again during the loop, and are left for the next time.
 		const due = [...this.pending];
 		for (const [serverId, {handles, sinceMs}] of due) {
