--- a/src/preparation/common/batch-scheduler.test.ts
+++ b/src/preparation/common/batch-scheduler.test.ts
@@ -158,7 +158,7 @@
 	const servers = [server('s'), server('t')];
 	scheduler.add(workOf('a', 8), 0);
 	const calls = scheduler.nextCalls(servers, capacity, 0);
-	t.same(calls.map(({deadlineMs: deadlineMs}) => deadlineMs), [1340, 1340]);
+	t.same(calls.map(({deadlineMs}) => deadlineMs), [1340, 1340]);
 	for (const call of calls) {
 		scheduler.failCall(call, 'broken', call.deadlineMs);
 	}
--- a/src/preparation/node/batch-handler.test.ts
+++ b/src/preparation/node/batch-handler.test.ts
@@ -55,7 +55,7 @@
 		return this.meshEvents.has(to);
 	}
 
-	private makePool(hostId: string, _pool: string, ended: (end: FinishedPiece) => void): PoolBatches {
+	private makePool(hostId: string, _pool: string, onFinished: (finished: FinishedPiece) => void): PoolBatches {
 		const queue: FinishedPiece[] = [];
 		this.queues.set(hostId, queue);
 		return {
@@ -68,7 +68,7 @@
 			cancel: () => undefined,
 			handOver() {
 				for (const {work, piece} of queue.splice(0)) {
-					ended({work, piece, outcome: {ok: false, reason: pieceFailures.moved}});
+					onFinished({work, piece, outcome: {ok: false, reason: pieceFailures.moved}});
 				}
 			},
 			release: () => undefined,
