--- a/src/preparation/common/batch-scheduler.ts
+++ b/src/preparation/common/batch-scheduler.ts
@@ -50,8 +50,8 @@
 	private readonly throughput = Throughput.create();
 	private lastCallId = 0;
 
-	private constructor(cautionOf: HandlingSource, allowanceOf: AllowanceSource) {
-		this.queue = PieceQueue.create(cautionOf);
+	private constructor(handlingOf: HandlingSource, allowanceOf: AllowanceSource) {
+		this.queue = PieceQueue.create(handlingOf);
 		this.upstreams = PoolUpstreams.create(allowanceOf);
 	}
 
--- a/src/preparation/common/overloaded-pool.test.ts
+++ b/src/preparation/common/overloaded-pool.test.ts
@@ -38,7 +38,7 @@
 function play(untilMs: number) {
 	const scheduler = BatchScheduler.create();
 	const calls: BatchCall[] = [];
-	const dueMs = new Map<string, {readonly askedMs: number; readonly dueMs: number; readonly rank: number}>();
+	const dueMs = new Map<string, {readonly submittedMs: number; readonly dueMs: number; readonly rank: number}>();
 	const doneMs = new Map<string, number>();
 	/** When steps failed. */
 	const endedMs = new Map<string, number>();
@@ -49,7 +49,7 @@
 			owed[index] += kind.perS * factor * stepMs / 1000;
 			for (; owed[index] >= 1; owed[index]--) {
 				const workId = `${kind.rank}-${dueMs.size}`;
-				dueMs.set(workId, {askedMs: nowMs, dueMs: nowMs + kind.dueMs, rank: kind.rank});
+				dueMs.set(workId, {submittedMs: nowMs, dueMs: nowMs + kind.dueMs, rank: kind.rank});
 				scheduler.add(workOf(workId, kind.rank, nowMs + kind.dueMs), nowMs);
 			}
 		}
@@ -75,16 +75,16 @@
 		}
 	}
 
-	const askedBetween = (rank: number, fromMs: number, toMs: number) =>
-		[...dueMs].filter(([, each]) => each.rank === rank && each.askedMs >= fromMs && each.askedMs < toMs);
+	const submittedBetween = (rank: number, fromMs: number, toMs: number) =>
+		[...dueMs].filter(([, each]) => each.rank === rank && each.submittedMs >= fromMs && each.submittedMs < toMs);
 	return {
 		inTimeShare(rank: number, fromMs: number, toMs: number): number {
-			const asked = askedBetween(rank, fromMs, toMs);
-			return asked.filter(([workId, each]) => (doneMs.get(workId) ?? Infinity) <= each.dueMs).length / asked.length;
+			const submitted = submittedBetween(rank, fromMs, toMs);
+			return submitted.filter(([workId, each]) => (doneMs.get(workId) ?? Infinity) <= each.dueMs).length / submitted.length;
 		},
 		/** Longest time from requesting a step until it was done or failed. */
 		longestMs(rank: number, fromMs: number, toMs: number): number {
-			return Math.max(...askedBetween(rank, fromMs, toMs).map(([workId, {askedMs}]) => (doneMs.get(workId) ?? endedMs.get(workId) ?? Infinity) - askedMs));
+			return Math.max(...submittedBetween(rank, fromMs, toMs).map(([workId, {submittedMs: askedMs}]) => (doneMs.get(workId) ?? endedMs.get(workId) ?? Infinity) - askedMs));
 		},
 	};
 }
--- a/src/preparation/node/batch-handler.test.ts
+++ b/src/preparation/node/batch-handler.test.ts
@@ -88,9 +88,9 @@
 	const names = ['a', 'b'];
 	const owner = rendezvousOwner('p', names)!;
 	const other = names.find(name => name !== owner)!;
-	const asker = hosts.add(other);
+	const submitter = hosts.add(other);
 	const outcomes: PieceOutcome[] = [];
-	asker.submit(work, (_piece, outcome) => {
+	submitter.submit(work, (_piece, outcome) => {
 		outcomes.push(outcome);
 	});
 	t.equal(hosts.queues.get(other)!.length, 2, 'a host without peers batches for itself');
@@ -110,9 +110,9 @@
 	const small = rendezvousOwner('p', names)!;
 	const big = names.find(name => name !== small)!;
 	const hosts = new Hosts();
-	const asker = hosts.add(small, 0.1);
+	const submitter = hosts.add(small, 0.1);
 	hosts.add(big, 1.35);
-	asker.submit(work, () => undefined);
+	submitter.submit(work, () => undefined);
 	t.equal(hosts.queues.get(small), undefined);
 	t.equal(hosts.queues.get(big)!.length, 2);
 });
@@ -122,8 +122,8 @@
 	const owner = rendezvousOwner('p', names)!;
 	const other = names.find(name => name !== owner)!;
 	const hosts = new Hosts();
-	const asker = hosts.add(other);
-	asker.submit(work, () => undefined);
+	const submitter = hosts.add(other);
+	submitter.submit(work, () => undefined);
 	const atWork = hosts.queues.get(other)!.splice(0);
 	hosts.add(owner);
 	hosts.queues.get(other)!.push(...atWork);
