--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -11,8 +11,8 @@
 import type {Random} from '../../base/common/random.js';
 import type {CallerLimits} from '../../deployment/common/declaration.js';
 import type {DeploymentBoard} from '../../deployment/common/deployment-board.js';
-import {admit, type PoolWaits} from '../../preparation/common/admission.js';
-import type {Preparer, PreparationAsk} from '../../preparation/node/preparer.js';
+import {admit, type WaitEstimator} from '../../preparation/common/admission.js';
+import type {Preparer, PreparationRequest} from '../../preparation/node/preparer.js';
 import {contentIdOf} from '../../quarantine/common/request-content.js';
 import {requestLogMessages} from '../../request/common/request-log-messages.js';
 import {otherHostRetryAfterMs, type RequestPlan, type StagePlan} from '../../request/common/request-plan.js';
@@ -43,11 +43,11 @@
 	readonly links: DirectLinks;
 	readonly runner: RequestRunner;
 	readonly protocol: CallerProtocol;
-	readonly makePreparer: (ask: PreparationAsk) => Preparer;
+	readonly makePreparer: (ask: PreparationRequest) => Preparer;
 	/** Predicts where a request with a shared prompt part will most likely run. */
 	readonly predictRun: (stage: StagePlan, nowMs: number) => RunPrediction;
 	/** Waiting times of the queues for preparation steps. */
-	readonly waits: PoolWaits;
+	readonly waits: WaitEstimator;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly log: Logger;
@@ -281,7 +281,7 @@
 		const {random, waits, log, metrics} = this.options;
 		const rank = rankOf(received);
 		const admission = admit({
-			index, route, pieceCounts: callerRequest.pieceCounts, rank, afterwardsMs, sinceFirstTryMs: received.sinceFirstTryMs, chance: random.next(),
+			index, route, pieceCounts: callerRequest.pieceCounts, rank, firstTokenMs: afterwardsMs, sinceFirstTryMs: received.sinceFirstTryMs, jitter: random.next(),
 		}, waits);
 		if (admission.isAdmitted) {
 			return true;
@@ -317,7 +317,7 @@
 			targetMs: receivedMs + route.targetMs - sinceFirstTryMs,
 			deadlineMs,
 			hall,
-			afterwardsMs: firstTokenMs,
+			firstTokenMs: firstTokenMs,
 		});
 	}
 
--- a/src/direct/node/served-request.ts
+++ b/src/direct/node/served-request.ts
@@ -54,7 +54,7 @@
 			callerRequestId: callerRequest.requestId, deadlineMs: plan.deadlineMs, isStreaming: plan.isStreaming, resumeAfter: callerRequest.resumeAfter,
 			onWrite() {
 				reservation?.dispose();
-				preparer?.sent();
+				preparer?.handleSent();
 			},
 		});
 		const callerGone = runner.start(plan, {
--- a/src/preparation/common/admission.ts
+++ b/src/preparation/common/admission.ts
@@ -1,73 +1,80 @@
 /**
-Whether a request whose steps must wait for their pools can still be in time: decided at the door, where a
-refusal costs nothing and the caller can come back once the queues are shorter.
+Admission control for requests that need preparation: predicts whether a request whose steps must wait for their pools
+can still meet its target. The decision is made before any work starts, where a refusal costs nothing and the caller can
+come back once the queues are shorter.
 */
 import type {DeploymentIndex} from '../../deployment/common/deployment-index.js';
 import type {Route} from '../../deployment/common/declaration.js';
 
 /**
-A request that is reckoned to be later than this part of its target is not begun. With 1.2, queues settled where
-nearly all were a little late, which earns an eighth of what coming back in time does.
+A request is not started if its predicted time exceeds this multiple of its target. With 1.2, queues settled at a length
+at which nearly all requests were slightly late, and a late request earns an eighth of one that comes back in time.
 */
-const lateTargets = 1;
-/** One that comes back after a refusal is taken a little later: refused again it is lost. */
-const patienceTargets = 1.5;
-/** A caller that first asked longer ago than this part of the route's time has tried before; less may be its way here. */
-const returningShare = 0.1;
-const shortestRetryAfterMs = 600;
-/** Callers heed up to a third of the time they have left; longer, a queue of now says little of the queue then. */
-const longestRetryAfterMs = 2500;
+const maxFirstAttemptTargets = 1;
+/** A caller that retries after a refusal is admitted up to this multiple of the target: a second refusal loses the request. */
+const maxRetryTargets = 1.5;
+/**
+A request counts as a retry if its first attempt is older than this share of the route's timeout; a shorter time may be
+network delay.
+*/
+const retryAgeShare = 0.1;
+const minRetryAfterMs = 600;
+/**
+Callers honor a delay of up to a third of their remaining time. Beyond that, the current queue says little about the
+queue at the time of the retry.
+*/
+const maxRetryAfterMs = 2500;
 
-/** Waits of the pools' queues, by rank of the request. */
-export type PoolWaits = {
-	/** @returns how long a piece added now waits for its turn. */
+/** Estimates queue waits by pool and rank of the request. */
+export type WaitEstimator = {
+	/** @returns how long a piece added now would wait for its turn, in milliseconds. */
 	waitMs(pool: string, rank: number): number;
 };
 
-/** What is decided. */
+/** Result of the admission decision. */
 export type Admission
 	= | {readonly isAdmitted: true; readonly predictedMs: number}
 		| {readonly isAdmitted: false; readonly predictedMs: number; readonly retryAfterMs: number};
 
-/** What the decision needs to know of a request. */
-export type AdmissionAsk = {
+/** Properties of a request that the admission decision depends on. */
+export type AdmissionRequest = {
 	readonly index: DeploymentIndex;
 	readonly route: Route;
 	readonly pieceCounts: readonly number[];
 	readonly rank: number;
-	/** Time to the first token once the steps are done. */
-	readonly afterwardsMs: number;
-	/** How long ago the caller first asked. */
+	/** Time from the end of the steps to the first token. */
+	readonly firstTokenMs: number;
+	/** Time since the caller's first attempt. */
 	readonly sinceFirstTryMs: number;
-	/** Spreads callers that are told to come back; in [0, 1). */
-	readonly chance: number;
+	/** Random value in [0, 1) that spreads out the retries of refused callers. */
+	readonly jitter: number;
 };
 
 /**
-Predicts the time to the first event, and decides.
-@param ask - the request.
-@param waits - of the queues now.
+Predicts the time to the first event of the response and decides whether to admit the request.
+@param request - the request.
+@param waits - estimates of the current queue waits.
 */
-export function admit(ask: AdmissionAsk, waits: PoolWaits): Admission {
-	const {route, sinceFirstTryMs, afterwardsMs, chance} = ask;
-	const predictedMs = preparationMs(ask, waits) + afterwardsMs;
-	const isFirstTry = sinceFirstTryMs <= route.timeoutMs * returningShare;
-	const mostMs = route.targetMs * (isFirstTry ? lateTargets : patienceTargets);
-	if (predictedMs <= mostMs) {
+export function admit(request: AdmissionRequest, waits: WaitEstimator): Admission {
+	const {route, sinceFirstTryMs, firstTokenMs, jitter} = request;
+	const predictedMs = preparationMs(request, waits) + firstTokenMs;
+	const isFirstAttempt = sinceFirstTryMs <= route.timeoutMs * retryAgeShare;
+	const maxMs = route.targetMs * (isFirstAttempt ? maxFirstAttemptTargets : maxRetryTargets);
+	if (predictedMs <= maxMs) {
 		return {isAdmitted: true, predictedMs};
 	}
 
-	const clearedMs = (predictedMs - (route.targetMs / 2)) * (1 + (chance / 2));
-	return {isAdmitted: false, predictedMs, retryAfterMs: Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, clearedMs))};
+	const clearedMs = (predictedMs - (route.targetMs / 2)) * (1 + (jitter / 2));
+	return {isAdmitted: false, predictedMs, retryAfterMs: Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, clearedMs))};
 }
 
-/** The longest way through the steps, each with its wait and its call. */
-function preparationMs(ask: AdmissionAsk, waits: PoolWaits): number {
-	const {index, route, pieceCounts, rank} = ask;
+/** Duration of the critical path through the steps, each with its wait and its call, in milliseconds. */
+function preparationMs(request: AdmissionRequest, waits: WaitEstimator): number {
+	const {index, route, pieceCounts, rank} = request;
 	const doneMs: number[] = [];
 	for (const [number, step] of route.steps.entries()) {
 		const pieces = pieceCounts[number] ?? 1;
-		const startMs = Math.max(0, ...step.after.map(before => doneMs[before] ?? 0));
+		const startMs = Math.max(0, ...step.after.map(dependency => doneMs[dependency] ?? 0));
 		const batch = index.pool(step.pool)?.batch;
 		const callMs = batch ? batch.callMs + (batch.itemMs * Math.min(batch.batchSize, Math.max(pieces, batch.batchSize / 2))) : 0;
 		doneMs.push(pieces === 0 ? startMs : startMs + waits.waitMs(step.pool, rank) + callMs);
--- /dev/null
+++ b/src/preparation/common/batch-scheduler.ts
@@ -0,0 +1,303 @@
+/**
+Schedules the batches of one pool: pieces of all requests wait in one queue, and each upstream that becomes free takes
+the most urgent ones. Takes events and the time as input and returns the calls to make; does no I/O.
+*/
+import type {BatchCapacity} from '../../deployment/common/declaration.js';
+import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
+import {pieceHandlings} from '../../quarantine/common/quarantine.js';
+import type {
+	BatchCall, BatchPiece, CallFailure, FinishedPiece,
+} from './batch-call.js';
+import {selectPieces} from './piece-selection.js';
+import {rankPenaltyMs} from './piece-order.js';
+import {PieceQueue, type HandlingSource} from './piece-queue.js';
+import {PoolUpstreams, type AllowanceSource} from './pool-upstreams.js';
+import {spaceReportOf} from './space-report.js';
+import {fullCallMs, Throughput} from './throughput.js';
+import {
+	pieceFailures, type BatchWork, type PieceOutcome,
+} from './work.js';
+
+/** Wait reported if no upstream is healthy or all are in backoff: roughly the time until one is available again. */
+const noUpstreamWaitMs = 2000;
+/** Time until a typical piece is due; determines the queue position of work whose wait is only estimated. */
+const typicalDueMs = 500;
+/** With all upstreams busy and an empty queue, the first one is free after this share of a call, divided by their number. */
+const firstFreeShare = 0.5;
+/** Attempts at one piece before it fails. */
+const maxAttempts = 4;
+/** A call times out after this multiple of the typical duration of the pool's calls, plus a margin for the network. */
+const timeoutFactor = 6;
+const timeoutMarginMs = 500;
+
+/** State of a pool: queued pieces, calls in progress, the longest wait, and the space used by results. */
+export type BatchStatus = {readonly waiting: number; readonly calls: number; readonly oldestMs: number; readonly keptBytes: number};
+
+/**
+State of a pool at the time of a call: data halls with upstreams that accept work, and the typical slowness of these
+upstreams.
+*/
+type PoolConditions = {readonly openHalls: ReadonlySet<string>; readonly typicalSlowness: number};
+
+/** Queue and calls in progress of one pool. */
+export class BatchScheduler {
+	static create(handlingOf: HandlingSource = () => pieceHandlings.none, allowanceOf: AllowanceSource = () => ({left: Infinity, perS: Infinity})): BatchScheduler {
+		return new BatchScheduler(handlingOf, allowanceOf);
+	}
+
+	private readonly queue: PieceQueue;
+	private readonly upstreams: PoolUpstreams;
+	private readonly throughput = Throughput.create();
+	private lastCallId = 0;
+
+	private constructor(handlingOf: HandlingSource, allowanceOf: AllowanceSource) {
+		this.queue = PieceQueue.create(handlingOf);
+		this.upstreams = PoolUpstreams.create(allowanceOf);
+	}
+
+	/** Number of pieces that wait for an upstream. */
+	get waitingCount(): number {
+		return this.queue.size;
+	}
+
+	/** Number of calls in progress. */
+	get callCount(): number {
+		return this.upstreams.callCount;
+	}
+
+	add(work: BatchWork, nowMs: number): void {
+		if (this.queue.size === 0) {
+			this.throughput.startQueue(nowMs);
+		}
+
+		for (const piece of work.pieces) {
+			this.queue.add({
+				work, piece, readyMs: nowMs, attempts: 0,
+			});
+		}
+	}
+
+	/**
+	Drops the queued pieces of a request that has ended. Calls in progress continue.
+	@param workId - ID of the work.
+	*/
+	cancel(workId: string): void {
+		this.queue.removeWork(workId);
+	}
+
+	/**
+	Removes everything queued, as when another host takes over batching for the pool.
+	@returns the pieces, none of which has been started.
+	*/
+	takeWaiting(): FinishedPiece[] {
+		return this.queue.takeAll(pieceFailures.moved);
+	}
+
+	/**
+	Fails everything queued, as when no upstream accepts work for some time.
+	@returns the pieces, none of which has been started.
+	*/
+	failWaiting(): FinishedPiece[] {
+		return this.queue.takeAll(pieceFailures.noUpstream);
+	}
+
+	/**
+	Fails late work that could not be done before its callers leave, given what is ahead of it in the queue.
+	@param servers - upstreams that accept work.
+	@param capacity - capacity of each upstream.
+	@param nowMs - the current time.
+	@returns the failed pieces; other pieces of the same steps may be in progress.
+	*/
+	failLate(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): FinishedPiece[] {
+		const count = this.upstreams.effectiveCount(this.upstreams.healthyOf(servers, nowMs), capacity, nowMs);
+		return count === 0 ? [] : this.queue.takeUnservable(this.throughput.optimisticPiecesPerMs(count, capacity, nowMs), nowMs);
+	}
+
+	/**
+	Takes pieces off the queue for the calls to make now.
+	@param servers - upstreams of the pool that accept work.
+	@param capacity - capacity of each upstream.
+	@param nowMs - the current time.
+	*/
+	nextCalls(servers: readonly UpstreamServer[], capacity: BatchCapacity, nowMs: number): BatchCall[] {
+		const calls: BatchCall[] = [];
+		if (this.queue.size === 0) {
+			return calls;
+		}
+
+		this.queue.sort(nowMs);
+		const allowed = servers.filter(server => this.upstreams.isAllowed(server, nowMs));
+		const free = allowed.filter(server => this.upstreams.of(server).isFree(nowMs))
+			.toSorted((left, right) => this.upstreams.of(left).slownessAt(nowMs) - this.upstreams.of(right).slownessAt(nowMs));
+		const healthy = new Set(this.upstreams.healthyOf(allowed, nowMs));
+		const typicalSlowness = this.upstreams.typicalSlowness(allowed, nowMs);
+		const openHalls = new Set(allowed.filter(server => !this.upstreams.of(server).isAvoided(nowMs)).map(server => server.hall));
+		for (const server of free) {
+			if (!healthy.has(server) && this.queue.size <= healthy.size * capacity.batchSize) {
+				continue;
+			}
+
+			const call = this.startCall(server, capacity, {openHalls, typicalSlowness}, nowMs);
+			if (call) {
+				calls.push(call);
+			}
+		}
+
+		return calls;
+	}
+
+	/**
+	Handles the response to a call.
+	@param call - the call.
+	@param outcomes - one for each piece, in order.
+	@param capacity - capacity of the pool's upstreams.
+	@param nowMs - the current time.
+	@returns the pieces that are finished; the others are queued again.
+	*/
+	completeCall(call: BatchCall, outcomes: readonly PieceOutcome[], capacity: BatchCapacity, nowMs: number): FinishedPiece[] {
+		const state = this.upstreams.of(call.server);
+		state.completeCall(call, nowMs);
+		this.throughput.record(outcomes.filter(outcome => outcome.ok).length, nowMs);
+		state.space.update(spaceReportOf(call, outcomes), capacity, nowMs);
+		const finished: FinishedPiece[] = [];
+		for (const [index, item] of call.pieces.entries()) {
+			const {work, piece, attempts} = item;
+			const outcome = outcomes[index];
+			if (outcome.ok) {
+				state.space.add(outcome.ref.handle, work.resultBytes, nowMs + capacity.resultTtlMs);
+			}
+
+			const hadNoSpace = !outcome.ok && outcome.reason === pieceFailures.noRoom;
+			const mayRetry = hadNoSpace || (!outcome.ok && outcome.reason === pieceFailures.failed);
+			if (mayRetry && attempts < maxAttempts) {
+				// An attempt that found no space cost only a round trip, so it does not count.
+				this.queue.add(hadNoSpace ? {...item, attempts: attempts - 1} : item);
+			} else {
+				finished.push({work, piece, outcome});
+			}
+		}
+
+		return finished;
+	}
+
+	/**
+	Handles a call that failed as a whole.
+	@param call - the call.
+	@param reason - why it failed.
+	@param nowMs - the current time.
+	@returns the pieces that have failed for good; the others are queued again.
+	*/
+	failCall(call: BatchCall, reason: CallFailure, nowMs: number): FinishedPiece[] {
+		this.upstreams.of(call.server).failCall(call, nowMs);
+		const finished: FinishedPiece[] = [];
+		for (const item of call.pieces) {
+			// A refused call cost the upstream nothing, so it does not count.
+			const attempts = item.attempts - (reason === 'refused' ? 1 : 0);
+			if (attempts >= maxAttempts || nowMs >= item.work.deadlineMs) {
+				finished.push({work: item.work, piece: item.piece, outcome: {ok: false, reason: pieceFailures.failed}});
+			} else {
+				this.queue.add({...item, attempts});
+			}
+		}
+
+		return finished;
+	}
+
+	/**
+	Frees the space of results that are no longer needed or are lost.
+	@param serverId - the upstream that stores them.
+	@param handles - handles of the results.
+	*/
+	freeResults(serverId: string, handles: readonly string[]): void {
+		this.upstreams.freeResults(serverId, handles);
+	}
+
+	/**
+	Removes queued pieces that are past their deadline or barred, and the state of servers that are gone.
+	@param isKnown - whether a server is still listed.
+	@param nowMs - the current time.
+	@returns the pieces that have failed.
+	*/
+	sweep(isKnown: (serverId: string) => boolean, nowMs: number): FinishedPiece[] {
+		this.upstreams.sweep(isKnown);
+		return this.queue.sweep(nowMs);
+	}
+
+	/**
+	Returns the space used by results at an upstream, in bytes, as far as this host knows.
+	@param serverId - the upstream.
+	@param nowMs - the current time.
+	*/
+	usedBytesAt(serverId: string, nowMs: number): number {
+		return this.upstreams.usedBytesAt(serverId, nowMs);
+	}
+
+	/**
+	Returns the state of the pool for logs.
+	@param nowMs - the current time.
+	*/
+	describe(nowMs: number): BatchStatus {
+		return {
+			waiting: this.queue.size, calls: this.callCount, oldestMs: Math.round(this.queue.oldestMs(nowMs)), keptBytes: this.upstreams.usedBytes(nowMs),
+		};
+	}
+
+	/**
+	Estimates how long work added now would wait for its turn.
+	@param servers - upstreams that accept work.
+	@param capacity - capacity of each upstream.
+	@param rank - rank of the work.
+	@param nowMs - the current time.
+	@returns the wait in milliseconds; 0 while an upstream is free.
+	*/
+	waitMs(servers: readonly UpstreamServer[], capacity: BatchCapacity, rank: number, nowMs: number): number {
+		const healthy = this.upstreams.healthyOf(servers, nowMs);
+		const count = this.upstreams.effectiveCount(healthy, capacity, nowMs);
+		if (count === 0) {
+			return noUpstreamWaitMs;
+		}
+
+		const free = healthy.filter(server => this.upstreams.of(server).call === undefined && this.upstreams.isAllowed(server, nowMs)).length;
+		const urgency = nowMs + typicalDueMs + (rank * rankPenaltyMs);
+		const ahead = this.queue.countAhead(urgency, nowMs);
+		if (free > 0 && ahead === 0) {
+			return 0;
+		}
+
+		return (ahead / this.throughput.piecesPerMs(count, capacity, nowMs)) + ((firstFreeShare * fullCallMs(capacity)) / count);
+	}
+
+	/**
+	Returns the typical ratio of actual to declared duration of the pool's calls.
+	@param servers - upstreams that accept work.
+	@param nowMs - the current time.
+	*/
+	typicalSlowness(servers: readonly UpstreamServer[], nowMs: number): number {
+		return this.upstreams.typicalSlowness(servers, nowMs);
+	}
+
+	private startCall(server: UpstreamServer, capacity: BatchCapacity, {openHalls, typicalSlowness}: PoolConditions, nowMs: number): BatchCall | undefined {
+		const pieces = this.takePieces(server, capacity, openHalls, nowMs);
+		if (pieces.length === 0) {
+			return undefined;
+		}
+
+		const expectedMs = capacity.callMs + (pieces.length * capacity.itemMs);
+		this.lastCallId++;
+		const call: BatchCall = {
+			callId: this.lastCallId, server, pieces, sentMs: nowMs, expectedMs, deadlineMs: nowMs + (timeoutFactor * expectedMs * Math.max(1, typicalSlowness)) + timeoutMarginMs,
+		};
+		this.upstreams.of(server).call = call;
+		return call;
+	}
+
+	/** Takes the most urgent pieces for one call off the queue. */
+	private takePieces(server: UpstreamServer, {batchSize, roomBytes}: BatchCapacity, openHalls: ReadonlySet<string>, nowMs: number): BatchPiece[] {
+		const freeBytes = this.upstreams.of(server).space.freeBytes(roomBytes, nowMs);
+		const taken = selectPieces(this.queue.sendable(), {
+			batchSize, freeBytes, hall: server.hall, openHalls,
+		}, nowMs);
+		this.queue.remove(taken);
+		return [...taken].map(item => ({...item, attempts: item.attempts + 1}));
+	}
+}
--- a/src/preparation/common/piece-queue.ts
+++ b/src/preparation/common/piece-queue.ts
@@ -1,27 +1,27 @@
-/** The pieces of all requests that wait for one pool. */
+/** Queue of the pieces of all requests that wait for one pool. */
 import {pieceHandlings, type PieceHandling} from '../../quarantine/common/quarantine.js';
-import type {BatchPiece, PieceEnd} from './batch-call.js';
+import type {BatchPiece, FinishedPiece} from './batch-call.js';
 import {isLate, urgencyOf} from './piece-order.js';
 import {pieceFailures, type BatchWork, type PieceFailure} from './work.js';
 
-/** Tells how pieces of a request may be handed to an upstream, by the request's content. */
-export type CautionSource = (contentId: string) => PieceHandling;
+/** Returns how pieces of a request may be sent to an upstream, by the content ID of the request. */
+export type HandlingSource = (contentId: string) => PieceHandling;
 
-/** Holds what waits, in the order in which it goes. */
+/** Queued pieces in the order in which they are sent. */
 export class PieceQueue {
 	/**
-	Makes an empty queue.
-	@param cautionOf - tells how each piece may be handed on.
+	Creates an empty queue.
+	@param handlingOf - returns how each piece may be sent.
 	*/
-	static create(cautionOf: CautionSource): PieceQueue {
-		return new PieceQueue(cautionOf);
+	static create(handlingOf: HandlingSource): PieceQueue {
+		return new PieceQueue(handlingOf);
 	}
 
 	private pieces: BatchPiece[] = [];
-	/** Pieces whose time went by while they waited; the next sweep ends them. */
+	/** Pieces whose deadline passed in the queue; the next sweep fails them. */
 	private expired: BatchPiece[] = [];
 
-	private constructor(private readonly cautionOf: CautionSource) {}
+	private constructor(private readonly handlingOf: HandlingSource) {}
 
 	get size(): number {
 		return this.pieces.length;
@@ -32,104 +32,105 @@
 	}
 
 	/**
-	Takes pieces out that go in a call.
-	@param taken - which.
+	Removes pieces that are sent in a call.
+	@param taken - the pieces.
 	*/
 	remove(taken: ReadonlySet<BatchPiece>): void {
 		this.pieces = this.pieces.filter(item => !taken.has(item));
 	}
 
 	/**
-	Takes out what waits of one work.
-	@param workId - the work.
+	Removes the queued pieces of one work.
+	@param workId - ID of the work.
 	*/
 	removeWork(workId: string): void {
 		this.pieces = this.pieces.filter(({work}) => work.workId !== workId);
 	}
 
 	/**
-	Takes out everything that waits; none of it has been begun.
-	@param reason - why.
+	Removes all queued pieces; none of them has been started.
+	@param reason - reported as the cause.
 	*/
-	takeAll(reason: PieceFailure): PieceEnd[] {
-		const taken = endsOf(this.pieces, reason);
+	takeAll(reason: PieceFailure): FinishedPiece[] {
+		const taken = finishAll(this.pieces, reason);
 		this.pieces = [];
 		return taken;
 	}
 
 	/**
-	Puts the most urgent first. What is over goes before: on waking that may be all that waits.
-	@param nowMs - the time.
+	Sorts the queue, most urgent first. Expired pieces are removed before: after the host was suspended they may be all
+	there is.
+	@param nowMs - the current time.
 	*/
 	sort(nowMs: number): void {
 		this.dropExpired(nowMs);
 		this.pieces.sort((left, right) => urgencyOf(left, nowMs) - urgencyOf(right, nowMs));
 	}
 
-	/** Pieces that may go in one call: those of one request alone where it may be what ends upstreams, all others together. */
+	/** Pieces that may be sent in one call. A request that may have crashed upstreams goes alone; all others may be combined. */
 	sendable(): readonly BatchPiece[] {
-		const first = this.pieces.find(({work}) => this.mayGo(work));
+		const first = this.pieces.find(({work}) => this.isSendable(work));
 		if (!first) {
 			return [];
 		}
 
 		const {contentId} = first.work;
-		return this.cautionOf(contentId) === pieceHandlings.alone
+		return this.handlingOf(contentId) === pieceHandlings.alone
 			? this.pieces.filter(({work}) => work.contentId === contentId)
-			: this.pieces.filter(({work}) => this.cautionOf(work.contentId) === pieceHandlings.none);
+			: this.pieces.filter(({work}) => this.handlingOf(work.contentId) === pieceHandlings.none);
 	}
 
 	/**
-	Takes out what is not handed on any more: its time went by, or its request is barred.
-	@param nowMs - the time.
+	Removes pieces that are no longer sent: those past their deadline, and those of barred requests.
+	@param nowMs - the current time.
 	*/
-	sweep(nowMs: number): PieceEnd[] {
+	sweep(nowMs: number): FinishedPiece[] {
 		this.dropExpired(nowMs);
 		const {expired} = this;
 		this.expired = [];
-		const barred = new Set(this.pieces.filter(({work}) => this.cautionOf(work.contentId) === pieceHandlings.barred));
+		const barred = new Set(this.pieces.filter(({work}) => this.handlingOf(work.contentId) === pieceHandlings.barred));
 		if (barred.size > 0) {
 			this.remove(barred);
 		}
 
-		return [...endsOf(expired, pieceFailures.late), ...endsOf([...barred], pieceFailures.failed)];
+		return [...finishAll(expired, pieceFailures.late), ...finishAll([...barred], pieceFailures.failed)];
 	}
 
 	/**
-	Takes out steps that are late and whose turn would come too late for their callers, all pieces of each: who can't be
-	served is told now, not once its time is over.
-	@param perMs - pieces that the pool does in a millisecond.
-	@param nowMs - the time.
+	Removes all pieces of steps that are late and whose turn would come too late for their callers: a caller that can't be
+	served is notified now, not once its time is over.
+	@param perMs - pieces that the pool completes per millisecond.
+	@param nowMs - the current time.
 	*/
-	takeHopeless(perMs: number, nowMs: number): PieceEnd[] {
+	takeUnservable(perMs: number, nowMs: number): FinishedPiece[] {
 		this.sort(nowMs);
-		const hopeless = new Set<string>();
+		const unservable = new Set<string>();
 		for (const [index, {work}] of this.pieces.entries()) {
 			if (isLate(work, nowMs) && nowMs + (index / perMs) > work.lateDueMs) {
-				hopeless.add(work.workId);
+				unservable.add(work.workId);
 			}
 		}
 
-		const taken = this.pieces.filter(({work}) => hopeless.has(work.workId));
+		const taken = this.pieces.filter(({work}) => unservable.has(work.workId));
 		if (taken.length > 0) {
 			this.remove(new Set(taken));
 		}
 
-		return endsOf(taken, pieceFailures.late);
+		return finishAll(taken, pieceFailures.late);
 	}
 
 	/**
-	Counts the pieces that go before one that is only thought of.
-	@param urgency - of that one.
-	@param nowMs - the time.
+	Counts the pieces ahead of a hypothetical one.
+	@param urgency - urgency of that piece.
+	@param nowMs - the current time.
 	*/
 	countAhead(urgency: number, nowMs: number): number {
 		return this.pieces.filter(item => urgencyOf(item, nowMs) <= urgency).length;
 	}
 
 	/**
-	Tells the longest wait.
-	@param nowMs - the time.
+	Returns the longest wait of a queued piece, in milliseconds.
+	@param nowMs - the current time.
 	*/
 	oldestMs(nowMs: number): number {
 		let oldestMs = 0;
@@ -140,9 +141,9 @@
 		return oldestMs;
 	}
 
-	private mayGo({contentId}: BatchWork): boolean {
-		const caution = this.cautionOf(contentId);
-		return caution === pieceHandlings.none || caution === pieceHandlings.alone;
+	private isSendable({contentId}: BatchWork): boolean {
+		const handling = this.handlingOf(contentId);
+		return handling === pieceHandlings.none || handling === pieceHandlings.alone;
 	}
 
 	private dropExpired(nowMs: number): void {
@@ -154,6 +155,6 @@
 	}
 }
 
-function endsOf(pieces: readonly BatchPiece[], reason: PieceFailure): PieceEnd[] {
+function finishAll(pieces: readonly BatchPiece[], reason: PieceFailure): FinishedPiece[] {
 	return pieces.map(({work, piece}) => ({work, piece, outcome: {ok: false, reason}}));
 }
--- a/src/preparation/common/preparation.ts
+++ b/src/preparation/common/preparation.ts
@@ -1,24 +1,24 @@
-/** The work before one request: which pieces may be worked on, which results are there, what is made again. */
+/** State of the preparation of one request: which pieces can start, which results exist, and what must be computed again. */
 import type {PreparationStep} from '../../deployment/common/declaration.js';
 import type {ResultRef, StepWork} from './work.js';
 
-/** Steps that the longest other way may still have when a step beside it begins. */
-const headStartSteps = 2;
+/** A deferrable step starts once the longest other path has no more than this many steps left. */
+const maxOtherRemainingSteps = 2;
 
 type Step = {
 	readonly declared: PreparationStep;
 	readonly results: Array<ResultRef | undefined>;
 	readonly pending: Set<number>;
-	/** Whether its results were given up because every step that reads them is done. */
-	isSpent: boolean;
+	/** Whether its results were released because every step that reads them is done. */
+	isReleased: boolean;
 };
 
-/** Follows the steps of one request; touches no upstream itself. */
+/** Tracks the steps of one request; does not call any upstream itself. */
 export class Preparation {
 	/**
-	Makes the follower; nothing is asked for before `advance`.
+	Creates the state; nothing is requested before `advance`.
 	@param steps - as declared, numbered from 0.
-	@param pieceCounts - pieces of each step; a step with none is left out.
+	@param pieceCounts - number of pieces of each step; a step without pieces is skipped.
 	*/
 	static create(steps: readonly PreparationStep[], pieceCounts: readonly number[]): Preparation {
 		return new Preparation(steps, pieceCounts);
@@ -31,89 +31,90 @@
 			declared: step,
 			results: Array.from({length: pieceCounts[index] ?? 1}, () => undefined),
 			pending: new Set<number>(),
-			isSpent: false,
+			isReleased: false,
 		}));
 	}
 
-	/** Whether everything the request reads is there. */
+	/** Whether all results that the request reads are available. */
 	get isComplete(): boolean {
-		return this.steps.every((step, index) => !this.isLast(index) || isDone(step));
+		return this.steps.every((step, index) => !this.isFinal(index) || isDone(step));
 	}
 
-	/** Results that the request itself reads: those of the steps that no other step comes after. */
+	/** Results that the request itself reads: those of the steps on which no other step depends. */
 	get finalRefs(): ResultRef[] {
-		return this.steps.flatMap((step, index) => this.isLast(index) && !step.isSpent ? present(step) : []);
+		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isReleased ? availableRefs(step) : []);
 	}
 
-	/** The same results, each with its upstream and its size. */
+	/** The same results, each with its upstream and its size in bytes. */
 	finalSizes(): Array<{readonly serverId: string; readonly bytes: number}> {
-		return this.steps.flatMap((step, index) => this.isLast(index) && !step.isSpent
-			? present(step).map(({serverId}) => ({serverId, bytes: step.declared.resultBytes}))
+		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isReleased
+			? availableRefs(step).map(({serverId}) => ({serverId, bytes: step.declared.resultBytes}))
 			: []);
 	}
 
-	/** Every result that is kept somewhere. */
+	/** All results that are stored somewhere. */
 	get allRefs(): ResultRef[] {
-		return this.steps.flatMap(step => step.isSpent ? [] : present(step));
+		return this.steps.flatMap(step => step.isReleased ? [] : availableRefs(step));
 	}
 
 	/**
-	Gives up results that nothing will read any more: room for results bounds what a pool can do.
+	Takes the results that nothing will read any more, so that they can be released: the space for results limits what a
+	pool can do.
 	@returns the results.
 	*/
-	takeSpent(): ResultRef[] {
-		const spent: ResultRef[] = [];
+	takeUnneeded(): ResultRef[] {
+		const unneeded: ResultRef[] = [];
 		for (const [index, step] of this.steps.entries()) {
-			if (!step.isSpent && !this.isNeeded(index) && isDone(step)) {
-				step.isSpent = true;
-				spent.push(...present(step));
+			if (!step.isReleased && !this.isNeeded(index) && isDone(step)) {
+				step.isReleased = true;
+				unneeded.push(...availableRefs(step));
 			}
 		}
 
-		return spent;
+		return unneeded;
 	}
 
 	/**
-	Gives up the results that the request itself reads, once it has read them.
+	Takes the results that the request itself reads, so that they can be released once it has read them.
 	@returns the results.
 	*/
-	takeFinals(): ResultRef[] {
+	takeFinalRefs(): ResultRef[] {
 		const finals = this.finalRefs;
 		for (const [index, step] of this.steps.entries()) {
-			step.isSpent ||= this.isLast(index);
+			step.isReleased ||= this.isFinal(index);
 		}
 
 		return finals;
 	}
 
 	/**
-	Tells how long the steps behind one take, on the longest way.
-	@param index - the step; it does not count itself.
-	@param timeOf - tells how long a step of a pool takes.
+	Returns the duration of the steps that depend on a step, on the critical path, in milliseconds.
+	@param index - the step; its own duration is not included.
+	@param timeOf - returns the duration of a step of a pool.
 	*/
-	timeBehindMs(index: number, timeOf: (pool: string) => number): number {
-		const ways = this.steps.flatMap(({declared, results}, other) =>
-			declared.after.includes(index) && results.length > 0 ? [timeOf(declared.pool) + this.timeBehindMs(other, timeOf)] : []);
-		return Math.max(0, ...ways);
+	dependentsMs(index: number, timeOf: (pool: string) => number): number {
+		const pathsMs = this.steps.flatMap(({declared, results}, other) =>
+			declared.after.includes(index) && results.length > 0 ? [timeOf(declared.pool) + this.dependentsMs(other, timeOf)] : []);
+		return Math.max(0, ...pathsMs);
 	}
 
-	/** Steps that are still to come behind a step, the step itself included, on the longest way. */
-	stepsLeft(index: number): number {
-		const behind = this.steps.flatMap(({declared, results}, other) =>
-			declared.after.includes(index) && results.length > 0 ? [this.stepsLeft(other)] : []);
-		return 1 + Math.max(0, ...behind);
+	/** Number of steps on the longest path from a step to the end, including the step itself. */
+	remainingSteps(index: number): number {
+		const counts = this.steps.flatMap(({declared, results}, other) =>
+			declared.after.includes(index) && results.length > 0 ? [this.remainingSteps(other)] : []);
+		return 1 + Math.max(0, ...counts);
 	}
 
 	/**
-	Gives the work that may be done now and has not been asked for.
-	@returns work; its pieces count as asked for from now on.
+	Returns the work that can start now and has not been requested.
+	@returns work; its pieces count as requested from now on.
 	*/
 	advance(): StepWork[] {
-		this.renewSpent();
+		this.renewReleased();
 		const works: StepWork[] = [];
 		for (const [index, step] of this.steps.entries()) {
 			const missing = step.results.flatMap((result, piece) => result !== undefined || step.pending.has(piece) ? [] : [piece]);
-			if (missing.length === 0 || !this.isNeeded(index) || !this.hasInputs(step) || this.canWait(index)) {
+			if (missing.length === 0 || !this.isNeeded(index) || !this.hasInputs(step) || this.canDefer(index)) {
 				continue;
 			}
 
@@ -129,10 +130,10 @@
 
 	/** Results that each piece of a step reads. */
 	inputRefs(index: number): ResultRef[] {
-		return this.steps[index].declared.after.flatMap(input => present(this.steps[input]));
+		return this.steps[index].declared.after.flatMap(input => availableRefs(this.steps[input]));
 	}
 
-	/** Bytes that each piece of a step reads, about. */
+	/** Approximate number of bytes that each piece of a step reads. */
 	inputBytes(index: number): number {
 		let sumBytes = 0;
 		for (const input of this.steps[index].declared.after) {
@@ -144,13 +145,13 @@
 	}
 
 	/**
-	A piece is done.
+	Records the result of a piece.
 	@param index - its step.
 	@param piece - its number.
 	@param ref - its result.
-	@returns false if the result is not wanted, as when another one came first.
+	@returns false if the result is not needed, as when another one arrived first.
 	*/
-	done(index: number, piece: number, ref: ResultRef): boolean {
+	completePiece(index: number, piece: number, ref: ResultRef): boolean {
 		const step = this.steps[index];
 		step.pending.delete(piece);
 		if (step.results[piece]) {
@@ -162,79 +163,79 @@
 	}
 
 	/**
-	A piece was not done; it may be asked for again.
+	Records that a piece failed; it may be requested again.
 	@param index - its step.
 	@param piece - its number.
 	*/
-	failed(index: number, piece: number): void {
+	failPiece(index: number, piece: number): void {
 		this.steps[index].pending.delete(piece);
 	}
 
 	/**
-	Results a piece was to read are lost.
+	Discards inputs of a step that were reported lost.
 	@param index - the step that was to read them.
-	@param isKept - tells whether a server is still there; where it says yes of all, all are made again.
-	@returns the results that are given up.
+	@param isListed - whether a server is still listed; if all of them are, all inputs are computed again.
+	@returns the discarded results.
 	*/
-	inputsLost(index: number, isKept: (serverId: string) => boolean): ResultRef[] {
-		return this.giveUp(this.steps[index].declared.after, isKept);
+	discardInputs(index: number, isListed: (serverId: string) => boolean): ResultRef[] {
+		return this.discard(this.steps[index].declared.after, isListed);
 	}
 
 	/**
-	Results the request itself was to read are lost.
-	@param isKept - as for `inputsLost`.
-	@returns the results that are given up.
+	Discards lost results that the request itself was to read.
+	@param isListed - as for the inputs of a step.
+	@returns the discarded results.
 	*/
-	finalsLost(isKept: (serverId: string) => boolean): ResultRef[] {
-		return this.giveUp([...this.steps.keys()].filter(index => this.isLast(index) && !this.steps[index].isSpent), isKept);
+	discardFinals(isListed: (serverId: string) => boolean): ResultRef[] {
+		return this.discard([...this.steps.keys()].filter(index => this.isFinal(index) && !this.steps[index].isReleased), isListed);
 	}
 
-	/** A result was lost behind a step whose own results are given up already: these are made again as well. */
-	private renewSpent(): void {
+	/** Requests released results again if they are needed once more because a result that was computed from them is lost. */
+	private renewReleased(): void {
 		for (const [index, step] of [...this.steps.entries()].toReversed()) {
-			if (step.isSpent && this.isNeeded(index)) {
-				step.isSpent = false;
+			if (step.isReleased && this.isNeeded(index)) {
+				step.isReleased = false;
 				step.results.fill(undefined);
 			}
 		}
 	}
 
-	private giveUp(indexes: readonly number[], isKept: (serverId: string) => boolean): ResultRef[] {
-		const refs = indexes.flatMap(index => present(this.steps[index]));
-		const lost = refs.filter(ref => !isKept(ref.serverId));
-		const given = new Set(lost.length > 0 ? lost : refs);
+	private discard(indexes: readonly number[], isListed: (serverId: string) => boolean): ResultRef[] {
+		const refs = indexes.flatMap(index => availableRefs(this.steps[index]));
+		const lost = refs.filter(ref => !isListed(ref.serverId));
+		const discarded = new Set(lost.length > 0 ? lost : refs);
 		for (const index of indexes) {
 			const {results} = this.steps[index];
 			for (const [piece, ref] of results.entries()) {
-				if (ref && given.has(ref)) {
+				if (ref && discarded.has(ref)) {
 					results[piece] = undefined;
 				}
 			}
 		}
 
-		return [...given];
+		return [...discarded];
 	}
 
-	private isLast(index: number): boolean {
+	private isFinal(index: number): boolean {
 		return this.steps.every(({declared}) => !declared.after.includes(index));
 	}
 
 	/**
-	Whether a step that only the request itself reads would be done long before the others: its results
-	would take room meanwhile. It begins when the longest other way has as many steps left, and one more.
+	Whether a step that only the request itself reads can be deferred. It would be done long before the others, and its
+	results would use space meanwhile. It starts when the longest other path has as many steps left and one more.
 	*/
-	private canWait(index: number): boolean {
-		if (!this.isLast(index) || this.steps[index].declared.after.length > 0) {
+	private canDefer(index: number): boolean {
+		if (!this.isFinal(index) || this.steps[index].declared.after.length > 0) {
 			return false;
 		}
 
-		const others = this.steps.flatMap((step, other) => other !== index && !isDone(step) && this.hasInputs(step) ? [this.stepsLeft(other)] : []);
-		return Math.max(0, ...others) > headStartSteps;
+		const others = this.steps.flatMap((step, other) => other !== index && !isDone(step) && this.hasInputs(step) ? [this.remainingSteps(other)] : []);
+		return Math.max(0, ...others) > maxOtherRemainingSteps;
 	}
 
-	/** Whether something still has to read this step's results. */
+	/** Whether something still has to read the results of this step. */
 	private isNeeded(index: number): boolean {
-		return this.isLast(index) || this.steps.some((other, otherIndex) =>
+		return this.isFinal(index) || this.steps.some((other, otherIndex) =>
 			other.declared.after.includes(index) && !isDone(other) && this.isNeeded(otherIndex));
 	}
 
@@ -245,7 +246,7 @@
 	private inputsOf({declared}: Step): string[] | undefined {
 		return declared.after.length === 0
 			? undefined
-			: declared.after.flatMap(index => present(this.steps[index]).map(ref => ref.handle));
+			: declared.after.flatMap(index => availableRefs(this.steps[index]).map(ref => ref.handle));
 	}
 }
 
@@ -253,6 +254,6 @@
 	return step.results.every(Boolean);
 }
 
-function present(step: Step): ResultRef[] {
+function availableRefs(step: Step): ResultRef[] {
 	return step.results.filter(ref => ref !== undefined);
 }
--- a/src/preparation/node/batch-desk.test.ts
+++ b/src/preparation/node/batch-handler.test.ts
@@ -5,25 +5,25 @@
 import type {PeerMessage} from '../../peers/node/peer-mesh.js';
 import {rendezvousOwner} from '../../routing/common/rendezvous.js';
 import type {Message} from '../../wire/common/messages.js';
-import type {PieceEnd} from '../common/batch-call.js';
+import type {FinishedPiece} from '../common/batch-call.js';
 import {pieceFailures, type BatchWork, type PieceOutcome} from '../common/work.js';
-import {BatchDesk, type PeerLine, type PoolBatches} from './batch-desk.js';
+import {BatchHandler, type BatchPeerMesh, type PoolBatches} from './batch-handler.js';
 
-/** Hosts of one test, each with its desk; messages arrive at once. */
+/** Hosts of one test, each with its handler; messages arrive immediately. */
 class Hosts {
-	readonly desks = new Map<string, BatchDesk>();
+	readonly handlers = new Map<string, BatchHandler>();
 	readonly clock = ManualClock.create();
-	/** Work in the hands of each host: `HOST/POOL`. */
-	readonly queues = new Map<string, PieceEnd[]>();
-	private readonly lines = new Map<string, {readonly receive: Emitter<PeerMessage>; readonly change: Emitter<void>}>();
-	private readonly rooms = new Map<string, number>();
+	/** Pieces held by each host, by host ID. */
+	readonly queues = new Map<string, FinishedPiece[]>();
+	private readonly meshEvents = new Map<string, {readonly receive: Emitter<PeerMessage>; readonly change: Emitter<void>}>();
+	private readonly capacities = new Map<string, number>();
 	private live: string[] = [];
 
-	add(hostId: string, room = 1): BatchDesk {
-		this.rooms.set(hostId, room);
+	add(hostId: string, capacity = 1): BatchHandler {
+		this.capacities.set(hostId, capacity);
 		const receive = Emitter.create<PeerMessage>();
 		const change = Emitter.create<void>();
-		const mesh: PeerLine = {
+		const mesh: BatchPeerMesh = {
 			onDidReceive: receive.event,
 			onDidChange: change.event,
 			onDidLose: Emitter.create<string>().event,
@@ -31,44 +31,44 @@
 			send: (to, message) => this.deliver(hostId, to, message),
 			broadcast: () => undefined,
 		};
-		Object.defineProperty(mesh, 'liveRooms', {get: () => new Map(this.live.filter(other => other !== hostId).map(other => [other, this.rooms.get(other) ?? 0]))});
-		this.lines.set(hostId, {receive, change});
-		const desk = BatchDesk.create({
-			hostId, room, mesh, clock: this.clock, log: silentLoggers.for('test'),
+		Object.defineProperty(mesh, 'liveRooms', {get: () => new Map(this.live.filter(other => other !== hostId).map(other => [other, this.capacities.get(other) ?? 0]))});
+		this.meshEvents.set(hostId, {receive, change});
+		const handler = BatchHandler.create({
+			hostId, capacity, mesh, clock: this.clock, log: silentLoggers.for('test'),
 			isLeaving: () => !this.live.includes(hostId),
-			makePool: (pool, ended) => this.makePool(hostId, pool, ended),
+			makePool: (pool, onFinished) => this.makePool(hostId, pool, onFinished),
 		});
-		this.desks.set(hostId, desk);
+		this.handlers.set(hostId, handler);
 		this.setLive([...this.live, hostId]);
-		return desk;
+		return handler;
 	}
 
 	setLive(live: string[]): void {
 		this.live = live;
-		for (const {change} of this.lines.values()) {
+		for (const {change} of this.meshEvents.values()) {
 			change.fire();
 		}
 	}
 
 	private deliver(from: string, to: string, message: Message): boolean {
-		this.lines.get(to)?.receive.fire({hostId: from, message});
-		return this.lines.has(to);
+		this.meshEvents.get(to)?.receive.fire({hostId: from, message});
+		return this.meshEvents.has(to);
 	}
 
-	private makePool(hostId: string, _pool: string, ended: (end: PieceEnd) => void): PoolBatches {
-		const queue: PieceEnd[] = [];
+	private makePool(hostId: string, _pool: string, onFinished: (finished: FinishedPiece) => void): PoolBatches {
+		const queue: FinishedPiece[] = [];
 		this.queues.set(hostId, queue);
 		return {
 			get isIdle() {
 				return queue.length === 0;
 			},
 			add(work) {
-				queue.push(...work.pieces.map((piece): PieceEnd => ({work, piece, outcome: {ok: true, ref: {handle: `${hostId}${piece}`, serverId: 's'}}})));
+				queue.push(...work.pieces.map((piece): FinishedPiece => ({work, piece, outcome: {ok: true, ref: {handle: `${hostId}${piece}`, serverId: 's'}}})));
 			},
 			cancel: () => undefined,
 			handOver() {
 				for (const {work, piece} of queue.splice(0)) {
-					ended({work, piece, outcome: {ok: false, reason: pieceFailures.moved}});
+					onFinished({work, piece, outcome: {ok: false, reason: pieceFailures.moved}});
 				}
 			},
 			release: () => undefined,
@@ -83,47 +83,47 @@
 	dueMs: 1, lateDueMs: 2, deadlineMs: 3, hall: '', crossingBytes: 0,
 };
 
-t.test('work that waits goes to the host that batches its pool now, and ends once', async t => {
+t.test('queued work is transferred to the host that batches its pool now, and finishes once', async t => {
 	const hosts = new Hosts();
 	const names = ['a', 'b'];
 	const owner = rendezvousOwner('p', names)!;
 	const other = names.find(name => name !== owner)!;
-	const asker = hosts.add(other);
+	const submitter = hosts.add(other);
 	const outcomes: PieceOutcome[] = [];
-	asker.submit(work, (_piece, outcome) => {
+	submitter.submit(work, (_piece, outcome) => {
 		outcomes.push(outcome);
 	});
-	t.equal(hosts.queues.get(other)!.length, 2, 'alone it batches for itself');
+	t.equal(hosts.queues.get(other)!.length, 2, 'a host without peers batches for itself');
 	hosts.add(owner);
 	t.equal(hosts.queues.get(other)!.length, 0);
 	t.equal(hosts.queues.get(owner)!.length, 2);
 	hosts.setLive([other]);
-	hosts.desks.get(owner)!.handOver();
-	t.equal(hosts.queues.get(owner)!.length, 0, 'a host that leaves hands its queue on');
+	hosts.handlers.get(owner)!.handOver();
+	t.equal(hosts.queues.get(owner)!.length, 0, 'a host that is leaving transfers its queue');
 	t.equal(hosts.queues.get(other)!.length, 2);
-	t.ok(hosts.desks.get(owner)!.isIdle, 'and has nothing left in its hands');
+	t.ok(hosts.handlers.get(owner)!.isIdle, 'and holds nothing any more');
 	t.same(outcomes, []);
 });
 
-t.test('a host with little room batches for nobody while a roomier one lives', async t => {
+t.test('a host with little capacity batches nothing while one with more capacity is live', async t => {
 	const names = ['a', 'b'];
 	const small = rendezvousOwner('p', names)!;
 	const big = names.find(name => name !== small)!;
 	const hosts = new Hosts();
-	const asker = hosts.add(small, 0.1);
+	const submitter = hosts.add(small, 0.1);
 	hosts.add(big, 1.35);
-	asker.submit(work, () => undefined);
+	submitter.submit(work, () => undefined);
 	t.equal(hosts.queues.get(small), undefined);
 	t.equal(hosts.queues.get(big)!.length, 2);
 });
 
-t.test('pieces that wait again at a host that batches no more are handed on', async t => {
+t.test('pieces that are queued again on a host that no longer batches are transferred', async t => {
 	const names = ['a', 'b'];
 	const owner = rendezvousOwner('p', names)!;
 	const other = names.find(name => name !== owner)!;
 	const hosts = new Hosts();
-	const asker = hosts.add(other);
-	asker.submit(work, () => undefined);
+	const submitter = hosts.add(other);
+	submitter.submit(work, () => undefined);
 	const atWork = hosts.queues.get(other)!.splice(0);
 	hosts.add(owner);
 	hosts.queues.get(other)!.push(...atWork);
--- a/src/preparation/node/preparer.test.ts
+++ b/src/preparation/node/preparer.test.ts
@@ -7,8 +7,8 @@
 import {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {pieceFailures, type BatchWork, type ResultRef} from '../common/work.js';
 import {StepTimes} from '../common/step-times.js';
-import type {EndsTaker, WorkTaker} from './batch-desk.js';
-import {Preparer, type PreparationAsk} from './preparer.js';
+import type {PieceListener, WorkHandler} from './batch-handler.js';
+import {Preparer, type PreparationRequest} from './preparer.js';
 
 const log = silentLoggers.for('test');
 const route: Route = {
@@ -16,15 +16,15 @@
 	maxAttempts: 1, steps: [{pool: 'a', after: [], resultBytes: 10}, {pool: 'b', after: [0], resultBytes: 10}], isPublic: false, hasAffinity: false, isResumable: false,
 };
 
-/** What a request reads whose last step made one result of ten bytes in hall x. */
+/** Inputs of a request whose last step made one result of ten bytes in data hall x. */
 const inputsOf = (handle: string) => ({ok: true, value: {handles: [handle], bytesByHall: new Map([['x', 10]])}});
 
-/** What differs from a usual preparer. */
-type Changes = {readonly released?: ResultRef[]; readonly clock?: Clock; readonly stepTimes?: StepTimes; readonly ask?: Partial<PreparationAsk>};
+/** Overrides of the defaults. */
+type Overrides = {readonly released?: ResultRef[]; readonly clock?: Clock; readonly stepTimes?: StepTimes; readonly request?: Partial<PreparationRequest>};
 
-function makePreparer(submit: (work: BatchWork, taker: EndsTaker) => void, changes: Changes = {}): Preparer {
-	const {released = [], clock = ManualClock.create(), stepTimes = StepTimes.create(), ask = {}} = changes;
-	const desk: WorkTaker = {
+function makePreparer(submit: (work: BatchWork, listener: PieceListener) => void, changes: Overrides = {}): Preparer {
+	const {released = [], clock = ManualClock.create(), stepTimes = StepTimes.create(), request = {}} = changes;
+	const handler: WorkHandler = {
 		submit,
 		cancel: () => undefined,
 		release(_pool, refs) {
@@ -40,18 +40,19 @@
 		})),
 	}, 0);
 	return Preparer.create({
-		desk, board: DeploymentBoard.create(log), registry, clock, log, stepTimes,
+		handler, tracker: DeploymentBoard.create(log), registry, clock, log, stepTimes,
 	}, {
-		requestId: 'r', callerRequestId: 'r', contentId: 'c', route, pieceCounts: [2, 1], pieceKey: 'k', rank: 0, receivedMs: 0, targetMs: 1000, deadlineMs: 5000, hall: '', afterwardsMs: 100, ...ask,
+		requestId: 'r', callerRequestId: 'r', contentId: 'c', route, pieceCounts: [2, 1], pieceKey: 'k', rank: 0,
+		receivedMs: 0, targetMs: 1000, deadlineMs: 5000, hall: '', firstTokenMs: 100, ...request,
 	});
 }
 
-t.test('a piece whose time is over at once ends the work, and is not asked for again', async t => {
+t.test('a piece that is late at once fails the preparation, and is not requested again', async t => {
 	let asked = 0;
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		asked++;
 		for (const piece of work.pieces) {
-			taker(piece, {ok: false, reason: pieceFailures.late});
+			listener(piece, {ok: false, reason: pieceFailures.late});
 		}
 	});
 	const result = await preparer.run(false);
@@ -59,24 +60,24 @@
 	t.equal(asked, 1);
 });
 
-t.test('pieces that fail together count once and are asked for again together', async t => {
+t.test('pieces that fail together count once and are requested again together', async t => {
 	const works: string[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		works.push(`${work.pool}:${work.pieces.join(',')}`);
 		const isFailing = work.pool === 'a' && works.length <= 6;
 		for (const piece of work.pieces) {
-			taker(piece, isFailing ? {ok: false, reason: pieceFailures.failed} : {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
+			listener(piece, isFailing ? {ok: false, reason: pieceFailures.failed} : {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
 		}
 	}, {clock: SystemClock.create()});
 	t.same(await preparer.run(false), inputsOf('b0'));
 	t.same(works, ['a:0,1', 'a:0,1', 'a:0,1', 'a:0,1', 'a:0,1', 'a:0,1', 'a:0,1', 'b:0']);
 });
 
-t.test('results are given up when nothing reads them any more', async t => {
+t.test('results are released once nothing reads them any more', async t => {
 	const released: ResultRef[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		for (const piece of work.pieces) {
-			taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
 		}
 	}, {released});
 	t.same(await preparer.run(false), inputsOf('b0'));
@@ -85,12 +86,12 @@
 	t.same(released.map(({handle}) => handle), ['a0', 'a1', 'b0']);
 });
 
-t.test('results lost at the last moment are made again from the first step on', async t => {
+t.test('results lost after the last step are computed again from the first step on', async t => {
 	const works: string[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		works.push(`${work.pool}:${work.pieces.join(',')}`);
 		for (const piece of work.pieces) {
-			taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${works.length}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${works.length}`, serverId: work.pool}});
 		}
 	});
 	await preparer.run(false);
@@ -98,30 +99,30 @@
 	t.same(works, ['a:0,1', 'b:0', 'a:0,1', 'b:0']);
 });
 
-t.test('results are given up soon after the request was sent, and made again if it had not read them', async t => {
+t.test('results are released soon after the request was sent, and computed again if it had not read them', async t => {
 	const released: ResultRef[] = [];
 	const clock = ManualClock.create();
 	const works: string[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		works.push(work.pool);
 		for (const piece of work.pieces) {
-			taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${works.length}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${works.length}`, serverId: work.pool}});
 		}
 	}, {released, clock});
 	await preparer.run(false);
 	released.length = 0;
-	preparer.sent();
+	preparer.handleSent();
 	clock.advance(10);
-	t.same(released, [], 'not before it can have fetched them');
+	t.same(released, [], 'not before the upstream can have fetched them');
 	clock.advance(50);
 	t.same(released.map(({handle}) => handle), ['b0#2']);
 	t.same(await preparer.run(true), inputsOf('b0#4'));
 	t.same(works, ['a', 'b', 'a', 'b']);
 	preparer.end();
-	t.same(released.map(({handle}) => handle), ['b0#2', 'a0#3', 'a1#3', 'b0#4'], 'each once');
+	t.same(released.map(({handle}) => handle), ['b0#2', 'a0#3', 'a1#3', 'b0#4'], 'each result is released once');
 });
 
-t.test('a step is due early enough for what the steps behind it were seen to take', async t => {
+t.test('a step is due early enough for the measured duration of the steps that depend on it', async t => {
 	const dueMs: number[] = [];
 	const stepTimes = StepTimes.create();
 	const start = () => {
@@ -133,40 +134,40 @@
 	start();
 	stepTimes.record('b', 350);
 	start();
-	t.same(dueMs, [900, 550], 'nothing is declared of a call; 100 ms are left for the model');
+	t.same(dueMs, [900, 550], 'no call duration is declared; 100 ms are reserved for the model');
 });
 
-t.test('a step is given up, and its caller told, when its answer could not come any more or after half of the time', async t => {
+t.test('a step fails when its response could no longer arrive in time, or after half of the caller\'s time', async t => {
 	const given: number[] = [];
-	const start = (ask: Partial<PreparationAsk>) => {
-		void makePreparer((work, taker) => {
+	const start = (ask: Partial<PreparationRequest>) => {
+		void makePreparer((work, listener) => {
 			given.push(work.deadlineMs);
 			for (const piece of work.pieces) {
-				taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
+				listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
 			}
-		}, {clock: SystemClock.create(), ask}).run(false);
+		}, {clock: SystemClock.create(), request: ask}).run(false);
 	};
 
 	start({});
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
-	t.same(given, [2500, 4900], 'half of 5000 ms before anything is done; then while the model has its 100 ms');
-	start({afterwardsMs: 3000});
+	t.same(given, [2500, 4900], 'half of 5000 ms before anything is done; then until 100 ms remain for the model');
+	start({firstTokenMs: 3000});
 	t.equal(given[2], 2000);
 });
 
 /*
-Seen: none yet; found by reading. A step that reads no results was given up after half of its caller's time also where
-it was made again because results were lost, or began late on purpose: a request for which servers had worked was
-refused while there was time to serve it.
+Guards against refusing a request that could still be served. A step that reads no results must not fail after half of
+its caller's time if it is computed again because results were lost, or starts late on purpose: servers have already
+worked for the request. Found by reading the code; not seen so far.
 */
-t.test('a request for which something was done is not given up after half of its time', async t => {
+t.test('a request for which something was done does not fail after half of its time', async t => {
 	const given: number[] = [];
-	const preparer = makePreparer((work, taker) => {
+	const preparer = makePreparer((work, listener) => {
 		given.push(work.deadlineMs);
 		for (const piece of work.pieces) {
-			taker(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${given.length}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${given.length}`, serverId: work.pool}});
 		}
 	}, {clock: SystemClock.create()});
 	await preparer.run(false);
@@ -175,12 +176,13 @@
 });
 
 /*
-Found by reading: a caller that came back was given up the moment its step had to wait for anything, with most of its time left, as
-the time until it would leave was counted from its first try. A caller leaves a try that gives nothing by that try's own time.
+Guards against failing the step of a returning caller as soon as it has to wait for anything, with most of the caller's
+time left. This happens if the time until the caller disconnects is counted from its first attempt: a caller abandons an
+attempt that yields nothing according to the time of that attempt. Found by reading the code.
 */
-t.test('a caller that came back is as patient as one that asks for the first time; only what is due counts from its first try', async t => {
+t.test('a retry waits as long as a first attempt; only its due time counts from the first attempt', async t => {
 	const workOf = async (sinceFirstTryMs: number): Promise<BatchWork> => new Promise(resolve => {
-		void makePreparer(resolve, {ask: {receivedMs: 10_000, targetMs: 11_000 - sinceFirstTryMs, deadlineMs: 19_000}}).run(false);
+		void makePreparer(resolve, {request: {receivedMs: 10_000, targetMs: 11_000 - sinceFirstTryMs, deadlineMs: 19_000}}).run(false);
 	});
 	const [first, returning] = [await workOf(0), await workOf(4000)];
 	t.equal(returning.dueMs, first.dueMs - 4000);
--- a/src/preparation/node/preparer.ts
+++ b/src/preparation/node/preparer.ts
@@ -1,4 +1,4 @@
-/** Does the work before a request: hands its steps to the batches and gathers the results. */
+/** Prepares a request: submits its steps for batching and collects the results. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import type {Logger} from '../../base/common/logger.js';
@@ -13,22 +13,28 @@
 	pieceFailures, type BatchWork, type PieceOutcome, type ResultRef, type StepWork,
 } from '../common/work.js';
 import type {StepTimes} from '../common/step-times.js';
-import type {WorkTaker} from './batch-desk.js';
-
-/** Pieces of one request that may fail before the request is given up. */
-const mostFailures = 6;
-/** Failures after which nothing more is asked for: what is late at once would be asked for for ever, as would what nobody takes. */
-const finalFailures = new Set<string>([pieceFailures.late, pieceFailures.noUpstream]);
-/** Callers of streams leave when nothing came for four times the target; one is kept back for the answer's way. */
-const patienceTargets = 3;
-/** Part of its caller's time that a request may wait for its first step: later, an answer would rarely come at all. */
-const unbegunShare = 0.5;
-/** Bounds of the time after which a caller that was refused is asked to come back. */
-const shortestRetryAfterMs = 400;
-const longestRetryAfterMs = 2000;
-
-/** What the work of one request needs to know. */
-export type PreparationAsk = {
+import type {WorkHandler} from './batch-handler.js';
+
+/** Maximum number of failures before the request fails. */
+const maxFailures = 6;
+/** Failures that are not retried: a piece that is late at once, or one that no upstream accepts, would be requested for ever. */
+const permanentFailures = new Set<string>([pieceFailures.late, pieceFailures.noUpstream]);
+/**
+Multiple of the target after which late work is useless. Callers of streams disconnect when nothing has arrived for four
+times the target; one of the four is reserved for delivering the response.
+*/
+const maxWaitTargets = 3;
+/**
+Share of its caller's timeout that a request may wait for its first step: after that, a response would rarely arrive in
+time.
+*/
+const maxUnstartedShare = 0.5;
+/** Bounds of the delay after which a refused caller is asked to retry. */
+const minRetryAfterMs = 400;
+const maxRetryAfterMs = 2000;
+
+/** Properties of a request that its preparation depends on. */
+export type PreparationRequest = {
 	readonly requestId: string;
 	readonly callerRequestId: string;
 	readonly contentId: string;
@@ -39,61 +45,61 @@
 	readonly receivedMs: number;
 	readonly targetMs: number;
 	readonly deadlineMs: number;
-	/** Data hall of the upstream that will read the results; empty where it is not known. */
+	/** Data hall of the upstream that will read the results; empty if it is not known. */
 	readonly hall: string;
-	/** Time to the first token once the work is done, about. */
-	readonly afterwardsMs: number;
+	/** Approximate time from the end of the preparation to the first token. */
+	readonly firstTokenMs: number;
 };
 
-/** What preparers are made of. */
+/** Dependencies and settings. */
 export type PreparerOptions = {
-	readonly desk: WorkTaker;
-	readonly board: DeploymentBoard;
+	readonly handler: WorkHandler;
+	readonly tracker: DeploymentBoard;
 	readonly registry: ServerRegistry;
 	readonly clock: Clock;
 	readonly log: Logger;
-	/** Times of the steps of all requests of this host. */
+	/** Step durations of all requests of this host. */
 	readonly stepTimes: StepTimes;
 };
 
 type Result = Outcome<PreparedInputs, PreparationFailure>;
 
-/** The work before one request. */
+/** Preparation of one request. */
 export class Preparer {
-	static create(options: PreparerOptions, ask: PreparationAsk): Preparer {
-		return new Preparer(options, ask);
+	static create(options: PreparerOptions, request: PreparationRequest): Preparer {
+		return new Preparer(options, request);
 	}
 
 	private readonly preparation: Preparation;
-	private readonly openWorks = new Set<string>();
-	/** Ends the run that is going on; absent while there is none. */
+	private readonly openWorkIds = new Set<string>();
+	/** Settles the current run; absent if there is none. */
 	private settle: ((result: Result) => void) | undefined;
-	/** Works handed in so far; numbers them. */
+	/** Number of works submitted so far, used to number them. */
 	private workCount = 0;
 	private failureCount = 0;
-	/** Whether an upstream has done something for this request. */
-	private hasBegun = false;
-	/** Whether an advance is asked for already. */
-	private isAdvancing = false;
+	/** Whether an upstream has completed something for this request. */
+	private hasStarted = false;
+	/** Whether an advance is already scheduled. */
+	private isAdvanceScheduled = false;
 	/** Whether a failure was counted since the last advance. */
 	private hasFailed = false;
-	private isOver = false;
+	private hasEnded = false;
 	/** Runs while the upstream fetches the results it reads. */
 	private fetchTimer: Disposable | undefined;
 
-	private constructor(private readonly options: PreparerOptions, private readonly ask: PreparationAsk) {
-		this.preparation = Preparation.create(ask.route.steps, ask.pieceCounts);
+	private constructor(private readonly options: PreparerOptions, private readonly request: PreparationRequest) {
+		this.preparation = Preparation.create(request.route.steps, request.pieceCounts);
 	}
 
 	/**
-	Does the work, or what of it was lost.
-	@param isAgain - whether the request found results lost that were made before.
+	Computes the results, or those of them that were lost.
+	@param isRetry - whether the request found results lost that were computed before.
 	@returns the results that the request reads.
 	*/
-	async run(isAgain: boolean): Promise<Result> {
-		if (isAgain) {
+	async run(isRetry: boolean): Promise<Result> {
+		if (isRetry) {
 			this.fetchTimer?.dispose();
-			this.release(this.preparation.finalsLost(serverId => this.isKept(serverId)));
+			this.release(this.preparation.discardFinals(serverId => this.isListed(serverId)));
 		}
 
 		return new Promise(resolve => {
@@ -103,36 +109,36 @@
 	}
 
 	/**
-	The request was written to the upstream that reads its results. It fetches them before anything else, long
-	before its first event, and room for results bounds what a pool can do: they are given up once they must be
-	there. If they are not, the upstream says that nothing ran, and they are made again.
+	Called when the request was written to the upstream that reads its results. The upstream fetches them before anything
+	else, long before its first event, and the space for results limits what a pool can do, so they are released once they
+	must have been fetched. If they have not been, the upstream reports that nothing ran, and they are computed again.
 	*/
-	sent(): void {
+	handleSent(): void {
 		this.fetchTimer?.dispose();
-		const {board, clock} = this.options;
-		this.fetchTimer = clock.setTimer(fetchTimeMs(this.ask.route.steps, board.current), () => {
-			if (!this.isOver) {
-				this.release(this.preparation.takeFinals());
+		const {tracker, clock} = this.options;
+		this.fetchTimer = clock.setTimer(fetchTimeMs(this.request.route.steps, tracker.current), () => {
+			if (!this.hasEnded) {
+				this.release(this.preparation.takeFinalRefs());
 			}
 		});
 	}
 
-	/** The request has ended or has read its results: everything is given up. */
+	/** Called when the request has ended or has read its results: cancels its work and releases all results. */
 	end(): void {
-		if (this.isOver) {
+		if (this.hasEnded) {
 			return;
 		}
 
-		this.isOver = true;
+		this.hasEnded = true;
 		this.fetchTimer?.dispose();
-		for (const workId of this.openWorks) {
-			this.options.desk.cancel(workId);
+		for (const workId of this.openWorkIds) {
+			this.options.handler.cancel(workId);
 		}
 
 		this.release(this.preparation.allRefs);
 	}
 
-	/** Hands in what can be worked on now, and ends once nothing is left. */
+	/** Submits the work that can start now, and finishes the run if nothing is left. */
 	private advance(): void {
 		for (const work of this.preparation.advance()) {
 			this.submit(work);
@@ -143,7 +149,7 @@
 		}
 	}
 
-	/** Where the results lie that the request reads, and how much of them. */
+	/** Returns the number of bytes that the request reads, by the data hall in which they are stored. */
 	private finalBytesByHall(): ReadonlyMap<string, number> {
 		const bytesByHall = new Map<string, number>();
 		for (const {serverId, bytes} of this.preparation.finalSizes()) {
@@ -158,67 +164,68 @@
 
 	private submit(work: StepWork): void {
 		this.workCount++;
-		const workId = `${this.ask.requestId}/${this.workCount}`;
-		this.openWorks.add(workId);
-		let open = work.pieces.length;
-		const {desk, clock, stepTimes} = this.options;
+		const workId = `${this.request.requestId}/${this.workCount}`;
+		this.openWorkIds.add(workId);
+		let openCount = work.pieces.length;
+		const {handler, clock, stepTimes} = this.options;
 		const submittedMs = clock.nowMs();
 		const batchWork = this.batchWorkOf(work, workId);
-		desk.submit(batchWork, (piece, outcome) => {
-			open--;
-			if (open === 0) {
-				this.openWorks.delete(workId);
+		handler.submit(batchWork, (piece, outcome) => {
+			openCount--;
+			if (openCount === 0) {
+				this.openWorkIds.delete(workId);
 				if (outcome.ok && submittedMs < batchWork.dueMs) {
 					stepTimes.record(batchWork.pool, clock.nowMs() - submittedMs);
 				}
 			}
 
-			this.ended(work.step, piece, outcome);
+			this.handleOutcome(work.step, piece, outcome);
 		});
 	}
 
-	/** A step's work as the batches take it: with the request's name, rank and times, and where it is best worked on. */
+	/** Returns the work of a step as submitted for batching: with the request's ID, rank and times, and the preferred data hall. */
 	private batchWorkOf(work: StepWork, workId: string): BatchWork {
-		const {ask} = this;
-		const step = ask.route.steps[work.step];
-		const behindMs = this.preparation.timeBehindMs(work.step, pool => this.options.stepTimes.usualMs(pool) ?? this.callMs(pool));
-		const afterMs = ask.afterwardsMs + this.callMs(step.pool) + behindMs;
-		const dueMs = ask.targetMs - afterMs;
-		const giveUpMs = this.giveUpMs(work);
+		const {request} = this;
+		const step = request.route.steps[work.step];
+		const dependentsMs = this.preparation.dependentsMs(work.step, pool => this.options.stepTimes.typicalMs(pool) ?? this.callMs(pool));
+		const remainingMs = request.firstTokenMs + this.callMs(step.pool) + dependentsMs;
+		const dueMs = request.targetMs - remainingMs;
+		const waitDeadlineMs = this.waitDeadlineMs(work);
 		return {
 			...work,
 			workId,
 			pool: step.pool,
-			callerRequestId: ask.callerRequestId,
-			contentId: ask.contentId,
-			pieceKey: ask.pieceKey,
+			callerRequestId: request.callerRequestId,
+			contentId: request.contentId,
+			pieceKey: request.pieceKey,
 			resultBytes: step.resultBytes,
-			rank: ask.rank,
+			rank: request.rank,
 			dueMs,
-			// A caller leaves by the time of this try, however long ago its first one was.
-			lateDueMs: Math.min(giveUpMs, ask.receivedMs + (patienceTargets * ask.route.targetMs) - afterMs),
-			deadlineMs: giveUpMs,
-			...this.placeOf(work),
+			// A caller disconnects according to the time of this attempt, however long ago its first one was.
+			lateDueMs: Math.min(waitDeadlineMs, request.receivedMs + (maxWaitTargets * request.route.targetMs) - remainingMs),
+			deadlineMs: waitDeadlineMs,
+			...this.preferredHallOf(work),
 		};
 	}
 
 	/**
-	When a step that waits is given up, and its caller told. Then it could not be done any more before the caller
-	leaves; or nothing was done for the request yet, and the caller still has time to come back or to do without.
+	Returns when a queued step fails and its caller is notified: when it could no longer be done before the caller
+	disconnects, or earlier if nothing was done for the request yet, while the caller still has time to retry or to do
+	without.
 	*/
-	private giveUpMs({step}: StepWork): number {
-		const {ask} = this;
-		const neededMs = ask.afterwardsMs + this.callMs(ask.route.steps[step].pool) + this.preparation.timeBehindMs(step, pool => this.callMs(pool));
-		const lastStartMs = ask.deadlineMs - neededMs;
-		const patientMs = ask.receivedMs + ((ask.deadlineMs - ask.receivedMs) * unbegunShare);
-		return this.hasBegun ? lastStartMs : Math.min(lastStartMs, patientMs);
+	private waitDeadlineMs({step}: StepWork): number {
+		const {request} = this;
+		const neededMs = request.firstTokenMs + this.callMs(request.route.steps[step].pool) + this.preparation.dependentsMs(step, pool => this.callMs(pool));
+		const lastStartMs = request.deadlineMs - neededMs;
+		const unstartedDeadlineMs = request.receivedMs + ((request.deadlineMs - request.receivedMs) * maxUnstartedShare);
+		return this.hasStarted ? lastStartMs : Math.min(lastStartMs, unstartedDeadlineMs);
 	}
 
-	/** Where a step is best worked on: where what it reads lies, or else where what it makes is read. */
-	private placeOf({step: index, inputs}: StepWork): {readonly hall: string; readonly crossingBytes: number} {
-		const {steps} = this.ask.route;
+	/** Returns where a step runs best: where its inputs are stored or, if it has none, where its results are read. */
+	private preferredHallOf({step: index, inputs}: StepWork): {readonly hall: string; readonly crossingBytes: number} {
+		const {steps} = this.request.route;
 		if (!inputs) {
-			return {hall: this.ask.hall, crossingBytes: steps[index].resultBytes};
+			return {hall: this.request.hall, crossingBytes: steps[index].resultBytes};
 		}
 
 		const refs = this.preparation.inputRefs(index);
@@ -232,52 +239,52 @@
 		return {hall, crossingBytes: this.preparation.inputBytes(index)};
 	}
 
-	/** Time of a half-full call of a pool, as declared. */
+	/** Declared duration of a half-full call of a pool, in milliseconds. */
 	private callMs(pool: string): number {
-		const batch = this.options.board.current?.pool(pool)?.batch;
+		const batch = this.options.tracker.current?.pool(pool)?.batch;
 		return batch ? batch.callMs + (batch.itemMs * batch.batchSize / 2) : 0;
 	}
 
-	private ended(index: number, piece: number, outcome: PieceOutcome): void {
-		const {pool} = this.ask.route.steps[index];
+	private handleOutcome(index: number, piece: number, outcome: PieceOutcome): void {
+		const {pool} = this.request.route.steps[index];
 		if (outcome.ok) {
-			this.hasBegun = true;
-			const isWanted = this.preparation.done(index, piece, outcome.ref);
-			if (this.isOver || !isWanted) {
-				this.options.desk.release(pool, [outcome.ref]);
+			this.hasStarted = true;
+			const isNeeded = this.preparation.completePiece(index, piece, outcome.ref);
+			if (this.hasEnded || !isNeeded) {
+				this.options.handler.release(pool, [outcome.ref]);
 				return;
 			}
 
-			this.release(this.preparation.takeSpent());
+			this.release(this.preparation.takeUnneeded());
 		} else {
-			this.preparation.failed(index, piece);
-			if (this.isOver) {
+			this.preparation.failPiece(index, piece);
+			if (this.hasEnded) {
 				return;
 			}
 
-			this.failed(index, outcome.reason);
+			this.handleFailure(index, outcome.reason);
 		}
 
-		this.advanceSoon();
+		this.scheduleAdvance();
 	}
 
-	/** Pieces of one call end together: what follows from them is asked for together as well. */
-	private advanceSoon(): void {
-		if (this.isAdvancing) {
+	/** Pieces of one call finish together, so the work that depends on them is requested together as well. */
+	private scheduleAdvance(): void {
+		if (this.isAdvanceScheduled) {
 			return;
 		}
 
-		this.isAdvancing = true;
+		this.isAdvanceScheduled = true;
 		queueMicrotask(() => {
-			this.isAdvancing = false;
+			this.isAdvanceScheduled = false;
 			this.hasFailed = false;
-			if (!this.isOver && this.settle) {
+			if (!this.hasEnded && this.settle) {
 				this.advance();
 			}
 		});
 	}
 
-	private failed(index: number, reason: string): void {
+	private handleFailure(index: number, reason: string): void {
 		// Pieces of one step fail together: they count once.
 		if (this.hasFailed) {
 			return;
@@ -286,13 +293,13 @@
 		this.hasFailed = true;
 		this.failureCount++;
 		this.options.log.warn('A piece of a request\'s work failed.', {
-			request: this.ask.callerRequestId, step: index, reason, failures: this.failureCount,
+			request: this.request.callerRequestId, step: index, reason, failures: this.failureCount,
 		});
 		if (reason === pieceFailures.inputsGone) {
-			this.release(this.preparation.inputsLost(index, serverId => this.isKept(serverId)));
+			this.release(this.preparation.discardInputs(index, serverId => this.isListed(serverId)));
 		}
 
-		if (finalFailures.has(reason) || this.failureCount > mostFailures) {
+		if (permanentFailures.has(reason) || this.failureCount > maxFailures) {
 			this.end();
 			this.finish(fail({
 				code: failureCodes.preparationFailed,
@@ -302,17 +309,17 @@
 		}
 	}
 
-	/** When the queue of now is worked off. */
+	/** Time in which the current queue is expected to empty, in milliseconds. */
 	private retryAfterMs(index: number): number {
-		const waitMs = this.options.desk.waitMs(this.ask.route.steps[index].pool, this.ask.rank);
-		return Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, waitMs));
+		const waitMs = this.options.handler.waitMs(this.request.route.steps[index].pool, this.request.rank);
+		return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs));
 	}
 
-	private isKept(serverId: string): boolean {
+	private isListed(serverId: string): boolean {
 		return this.options.registry.get(serverId) !== undefined;
 	}
 
-	/** Gives results up where their servers are still there. */
+	/** Releases results whose servers are still listed. */
 	private release(refs: readonly ResultRef[]): void {
 		const byPool = new Map<string, ResultRef[]>();
 		for (const ref of refs) {
@@ -323,7 +330,7 @@
 		}
 
 		for (const [pool, poolRefs] of byPool) {
-			this.options.desk.release(pool, poolRefs);
+			this.options.handler.release(pool, poolRefs);
 		}
 	}
 
--- a/src/preparation/node/result-releases.ts
+++ b/src/preparation/node/result-releases.ts
@@ -1,69 +1,69 @@
-/** Tells the upstreams of one pool which results are no longer needed. */
+/** Notifies the upstreams of one pool of results that are no longer needed. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import type {ResultRef} from '../common/work.js';
 
-/** How long releases are gathered before they are sent: far below the time results are kept. */
-const gatherMs = 30;
-/** The same for those that could not be sent, as their upstream may get nothing just now. */
-const againMs = 250;
+/** Time for which releases are collected before they are sent: far less than the time for which results are stored. */
+const collectMs = 30;
+/** The same for releases that could not be sent, as when their upstream may receive nothing just now. */
+const retryMs = 250;
 
-/** What releases are made of. */
+/** Dependencies and settings. */
 export type ResultReleasesOptions = {
 	readonly registry: Pick<ServerRegistry, 'get' | 'takesNew'>;
-	/** How long upstreams keep results that nobody releases. */
+	/** Returns how long upstreams store results that are not released. */
 	readonly resultTtlMs: () => number;
-	/** Whether a release may go to an upstream now. */
-	readonly mayGet: (server: UpstreamServer) => boolean;
+	/** Whether a release may be sent to an upstream now. */
+	readonly maySend: (server: UpstreamServer) => boolean;
 	/** Sends a release. */
 	readonly send: (server: UpstreamServer, handles: readonly string[]) => Promise<void>;
-	/** Results are gone with their upstream. */
-	readonly gone: (serverId: string, handles: readonly string[]) => void;
+	/** Called when results are gone with their upstream. */
+	readonly onUpstreamGone: (serverId: string, handles: readonly string[]) => void;
 	readonly clock: Clock;
 };
 
-type Gathered = {readonly handles: string[]; readonly sinceMs: number};
+type PendingRelease = {readonly handles: string[]; readonly sinceMs: number};
 
-/** Gathers releases by upstream. */
+/** Collects releases by upstream. */
 export class ResultReleases implements Disposable {
 	static create(options: ResultReleasesOptions): ResultReleases {
 		return new ResultReleases(options);
 	}
 
-	private readonly gathered = new Map<string, Gathered>();
+	private readonly pending = new Map<string, PendingRelease>();
 	private timer: Disposable | undefined;
 
 	private constructor(private readonly options: ResultReleasesOptions) {}
 
 	/**
-	Results are no longer needed.
+	Queues results for release.
 	@param refs - the results.
 	*/
 	add(refs: readonly ResultRef[]): void {
 		for (const {serverId, handle} of refs) {
-			this.of(serverId).handles.push(handle);
+			this.pendingFor(serverId).handles.push(handle);
 		}
 
-		this.sendIn(gatherMs);
+		this.scheduleSend(collectMs);
 	}
 
 	dispose(): void {
 		this.timer?.dispose();
 	}
 
-	private of(serverId: string): Gathered {
-		let gathered = this.gathered.get(serverId);
-		if (!gathered) {
-			gathered = {handles: [], sinceMs: this.options.clock.nowMs()};
-			this.gathered.set(serverId, gathered);
+	private pendingFor(serverId: string): PendingRelease {
+		let release = this.pending.get(serverId);
+		if (!release) {
+			release = {handles: [], sinceMs: this.options.clock.nowMs()};
+			this.pending.set(serverId, release);
 		}
 
-		return gathered;
+		return release;
 	}
 
-	private sendIn(delayMs: number): void {
+	private scheduleSend(delayMs: number): void {
 		this.timer ??= this.options.clock.setTimer(delayMs, () => {
 			this.timer = undefined;
 			this.sendAll();
@@ -71,30 +71,33 @@
 	}
 
 	private sendAll(): void {
-		const {registry, gone, mayGet, send} = this.options;
-		// What can't be sent is gathered again meanwhile, and is for the next time.
-		const due = [...this.gathered];
+		const {registry, onUpstreamGone, maySend, send} = this.options;
+		// Releases that can't be sent are queued again during the loop, and are left for the next time.
+		const due = [...this.pending];
 		for (const [serverId, {handles, sinceMs}] of due) {
 			const server = registry.get(serverId);
-			if (server && registry.takesNew(server) && !mayGet(server) && !this.isOver(sinceMs)) {
+			if (server && registry.takesNew(server) && !maySend(server) && !this.isExpired(sinceMs)) {
 				continue;
 			}
 
-			this.gathered.delete(serverId);
+			this.pending.delete(serverId);
 			if (!server) {
-				gone(serverId, handles);
-			} else if (registry.takesNew(server) && mayGet(server)) {
+				onUpstreamGone(serverId, handles);
+			} else if (registry.takesNew(server) && maySend(server)) {
 				void send(server, handles);
 			}
 		}
 
-		if (this.gathered.size > 0) {
-			this.sendIn(againMs);
+		if (this.pending.size > 0) {
+			this.scheduleSend(retryMs);
 		}
 	}
 
-	/** Whether the upstream has dropped the results itself, as one that leaves, in a drained hall or behind a limit does. */
-	private isOver(sinceMs: number): boolean {
+	/**
+	Whether the upstream has dropped the results itself because their retention time has passed. This happens where releases
+	can't be sent: to an upstream that is leaving, in a drained data hall or behind a rate limit.
+	*/
+	private isExpired(sinceMs: number): boolean {
 		return this.options.clock.nowMs() - sinceMs >= this.options.resultTtlMs();
 	}
 }
