--- a/bench/attainment.ts
+++ b/bench/attainment.ts
@@ -4,7 +4,7 @@
 import {request} from 'undici';
 import {z} from 'zod';
 import {LocalFleet} from '../examples/local-fleet.js';
-import {planEdits, readDeclaration, requestOf} from '../src/settings/common/plan.js';
+import {planEdits, readDeclaration, toChangeRequest} from '../src/settings/common/plan.js';
 import type {Deployment} from './deployments.js';
 import {LoadRun} from './load.js';
 import type {Policy} from './policies.js';
@@ -96,7 +96,7 @@
 		throw new Error(JSON.stringify(nodes.error));
 	}
 
-	await call(fleet.operatorsOrigin(0), '/v1/settings/changes', JSON.stringify(requestOf(planEdits(nodes.value, new Map()), 'bench', 'bench')));
+	await call(fleet.operatorsOrigin(0), '/v1/settings/changes', JSON.stringify(toChangeRequest(planEdits(nodes.value, new Map()), 'bench', 'bench')));
 	for (;;) {
 		const statuses = await Promise.all(fleet.entries.map(async (_, index) => statusOf(fleet, index)));
 		if (statuses.every(status => status.settingsRevision > 0 && status.upstreams.length === fleet.upstreams.length)) {
--- a/bench/hop.ts
+++ b/bench/hop.ts
@@ -4,7 +4,7 @@
 import {fileURLToPath} from 'node:url';
 import {Agent, request} from 'undici';
 import {LocalFleet} from '../examples/local-fleet.js';
-import {planEdits, readDeclaration, requestOf} from '../src/settings/common/plan.js';
+import {planEdits, readDeclaration, toChangeRequest} from '../src/settings/common/plan.js';
 
 const calls = 300;
 const stageMs = 20;
@@ -47,7 +47,7 @@
 		return performance.now() - startMs;
 	};
 
-	await post(`${fleet.operatorsOrigin(0)}/v1/settings/changes`, JSON.stringify(requestOf(planEdits(nodes.value, new Map()), 'hop', 'hop')), 'demo-operator');
+	await post(`${fleet.operatorsOrigin(0)}/v1/settings/changes`, JSON.stringify(toChangeRequest(planEdits(nodes.value, new Map()), 'hop', 'hop')), 'demo-operator');
 	await sleep(1500);
 	for (let batch = 0; batch < warmUpBatches; batch++) {
 		await Promise.all(Array.from({length: 40}, async () => post(`${fleet.callersOrigin(0)}/v1/workspaces/buyers/services/yard-gate/x`)));
--- a/src/cli/common/explain.test.ts
+++ b/src/cli/common/explain.test.ts
@@ -65,12 +65,12 @@
 });
 
 t.test('late, cut, served, turned away and left are told apart', async t => {
-	const stories = ['r2', 'r3', 'r4', 'r5', 'r6'].map(id => explainRequest(id, lines));
-	t.same(stories.map(({verdict}) => verdict), ['late', 'cut', 'served', 'refused', 'callerLeft']);
-	t.match(stories[0].cause, /1900 ms of a target of 1600 ms, most of it for its steps \(1700 ms; 200 ms for the upstream\)/v);
-	t.match(stories[1].cause, /other side closed/v);
-	t.match(stories[3].cause, /no workspace has this key \(status 401, declaration 7\)/v);
-	t.match(stories[4].cause, /left after 2000 ms/v);
+	const explanations = ['r2', 'r3', 'r4', 'r5', 'r6'].map(id => explainRequest(id, lines));
+	t.same(explanations.map(({verdict}) => verdict), ['late', 'cut', 'served', 'refused', 'callerLeft']);
+	t.match(explanations[0].cause, /1900 ms of a target of 1600 ms, most of it for its steps \(1700 ms; 200 ms for the upstream\)/v);
+	t.match(explanations[1].cause, /other side closed/v);
+	t.match(explanations[3].cause, /no workspace has this key \(status 401, declaration 7\)/v);
+	t.match(explanations[4].cause, /left after 2000 ms/v);
 });
 
 t.test('a request no host wrote of is said to be so', async t => {
--- a/src/cli/common/log-lines.ts
+++ b/src/cli/common/log-lines.ts
@@ -46,7 +46,7 @@
 		}
 	}
 
-	return {lines: lines.toSorted(byTime), unreadCount, droppedCount};
+	return {lines: lines.toSorted(compareByTime), unreadCount, droppedCount};
 }
 
 /** A field that is a number, or 0. */
@@ -62,7 +62,7 @@
 }
 
 /** Hosts write the time in one form, so the text's order is the time's. */
-function byTime(left: LogLine, right: LogLine): number {
+function compareByTime(left: LogLine, right: LogLine): number {
 	return left.time < right.time ? -1 : Number(left.time > right.time);
 }
 
--- a/src/cli/common/quarantine-report.test.ts
+++ b/src/cli/common/quarantine-report.test.ts
@@ -10,17 +10,17 @@
 });
 
 t.test('tries, ends and refusals of one content are gathered over all hosts, each end once', async t => {
-	const {brokeOff, ended, barred} = quarantineLogMessages;
+	const {brokeOff: connectionLost, ended: serverCrashed, barred} = quarantineLogMessages;
 	const {lines} = readLogLines([
-		line('a', brokeOff, {request: 'r1', content: 'c1', server: 's1'}),
-		line('a', brokeOff, {request: 'other', content: 'c2', server: 's1'}),
-		line('a', brokeOff, {request: 'cut', content: 'c3', server: 's9'}),
-		line('a', ended, {content: 'c1', server: 's1', ends: 1}),
-		line('a', ended, {content: 'c2', server: 's1', ends: 1}),
-		line('b', ended, {content: 'c1', server: 's1', ends: 1}),
-		line('b', brokeOff, {request: 'r2', content: 'c1', server: 's2'}),
-		line('b', ended, {content: 'c1', server: 's2', ends: 2}),
-		line('b', ended, {content: 'c1', server: 's3', ends: 3}),
+		line('a', connectionLost, {request: 'r1', content: 'c1', server: 's1'}),
+		line('a', connectionLost, {request: 'other', content: 'c2', server: 's1'}),
+		line('a', connectionLost, {request: 'cut', content: 'c3', server: 's9'}),
+		line('a', serverCrashed, {content: 'c1', server: 's1', ends: 1}),
+		line('a', serverCrashed, {content: 'c2', server: 's1', ends: 1}),
+		line('b', serverCrashed, {content: 'c1', server: 's1', ends: 1}),
+		line('b', connectionLost, {request: 'r2', content: 'c1', server: 's2'}),
+		line('b', serverCrashed, {content: 'c1', server: 's2', ends: 2}),
+		line('b', serverCrashed, {content: 'c1', server: 's3', ends: 3}),
 		line('b', barred, {content: 'c1', servers: 's1 s2 s3'}),
 		line('a', requestLogMessages.turnedAway, {
 			request: 'r4', content: 'c1', status: 503, reason: 'in quarantine',
--- a/src/cli/common/quarantine-report.ts
+++ b/src/cli/common/quarantine-report.ts
@@ -19,7 +19,7 @@
 	refusedCount: number;
 };
 
-const stateOfMessage = new Map<string, ContentState>([
+const stateByMessage = new Map<string, ContentState>([
 	[quarantineLogMessages.barred, contentStates.barred],
 	[quarantineLogMessages.tried, contentStates.barred],
 	[quarantineLogMessages.lifted, contentStates.lifted],
@@ -39,15 +39,15 @@
 				content, state: contentStates.suspected, servers: [], requests: [], refusedCount: 0,
 			};
 			reports.set(content, report);
-			takeLine(report, line);
+			addLine(report, line);
 		}
 	}
 
 	return [...reports.values()].filter(({servers}) => servers.length > 0).toSorted((left, right) => right.servers.length - left.servers.length);
 }
 
-function takeLine(report: ContentReport, line: LogLine): void {
-	report.state = stateOfMessage.get(line.message) ?? report.state;
+function addLine(report: ContentReport, line: LogLine): void {
+	report.state = stateByMessage.get(line.message) ?? report.state;
 	switch (line.message) {
 		case quarantineLogMessages.ended: {
 			addOnce(report.servers, textOf(line, 'server'));
--- a/src/cli/common/verdict-counts.ts
+++ b/src/cli/common/verdict-counts.ts
@@ -1,6 +1,6 @@
 /** Counts what became of requests, from the log lines of all hosts. */
 import {textOf, type LogLine} from './log-lines.js';
-import {isFinal, judge, type Verdict} from './verdicts.js';
+import {isFinal, verdictOf, type Verdict} from './verdicts.js';
 
 /** How often a verdict came at one host for one route; what was turned away has no route and stands by its status. */
 export type VerdictCount = {readonly verdict: Verdict; readonly host: string; readonly route: string; readonly count: number};
@@ -14,7 +14,7 @@
 	const counts = new Map<string, VerdictCount>();
 	for (const line of lines) {
 		if (isFinal(line)) {
-			const {verdict} = judge(line, []);
+			const {verdict} = verdictOf(line, []);
 			const route = textOf(line, 'route') || textOf(line, 'status');
 			const key = `${verdict} ${line.host} ${route}`;
 			counts.set(key, {
--- a/src/cli/common/verdicts.ts
+++ b/src/cli/common/verdicts.ts
@@ -15,15 +15,15 @@
 export type Verdict = typeof verdicts[keyof typeof verdicts];
 
 /** A verdict, and why. */
-export type Judgement = {readonly verdict: Verdict; readonly cause: string};
+export type RequestVerdict = {readonly verdict: Verdict; readonly cause: string};
 
-const {ended, refusedAtDoor, turnedAway, poolWaits} = requestLogMessages;
+const {ended, refusedAtDoor: refusedForPredictedWait, turnedAway: refusedOnAdmission, poolWaits: poolBacklog} = requestLogMessages;
 /** Statuses from here on are failures of the upstream. */
-const firstServerError = 500;
+const minServerErrorStatus = 500;
 
 /** Whether a line says what became of a request. */
 export function isFinal({message}: LogLine): boolean {
-	return message === ended || message === refusedAtDoor || message === turnedAway;
+	return message === ended || message === refusedForPredictedWait || message === refusedOnAdmission;
 }
 
 /**
@@ -31,35 +31,35 @@
 @param last - the line.
 @param around - lines of the same seconds.
 */
-export function judge(last: LogLine, around: readonly LogLine[]): Judgement {
+export function verdictOf(last: LogLine, around: readonly LogLine[]): RequestVerdict {
 	switch (last.message) {
-		case refusedAtDoor: {
-			const reckoned = `reckoned at ${textOf(last, 'predictedMs')} ms of ${textOf(last, 'targetMs')} ms`;
-			const comeBack = `told to come back in ${textOf(last, 'retryAfterMs')} ms`;
-			return {verdict: verdicts.refused, cause: `the queues of its steps: ${reckoned}; ${comeBack}${worstWait(around)}`};
+		case refusedForPredictedWait: {
+			const prediction = `reckoned at ${textOf(last, 'predictedMs')} ms of ${textOf(last, 'targetMs')} ms`;
+			const retryAdvice = `told to come back in ${textOf(last, 'retryAfterMs')} ms`;
+			return {verdict: verdicts.refused, cause: `the queues of its steps: ${prediction}; ${retryAdvice}${describeLongestQueue(around)}`};
 		}
 
-		case turnedAway: {
+		case refusedOnAdmission: {
 			const declaration = `declaration ${textOf(last, 'version') || 'none'}`;
 			return {verdict: verdicts.refused, cause: `${textOf(last, 'reason')} (status ${textOf(last, 'status')}, ${declaration})`};
 		}
 
 		default: {
-			return judgeEnd(last, around);
+			return verdictOfEnded(last, around);
 		}
 	}
 }
 
 /** Judges a request that was let in. */
-function judgeEnd(last: LogLine, around: readonly LogLine[]): Judgement {
+function verdictOfEnded(last: LogLine, around: readonly LogLine[]): RequestVerdict {
 	if (textOf(last, 'code') === 'callerGone') {
-		return {verdict: verdicts.callerLeft, cause: `its caller left after ${textOf(last, 'tookMs')} ms, ${whereTimeWent(last)}${worstWait(around)}`};
+		return {verdict: verdicts.callerLeft, cause: `its caller left after ${textOf(last, 'tookMs')} ms, ${describeTimeSplit(last)}${describeLongestQueue(around)}`};
 	}
 
 	const cause = `${textOf(last, 'reason')}; ${textOf(last, 'attempts') || 'nothing was sent'}`;
 	switch (textOf(last, 'outcome')) {
 		case 'completed': {
-			return judgeCompleted(last, around);
+			return verdictOfCompleted(last, around);
 		}
 
 		case 'refused': {
@@ -67,50 +67,50 @@
 		}
 
 		default: {
-			const isCut = numberOf(last, 'firstMs') > 0;
-			return {verdict: isCut ? verdicts.cut : verdicts.failed, cause};
+			const isTruncated = numberOf(last, 'firstMs') > 0;
+			return {verdict: isTruncated ? verdicts.cut : verdicts.failed, cause};
 		}
 	}
 }
 
 /** Judges a request whose answer has come whole: it may be late, or an upstream's own error. */
-function judgeCompleted(last: LogLine, around: readonly LogLine[]): Judgement {
+function verdictOfCompleted(last: LogLine, around: readonly LogLine[]): RequestVerdict {
 	const attempts = textOf(last, 'attempts');
 	const status = numberOf(last, 'status');
-	if (status >= firstServerError) {
+	if (status >= minServerErrorStatus) {
 		return {verdict: verdicts.failed, cause: `the upstream's own answer was ${status}: ${attempts}`};
 	}
 
-	const answeredMs = answeredAfterMs(last);
+	const responseTimeMs = responseTimeOf(last);
 	const targetMs = numberOf(last, 'targetMs');
-	return targetMs > 0 && answeredMs > targetMs
-		? {verdict: verdicts.late, cause: `${answeredMs} ms of a target of ${targetMs} ms, ${whereTimeWent(last)}${worstWait(around)}`}
+	return targetMs > 0 && responseTimeMs > targetMs
+		? {verdict: verdicts.late, cause: `${responseTimeMs} ms of a target of ${targetMs} ms, ${describeTimeSplit(last)}${describeLongestQueue(around)}`}
 		: {verdict: verdicts.served, cause: `served within its target: ${attempts}`};
 }
 
 /** Time to the first event, or to the end where the answer has no events. */
-function answeredAfterMs(line: LogLine): number {
+function responseTimeOf(line: LogLine): number {
 	return numberOf(line, 'firstMs') || numberOf(line, 'tookMs');
 }
 
 /** The longest part of a request's time. */
-function whereTimeWent(line: LogLine): string {
+function describeTimeSplit(line: LogLine): string {
 	const preparedMs = numberOf(line, 'preparedMs');
-	const upstreamMs = answeredAfterMs(line) - preparedMs;
+	const upstreamMs = responseTimeOf(line) - preparedMs;
 	return preparedMs > upstreamMs
 		? `most of it for its steps (${preparedMs} ms; ${upstreamMs} ms for the upstream)`
 		: `most of it for the upstream (${upstreamMs} ms; ${preparedMs} ms for its steps)`;
 }
 
 /** The queue that stood longest around a request, where one stood. */
-function worstWait(around: readonly LogLine[]): string {
-	const [worst] = around
-		.filter(({message}) => message === poolWaits)
+function describeLongestQueue(around: readonly LogLine[]): string {
+	const [longest] = around
+		.filter(({message}) => message === poolBacklog)
 		.toSorted((left, right) => numberOf(right, 'oldestMs') - numberOf(left, 'oldestMs'));
-	if (!worst || numberOf(worst, 'oldestMs') <= 0) {
+	if (!longest || numberOf(longest, 'oldestMs') <= 0) {
 		return '';
 	}
 
-	const waiting = `${textOf(worst, 'waiting')} pieces waiting before ${textOf(worst, 'servers')} servers`;
-	return `; pool ${textOf(worst, 'pool')} had ${waiting}, the oldest for ${textOf(worst, 'oldestMs')} ms`;
+	const waiting = `${textOf(longest, 'waiting')} pieces waiting before ${textOf(longest, 'servers')} servers`;
+	return `; pool ${textOf(longest, 'pool')} had ${waiting}, the oldest for ${textOf(longest, 'oldestMs')} ms`;
 }
--- a/src/cli/node/entry-client.ts
+++ b/src/cli/node/entry-client.ts
@@ -44,16 +44,16 @@
 				body: body === undefined ? undefined : JSON.stringify(body),
 				signal: AbortSignal.timeout(callTimeoutMs),
 			});
-			const answer: unknown = await response.body.json();
+			const responseBody: unknown = await response.body.json();
 			const exitCode = exitCodeOfStatus(response.statusCode);
 			if (exitCode === exitCodes.ok) {
-				const parsed = schema.safeParse(answer);
+				const parsed = schema.safeParse(responseBody);
 				return parsed.success ? ok(parsed.data) : fail({exitCode: exitCodes.failed, message: `${this.origin}${path}: an answer that can't be read`});
 			}
 
-			const problem = problemSchema.safeParse(answer);
+			const problem = problemSchema.safeParse(responseBody);
 			const message = problem.success ? `${problem.data.detail} (${problem.data.code})` : `status ${response.statusCode}`;
-			return fail({exitCode, message: `${this.origin}${path}: ${message}`, body: answer});
+			return fail({exitCode, message: `${this.origin}${path}: ${message}`, body: responseBody});
 		} catch (error) {
 			return fail({exitCode: exitCodes.unavailable, message: `${this.origin}: ${messageOf(error)}`});
 		}
--- a/src/cli/node/fleet-commands.ts
+++ b/src/cli/node/fleet-commands.ts
@@ -53,12 +53,12 @@
 };
 
 export async function status(flags: CommonFlags): Promise<ExitCode> {
-	const found = await EntryClient.create(flags).get('/v1/status', statusSchema);
-	if (!found.ok) {
-		return reportFailure(flags.json, found.error);
+	const result = await EntryClient.create(flags).get('/v1/status', statusSchema);
+	if (!result.ok) {
+		return reportFailure(flags.json, result.error);
 	}
 
-	const entry = found.value;
+	const entry = result.value;
 	const lease = entry.leaseEpoch === undefined ? '' : `, holds the placement lease (epoch ${entry.leaseEpoch})`;
 	print(flags.json, entry, () => [
 		`${entry.hostId}: ${entry.notReadyReason ?? entry.phase}, settings revision ${entry.settingsRevision}, ${entry.requestsInFlight} requests in flight${lease}`,
@@ -84,23 +84,23 @@
 }
 
 export async function drain(upstreamId: string, flags: CommonFlags): Promise<ExitCode> {
-	const done = await EntryClient.create(flags).post(`/v1/upstreams/${encodeURIComponent(upstreamId)}/drain`, {}, drainSchema);
-	if (!done.ok) {
-		return reportFailure(flags.json, done.error);
+	const result = await EntryClient.create(flags).post(`/v1/upstreams/${encodeURIComponent(upstreamId)}/drain`, {}, drainSchema);
+	if (!result.ok) {
+		return reportFailure(flags.json, result.error);
 	}
 
-	print(flags.json, done.value, () => `${upstreamId} gets no new work and finishes what it has.`);
+	print(flags.json, result.value, () => `${upstreamId} gets no new work and finishes what it has.`);
 	return exitCodes.ok;
 }
 
 export async function report(flags: CommonFlags): Promise<ExitCode> {
-	const found = await EntryClient.create(flags).get('/v1/report', reportSchema);
-	if (!found.ok) {
-		return reportFailure(flags.json, found.error);
+	const result = await EntryClient.create(flags).get('/v1/report', reportSchema);
+	if (!result.ok) {
+		return reportFailure(flags.json, result.error);
 	}
 
-	const {workspaces, stages} = found.value;
-	print(flags.json, found.value, () => [
+	const {workspaces, stages} = result.value;
+	print(flags.json, result.value, () => [
 		formatTable(
 			['WORKSPACE', 'REQUESTS', 'ATTAINED', 'LATE', 'REFUSED', 'FAILED', 'UNKNOWN'],
 			workspaces.map(item => [item.workspace, item.requests, formatShare(item.attained, item.requests), item.late, item.refused, item.failed, item.unknown]),
@@ -131,9 +131,9 @@
 			body: flags.data ?? (isService ? undefined : '{}'),
 		});
 		process.stderr.write(`HTTP ${response.statusCode}, request ${String(response.headers['x-request-id'] ?? '-')}\n`);
-		for await (const piece of response.body) {
-			if (piece instanceof Uint8Array) {
-				process.stdout.write(piece);
+		for await (const chunk of response.body) {
+			if (chunk instanceof Uint8Array) {
+				process.stdout.write(chunk);
 			}
 		}
 
--- a/src/cli/node/log-commands.ts
+++ b/src/cli/node/log-commands.ts
@@ -18,7 +18,7 @@
 const unlistedFields = new Set(['time', 'host', 'part', 'level', 'message', 'request']);
 
 /** Reads the log lines that a command is given. */
-function load({file}: LogFlags): Outcome<LogReading, InputProblem[]> {
+function readLogs({file}: LogFlags): Outcome<LogReading, InputProblem[]> {
 	try {
 		const reading = readLogLines(readFileSync(file ?? standardInput, 'utf8'));
 		if (reading.droppedCount > 0) {
@@ -33,7 +33,7 @@
 
 /** Tells what became of one request, and why. */
 export function explain(requestId: string, flags: LogFlags): ExitCode {
-	const reading = load(flags);
+	const reading = readLogs(flags);
 	if (!reading.ok) {
 		return reportProblems(flags.json, reading.error);
 	}
@@ -41,15 +41,15 @@
 	const explanation = explainRequest(requestId, reading.value.lines);
 	print(flags.json, explanation, () => [
 		`${requestId}: ${explanation.verdict}: ${explanation.cause}`,
-		...explanation.lines.map(line => rowOf(line)),
-		...explanation.around.length > 0 ? ['around it:', ...explanation.around.map(line => rowOf(line))] : [],
+		...explanation.lines.map(line => formatLine(line)),
+		...explanation.around.length > 0 ? ['around it:', ...explanation.around.map(line => formatLine(line))] : [],
 	].join('\n'));
 	return explanation.lines.length > 0 ? exitCodes.ok : exitCodes.failed;
 }
 
 /** Counts what became of all requests. */
 export function summary(flags: LogFlags): ExitCode {
-	const reading = load(flags);
+	const reading = readLogs(flags);
 	if (!reading.ok) {
 		return reportProblems(flags.json, reading.error);
 	}
@@ -63,7 +63,7 @@
 
 /** Lists requests under which servers ended. */
 export function quarantine(flags: LogFlags): ExitCode {
-	const reading = load(flags);
+	const reading = readLogs(flags);
 	if (!reading.ok) {
 		return reportProblems(flags.json, reading.error);
 	}
@@ -75,7 +75,7 @@
 }
 
 /** One line as people read it: the columns first, then every other field by its name. */
-function rowOf(line: LogLine): string {
+function formatLine(line: LogLine): string {
 	const fields = Object.entries(line)
 		.filter(([name]) => !unlistedFields.has(name))
 		.map(([name, value]) => `${name}=${typeof value === 'string' ? value : JSON.stringify(value)}`);
--- a/src/cli/node/program.ts
+++ b/src/cli/node/program.ts
@@ -20,7 +20,7 @@
 @returns the exit code.
 */
 export async function runCommandLine(argv: string[]): Promise<ExitCode> {
-	const parsed = makeProgram().parse(argv, {lazy: true});
+	const parsed = createProgram().parse(argv, {lazy: true});
 	// Nothing to run: help or the version was asked for, and is printed.
 	if (!parsed) {
 		return exitCodes.ok;
@@ -31,7 +31,7 @@
 	return action(...parsed.args);
 }
 
-function makeProgram() {
+function createProgram() {
 	const program = sade('pumicehatch')
 		.version('0.1.0')
 		.describe('Operates a pumicehatch fleet. Exit codes: 0 done, 1 failed, 2 wrong input, 3 conflict, 4 not available, 10 drift.')
--- a/src/cli/node/settings-commands.ts
+++ b/src/cli/node/settings-commands.ts
@@ -8,7 +8,7 @@
 import {fail, type Outcome} from '../../base/common/outcome.js';
 import {newId} from '../../base/node/ids.js';
 import {changeSchema, type ChangeRequest, type PlannedEdit} from '../../settings/common/change.js';
-import {planEdits, readDeclaration, requestOf} from '../../settings/common/plan.js';
+import {planEdits, readDeclaration, toChangeRequest} from '../../settings/common/plan.js';
 import type {NodeFields} from '../../settings/common/schema.js';
 import {snapshotSchema, type SettingsNode} from '../../settings/common/settings-tree.js';
 import {checkNode} from '../../settings/common/validate.js';
@@ -22,7 +22,7 @@
 const statusPollMs = 100;
 const waitTimeoutMs = 30_000;
 
-const looseSnapshot = snapshotSchema.or(z.object({revision: z.literal(0), nodes: z.array(z.never())}));
+const snapshotOrEmptySchema = snapshotSchema.or(z.object({revision: z.literal(0), nodes: z.array(z.never())}));
 const acceptanceSchema = z.object({revision: z.number(), isRepeat: z.boolean()});
 const nodeSchema = z.object({
 	path: z.string(),
@@ -47,7 +47,7 @@
 };
 
 /** Reads a declaration's file. */
-function load(file: string): Outcome<Map<string, NodeFields>, InputProblem[]> {
+function loadDeclaration(file: string): Outcome<Map<string, NodeFields>, InputProblem[]> {
 	try {
 		return readDeclaration(readFileSync(file), file);
 	} catch (error) {
@@ -56,7 +56,7 @@
 }
 
 export function validate(file: string, flags: SettingsFlags): ExitCode {
-	const nodes = load(file);
+	const nodes = loadDeclaration(file);
 	if (!nodes.ok) {
 		return reportProblems(flags.json, nodes.error);
 	}
@@ -66,28 +66,28 @@
 }
 
 export async function plan(file: string, flags: SettingsFlags): Promise<ExitCode> {
-	const nodes = load(file);
+	const nodes = loadDeclaration(file);
 	if (!nodes.ok) {
 		return reportProblems(flags.json, nodes.error);
 	}
 
-	const edits = await planAgainst(EntryClient.create(flags), nodes.value);
+	const edits = await planAgainstCurrent(EntryClient.create(flags), nodes.value);
 	if (!edits.ok) {
 		return reportFailure(flags.json, edits.error);
 	}
 
-	print(flags.json, {edits: edits.value}, () => describe(edits.value));
+	print(flags.json, {edits: edits.value}, () => formatEdits(edits.value));
 	return edits.value.length > 0 ? exitCodes.drift : exitCodes.ok;
 }
 
 export async function apply(file: string, flags: SettingsFlags): Promise<ExitCode> {
-	const nodes = load(file);
+	const nodes = loadDeclaration(file);
 	if (!nodes.ok) {
 		return reportProblems(flags.json, nodes.error);
 	}
 
 	const client = EntryClient.create(flags);
-	const edits = await planAgainst(client, nodes.value);
+	const edits = await planAgainstCurrent(client, nodes.value);
 	if (!edits.ok) {
 		return reportFailure(flags.json, edits.error);
 	}
@@ -98,10 +98,10 @@
 	}
 
 	if (!flags.json) {
-		note(describe(edits.value));
+		note(formatEdits(edits.value));
 	}
 
-	return send(client, requestOf(edits.value, flags['change-id'] ?? newId(), flags.reason ?? `apply ${file}`), flags);
+	return submitChange(client, toChangeRequest(edits.value, flags['change-id'] ?? newId(), flags.reason ?? `apply ${file}`), flags);
 }
 
 export async function get(path: string, flags: SettingsFlags): Promise<ExitCode> {
@@ -137,7 +137,7 @@
 			// eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- the field's name comes from the command line
 			delete fields[assignment.slice(0, at)];
 		} else {
-			fields[assignment.slice(0, at)] = valueOf(text);
+			fields[assignment.slice(0, at)] = parseValue(text);
 		}
 	}
 
@@ -151,17 +151,17 @@
 		reason: flags.reason ?? `set ${path} ${assignments.join(' ')}`,
 		edits: [{path, baseRevision: node.value.revision, after: fields}],
 	};
-	return send(client, request, flags);
+	return submitChange(client, request, flags);
 }
 
 export async function history(flags: SettingsFlags): Promise<ExitCode> {
 	const query = new URLSearchParams({after: String(flags.after ?? 0), limit: String(flags.limit ?? 200)});
-	const found = await EntryClient.create(flags).get(`/v1/settings/history?${query.toString()}`, historySchema);
-	if (!found.ok) {
-		return reportFailure(flags.json, found.error);
+	const result = await EntryClient.create(flags).get(`/v1/settings/history?${query.toString()}`, historySchema);
+	if (!result.ok) {
+		return reportFailure(flags.json, result.error);
 	}
 
-	const changes = found.value.changes.filter(change =>
+	const changes = result.value.changes.filter(change =>
 		(flags.author === undefined || change.author === flags.author)
 		&& (flags.path === undefined || change.edits.some(edit => edit.path.startsWith(flags.path!))));
 	print(flags.json, {changes}, () => formatTable(
@@ -172,7 +172,7 @@
 }
 
 /** JSON where it is JSON, else the text itself. */
-function valueOf(text: string): unknown {
+function parseValue(text: string): unknown {
 	try {
 		return JSON.parse(text);
 	} catch {
@@ -180,8 +180,8 @@
 	}
 }
 
-async function planAgainst(client: EntryClient, wanted: ReadonlyMap<string, NodeFields>): Promise<Outcome<PlannedEdit[], CallFailure>> {
-	const snapshot = await client.get('/v1/settings/snapshot', looseSnapshot);
+async function planAgainstCurrent(client: EntryClient, wanted: ReadonlyMap<string, NodeFields>): Promise<Outcome<PlannedEdit[], CallFailure>> {
+	const snapshot = await client.get('/v1/settings/snapshot', snapshotOrEmptySchema);
 	if (!snapshot.ok) {
 		return snapshot;
 	}
@@ -190,7 +190,7 @@
 	return {ok: true, value: planEdits(wanted, current)};
 }
 
-async function send(client: EntryClient, request: ChangeRequest, flags: SettingsFlags): Promise<ExitCode> {
+async function submitChange(client: EntryClient, request: ChangeRequest, flags: SettingsFlags): Promise<ExitCode> {
 	const accepted = await client.post('/v1/settings/changes', request, acceptanceSchema);
 	if (!accepted.ok) {
 		note(`The change id was ${request.changeId}: sending it again with --change-id can't take effect twice.`);
@@ -198,7 +198,7 @@
 	}
 
 	const {revision} = accepted.value;
-	const hosts = flags.wait ? await waitInForce(client, revision) : undefined;
+	const hosts = flags.wait ? await waitUntilInForce(client, revision) : undefined;
 	if (hosts && !hosts.ok) {
 		return reportFailure(flags.json, hosts.error);
 	}
@@ -208,45 +208,45 @@
 	return exitCodes.ok;
 }
 
-async function waitInForce(client: EntryClient, revision: number): Promise<Outcome<number, CallFailure>> {
-	const untilMs = Date.now() + waitTimeoutMs;
-	let isNoted = false;
+async function waitUntilInForce(client: EntryClient, revision: number): Promise<Outcome<number, CallFailure>> {
+	const deadlineMs = Date.now() + waitTimeoutMs;
+	let isWaitNoted = false;
 	for (;;) {
 		const status = await client.get('/v1/status', revisionsSchema);
 		if (!status.ok) {
 			return status;
 		}
 
-		const all = [{hostId: status.value.hostId, revision: status.value.settingsRevision}, ...status.value.hosts];
-		const behind = all.filter(host => host.revision < revision);
-		if (behind.length === 0) {
-			return {ok: true, value: all.length};
+		const hosts = [{hostId: status.value.hostId, revision: status.value.settingsRevision}, ...status.value.hosts];
+		const outdatedHosts = hosts.filter(host => host.revision < revision);
+		if (outdatedHosts.length === 0) {
+			return {ok: true, value: hosts.length};
 		}
 
-		if (Date.now() > untilMs) {
-			return fail({exitCode: exitCodes.unavailable, message: `revision ${revision} is accepted, but not in force on ${behind.map(host => host.hostId).join(', ')}`});
+		if (Date.now() > deadlineMs) {
+			return fail({exitCode: exitCodes.unavailable, message: `revision ${revision} is accepted, but not in force on ${outdatedHosts.map(host => host.hostId).join(', ')}`});
 		}
 
-		if (!isNoted && Date.now() > untilMs - waitTimeoutMs + 1000) {
-			isNoted = true;
-			note(`Waiting for ${behind.length} hosts…`);
+		if (!isWaitNoted && Date.now() > deadlineMs - waitTimeoutMs + 1000) {
+			isWaitNoted = true;
+			note(`Waiting for ${outdatedHosts.length} hosts…`);
 		}
 
 		await sleep(statusPollMs);
 	}
 }
 
-const signs = {add: '+', change: '~', remove: '-'} as const;
-const colors = {add: 'green', change: 'yellow', remove: 'red'} as const;
+const editMarkers = {add: '+', change: '~', remove: '-'} as const;
+const editColors = {add: 'green', change: 'yellow', remove: 'red'} as const;
 
-function describe(edits: readonly PlannedEdit[]): string {
+function formatEdits(edits: readonly PlannedEdit[]): string {
 	if (edits.length === 0) {
 		return 'The settings in force are those of the file.';
 	}
 
 	return edits.map(edit => {
-		const line = `${signs[edit.kind]} ${edit.path} ${edit.kind === 'change' ? fieldDifferences(edit) : ''}`.trimEnd();
-		return process.stdout.isTTY ? styleText(colors[edit.kind], line) : line;
+		const line = `${editMarkers[edit.kind]} ${edit.path} ${edit.kind === 'change' ? fieldDifferences(edit) : ''}`.trimEnd();
+		return process.stdout.isTTY ? styleText(editColors[edit.kind], line) : line;
 	}).join('\n');
 }
 
@@ -254,10 +254,10 @@
 	const names = [...new Set([...Object.keys(before), ...Object.keys(after)])];
 	return names
 		.filter(name => JSON.stringify(before[name]) !== JSON.stringify(after[name]))
-		.map(name => `${name}: ${textOf(before[name])} → ${textOf(after[name])}`)
+		.map(name => `${name}: ${formatValue(before[name])} → ${formatValue(after[name])}`)
 		.join(', ');
 }
 
-function textOf(value: unknown): string {
+function formatValue(value: unknown): string {
 	return value === undefined ? 'inherited' : JSON.stringify(value);
 }
--- a/src/entry/common/status.ts
+++ b/src/entry/common/status.ts
@@ -1,6 +1,6 @@
 /** What an entry tells of the fleet. */
 import type {MemberState} from '../../membership/common/member-table.js';
-import type {HostRevision} from '../../settings/common/revision-board.js';
+import type {HostRevision} from '../../settings/common/revision-tracker.js';
 import type {UpstreamLoad} from '../../wire/common/messages.js';
 
 /** One upstream as this entry sees it. */
--- a/src/entry/node/entry-service.ts
+++ b/src/entry/node/entry-service.ts
@@ -114,7 +114,7 @@
 			requestsInFlight: runner.size,
 			droppedMessages: runner.droppedCount,
 			...(leaseEpoch !== undefined && {leaseEpoch}),
-			hosts: sync.board.all(),
+			hosts: sync.revisionTracker.all(),
 			upstreams: members.all().map(member => this.upstreamStatus(member.upstreamId)).filter(item => item !== undefined),
 		};
 	}
--- a/src/entry/node/operators-api.ts
+++ b/src/entry/node/operators-api.ts
@@ -120,7 +120,7 @@
 
 		const node = tree.get(path);
 		sendJson(response, 200, {
-			path, revision: node?.revision ?? 0, fields: node?.fields, effective: tree.explain(path),
+			path, revision: node?.revision ?? 0, fields: node?.fields, effective: tree.effectiveFieldsAt(path),
 		});
 	}
 
--- a/src/settings/common/node-path.ts
+++ b/src/settings/common/node-path.ts
@@ -29,14 +29,14 @@
 
 	let kind: NodeKind | undefined = 'fleet';
 	for (let index = 0; index < parts.length && kind; index += 2) {
-		const inside: Readonly<Record<string, NodeKind>> = collections[kind] ?? {};
-		kind = Object.hasOwn(inside, parts[index]) && isName(parts[index + 1]) ? inside[parts[index]] : undefined;
+		const childKinds: Readonly<Record<string, NodeKind>> = collections[kind] ?? {};
+		kind = Object.hasOwn(childKinds, parts[index]) && isValidName(parts[index + 1]) ? childKinds[parts[index]] : undefined;
 	}
 
 	return kind;
 }
 
-function isName(part: string): boolean {
+function isValidName(part: string): boolean {
 	return /^[a-z0-9][a-z0-9.\-]{0,62}$/v.test(part);
 }
 
@@ -52,10 +52,10 @@
 }
 
 function collect(value: NodeFields, kind: NodeKind, path: string, nodes: Map<string, NodeFields>): void {
-	const inside: Readonly<Record<string, NodeKind>> = collections[kind] ?? {};
-	const own = Object.fromEntries(Object.entries(value).filter(([key]) => !Object.hasOwn(inside, key)));
-	nodes.set(path === '' ? fleetPath : path, own);
-	for (const [collection, childKind] of Object.entries(inside)) {
+	const childKinds: Readonly<Record<string, NodeKind>> = collections[kind] ?? {};
+	const ownFields = Object.fromEntries(Object.entries(value).filter(([key]) => !Object.hasOwn(childKinds, key)));
+	nodes.set(path === '' ? fleetPath : path, ownFields);
+	for (const [collection, childKind] of Object.entries(childKinds)) {
 		const children = value[collection];
 		for (const [name, child] of Object.entries(isFields(children) ? children : {})) {
 			collect(isFields(child) ? child : {}, childKind, `${path}/${collection}/${name}`, nodes);
--- a/src/settings/common/plan.test.ts
+++ b/src/settings/common/plan.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {formatProblem} from '../../base/common/errors.js';
 import {planEdits, readDeclaration} from './plan.js';
-import {lineage, SettingsTree} from './settings-tree.js';
+import {inheritanceChain, SettingsTree} from './settings-tree.js';
 
 const problemsOf = (text: string | Uint8Array): string => {
 	const read = readDeclaration(text, 'fleet.jsonc');
@@ -31,7 +31,7 @@
 });
 
 t.test('a place inherits from deeper before higher, and from its workspace before the fleet', async t => {
-	t.strictSame(lineage('/workspaces/w/pipelines/p/stages/s'), [
+	t.strictSame(inheritanceChain('/workspaces/w/pipelines/p/stages/s'), [
 		'/workspaces/w/pipelines/p/stages/s', '/pipelines/p/stages/s', '/workspaces/w/pipelines/p', '/pipelines/p', '/workspaces/w', '/',
 	]);
 	const read = readDeclaration(`{
@@ -49,7 +49,7 @@
 	t.match(tree.policyAt(path), {
 		deadlineMs: 2000, maxLateMs: 7, timeoutMs: 5, pool: 'q', maxAttempts: 3,
 	});
-	const from = (field: string) => tree.explain(path).find(item => item.field === field)?.from;
+	const from = (field: string) => tree.effectiveFieldsAt(path).find(item => item.field === field)?.from;
 	t.equal(from('deadlineMs'), '/pipelines/p');
 	t.equal(from('maxLateMs'), '/workspaces/w');
 	t.equal(from('maxAttempts'), 'default');
--- a/src/settings/common/plan.ts
+++ b/src/settings/common/plan.ts
@@ -70,7 +70,7 @@
 @param reason - why, for the audit trail.
 @returns the request.
 */
-export function requestOf(edits: readonly PlannedEdit[], changeId: string, reason: string): ChangeRequest {
+export function toChangeRequest(edits: readonly PlannedEdit[], changeId: string, reason: string): ChangeRequest {
 	return {
 		changeId,
 		reason,
@@ -85,10 +85,10 @@
 @returns whether they are equal.
 */
 export function isSameValue(left: unknown, right: unknown): boolean {
-	return canonical(left) === canonical(right);
+	return canonicalJson(left) === canonicalJson(right);
 }
 
-function canonical(value: unknown): string {
+function canonicalJson(value: unknown): string {
 	return JSON.stringify(value, (_key, inner: unknown) => {
 		if (typeof inner !== 'object' || inner === null || Array.isArray(inner)) {
 			return inner;
--- a/src/settings/common/revision-board.ts
+++ b/src/settings/common/revision-tracker.ts
@@ -11,9 +11,9 @@
 };
 
 /** Keeps the last revision heard of each host. */
-export class RevisionBoard {
-	static create(): RevisionBoard {
-		return new RevisionBoard();
+export class RevisionTracker {
+	static create(): RevisionTracker {
+		return new RevisionTracker();
 	}
 
 	private readonly hosts = new Map<string, HostRevision>();
@@ -24,7 +24,7 @@
 	@param revision - what it has in force.
 	@param nowMs - the time.
 	*/
-	heard(identity: Identity, revision: number, nowMs: number): void {
+	recordRevision(identity: Identity, revision: number, nowMs: number): void {
 		const {hostId, role, hall} = identity;
 		this.hosts.set(hostId, {
 			hostId, role, hall, revision, heardMs: nowMs,
@@ -32,7 +32,7 @@
 	}
 
 	/** A host is gone. */
-	lost(hostId: string): void {
+	removeHost(hostId: string): void {
 		this.hosts.delete(hostId);
 	}
 
--- a/src/settings/common/schema.ts
+++ b/src/settings/common/schema.ts
@@ -3,7 +3,7 @@
 
 const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9.\-]{0,62}$/v, 'a name has small letters, digits, dots and hyphens');
 const hashSchema = z.string().regex(/^[0-9a-f]{64}$/v, 'a token hash has 64 hexadecimal digits (SHA-256)');
-const share = z.number().min(0).max(1);
+const shareSchema = z.number().min(0).max(1);
 
 /** Fields that a node inherits from the one above unless it sets them itself. */
 export const policyFields = {
@@ -14,9 +14,9 @@
 	burst: z.number().int().min(1).max(1_000_000).describe('Requests that may come at once above the rate.'),
 	holdMs: z.number().int().min(0).max(60_000).describe('How long a request may wait for an upstream to become available.'),
 	maxAttempts: z.number().int().min(1).max(10).describe('Most attempts at one stage.'),
-	retryShare: share.describe('Retries allowed, as a share of first attempts.'),
-	hedgeShare: share.describe('Second attempts sent early against slow upstreams, as a share of first attempts; 0 sends none.'),
-	attainmentWeight: share.describe('Worth of an answer in time against its cost: 1 looks at attainment only, 0 at cost only.'),
+	retryShare: shareSchema.describe('Retries allowed, as a share of first attempts.'),
+	hedgeShare: shareSchema.describe('Second attempts sent early against slow upstreams, as a share of first attempts; 0 sends none.'),
+	attainmentWeight: shareSchema.describe('Worth of an answer in time against its cost: 1 looks at attainment only, 0 at cost only.'),
 	fairShare: z.number().positive().max(1000).describe('Share of a busy upstream this workspace gets against others.'),
 	timeoutMs: z.number().int().min(1).max(600_000).describe('Longest silence of one attempt before it is given up.'),
 	isRepeatable: z.boolean().describe('Whether work may run again after its result was lost.'),
@@ -84,9 +84,9 @@
 export type NodeFields = Readonly<Record<string, unknown>>;
 
 const stagesField = {stages: z.record(nameSchema, nodeSchemas.stage).optional()};
-const pipelineDeclaration = nodeSchemas.pipeline.extend(stagesField);
+const pipelineDeclarationSchema = nodeSchemas.pipeline.extend(stagesField);
 const sharedFields = {
-	pipelines: z.record(nameSchema, pipelineDeclaration).optional(),
+	pipelines: z.record(nameSchema, pipelineDeclarationSchema).optional(),
 	services: z.record(nameSchema, nodeSchemas.service).optional(),
 };
 
--- a/src/settings/common/settings-service.test.ts
+++ b/src/settings/common/settings-service.test.ts
@@ -46,13 +46,13 @@
 		await host.change(changeOf(number, number - 1), 'a');
 	}
 
-	t.equal(host.replyTo(1).changes?.length, 2);
+	t.equal(host.createReply(1).changes?.length, 2);
 	const starting = hostOf();
 	await starting.refresh();
-	t.equal(host.replyTo(5).changes?.length, 0);
+	t.equal(host.createReply(5).changes?.length, 0);
 	const late = setUp().hostOf();
-	late.learn(host.replyTo(0));
+	late.applyReply(host.createReply(0));
 	t.equal(late.tree.revision, 3);
-	late.learn(hostOf().replyTo(0));
+	late.applyReply(hostOf().createReply(0));
 	t.equal(late.tree.revision, 3, 'a peer without settings takes nothing away');
 });
--- a/src/settings/common/settings-service.ts
+++ b/src/settings/common/settings-service.ts
@@ -9,14 +9,14 @@
 	changeSchema, type Change, type ChangeRefusal, type ChangeRequest, type Edit, type EditConflict,
 } from './change.js';
 import {SettingsTree, snapshotSchema} from './settings-tree.js';
-import {changePage, type SettingsStore, type StoreFailure} from './settings-store.js';
+import {changePageSize, type SettingsStore, type StoreFailure} from './settings-store.js';
 import {checkNode, checkTree} from './validate.js';
 
 /** Changes kept in memory for peers that are a little behind. */
-const recentChanges = 500;
+const maxRecentChanges = 500;
 /** A snapshot is kept each time this many changes were accepted. */
-const snapshotInterval = 64;
-const mostTries = 20;
+const revisionsPerSnapshot = 64;
+const maxAttempts = 20;
 
 /** A change in force, with whether this call brought it about. */
 export type Acceptance = {readonly revision: number; readonly isRepeat: boolean};
@@ -38,12 +38,12 @@
 	Answers a peer that is behind.
 	@param fromRevision - what the peer has in force.
 	*/
-	replyTo(fromRevision: number): SettingsReply;
+	createReply(fromRevision: number): SettingsReply;
 	/**
 	Takes over what a peer has.
 	@param reply - the peer's answer.
 	*/
-	learn(reply: SettingsReply): void;
+	applyReply(reply: SettingsReply): void;
 	/**
 	Lists accepted changes.
 	@param afterRevision - the last one not wanted.
@@ -62,8 +62,8 @@
 
 	readonly tree = SettingsTree.create();
 	private readonly didChangeRevision = Emitter.create<number>();
-	private recent: Change[] = [];
-	private refreshing: Promise<Outcome<number, StoreFailure>> | undefined;
+	private recentChanges: Change[] = [];
+	private pendingRefresh: Promise<Outcome<number, StoreFailure>> | undefined;
 
 	private constructor(private readonly store: SettingsStore, private readonly clock: Clock) {}
 
@@ -77,10 +77,10 @@
 
 	async refresh(): Promise<Outcome<number, StoreFailure>> {
 		// One at a time: callers that come meanwhile share the answer.
-		this.refreshing ??= this.runRefresh().finally(() => {
-			this.refreshing = undefined;
+		this.pendingRefresh ??= this.runRefresh().finally(() => {
+			this.pendingRefresh = undefined;
 		});
-		return this.refreshing;
+		return this.pendingRefresh;
 	}
 
 	async change(request: ChangeRequest, author: string): Promise<Outcome<Acceptance, ChangeRefusal>> {
@@ -91,19 +91,19 @@
 
 		let lastFailure: StoreFailure = {code: 'storeUnavailable', message: 'too many other changes', mayHaveTakenEffect: false};
 		let mayHaveTakenEffect = false;
-		for (let attempt = 0; attempt < mostTries; attempt++) {
-			const tried = await this.tryChange(request, author);
-			if (tried === 'conflict') {
+		for (let attempt = 0; attempt < maxAttempts; attempt++) {
+			const result = await this.tryChange(request, author);
+			if (result === 'conflict') {
 				continue;
 			}
 
-			if (tried.ok || tried.error.code !== 'storeUnavailable') {
-				return tried;
+			if (result.ok || result.error.code !== 'storeUnavailable') {
+				return result;
 			}
 
-			lastFailure = tried.error;
-			mayHaveTakenEffect ||= tried.error.mayHaveTakenEffect;
-			if (!tried.error.mayHaveTakenEffect) {
+			lastFailure = result.error;
+			mayHaveTakenEffect ||= result.error.mayHaveTakenEffect;
+			if (!result.error.mayHaveTakenEffect) {
 				break;
 			}
 			// The answer may be lost after the write: the next try reads the change id back first.
@@ -112,30 +112,30 @@
 		return fail({...lastFailure, mayHaveTakenEffect});
 	}
 
-	replyTo(fromRevision: number): SettingsReply {
+	createReply(fromRevision: number): SettingsReply {
 		const {revision} = this.tree;
 		const base = {type: 'settingsReply' as const, fromRevision, revision};
 		if (fromRevision >= revision) {
 			return {...base, changes: []};
 		}
 
-		const changes = this.recent.filter(change => change.revision > fromRevision);
+		const changes = this.recentChanges.filter(change => change.revision > fromRevision);
 		return changes.length === revision - fromRevision
 			? {...base, changes: changes.map(change => JSON.stringify(change))}
 			: {...base, snapshot: JSON.stringify(this.tree.snapshot())};
 	}
 
-	learn(reply: SettingsReply): void {
-		const before = this.tree.revision;
+	applyReply(reply: SettingsReply): void {
+		const previousRevision = this.tree.revision;
 		for (const text of reply.changes ?? []) {
 			this.applyNext(changeSchema.parse(JSON.parse(text)));
 		}
 
 		if (reply.snapshot !== undefined && this.tree.restore(snapshotSchema.parse(JSON.parse(reply.snapshot)))) {
-			this.recent = [];
+			this.recentChanges = [];
 		}
 
-		this.announce(before);
+		this.fireIfRevisionRose(previousRevision);
 	}
 
 	async history(afterRevision: number, limit: number): Promise<Outcome<Change[], StoreFailure>> {
@@ -143,7 +143,7 @@
 	}
 
 	private async tryChange(request: ChangeRequest, author: string): Promise<Outcome<Acceptance, ChangeRefusal> | 'conflict'> {
-		const earlier = await this.store.readChangeId(request.changeId);
+		const earlier = await this.store.findRevisionByChangeId(request.changeId);
 		if (!earlier.ok) {
 			return fail(earlier.error);
 		}
@@ -167,7 +167,7 @@
 			return 'conflict';
 		}
 
-		const change = this.changeOf(request, author);
+		const change = this.createChange(request, author);
 		const refusal = await this.refusalOf(request, change);
 		if (refusal) {
 			return fail(refusal);
@@ -182,12 +182,12 @@
 			return 'conflict';
 		}
 
-		this.takeOver([change]);
-		await this.keepSnapshot(change.revision);
+		this.applyChanges([change]);
+		await this.writeSnapshotIfDue(change.revision);
 		return ok({revision: change.revision, isRepeat: false});
 	}
 
-	private changeOf(request: ChangeRequest, author: string): Change {
+	private createChange(request: ChangeRequest, author: string): Change {
 		return {
 			revision: this.tree.revision + 1,
 			changeId: request.changeId,
@@ -199,9 +199,9 @@
 	}
 
 	private async refusalOf(request: ChangeRequest, change: Change): Promise<ChangeRefusal | undefined> {
-		const stale = request.edits.filter(edit => (this.tree.get(edit.path)?.revision ?? 0) !== edit.baseRevision);
-		if (stale.length > 0) {
-			return {code: 'conflict', conflicts: await Promise.all(stale.map(async edit => this.conflictOf(edit)))};
+		const staleEdits = request.edits.filter(edit => (this.tree.get(edit.path)?.revision ?? 0) !== edit.baseRevision);
+		if (staleEdits.length > 0) {
+			return {code: 'conflict', conflicts: await Promise.all(staleEdits.map(async edit => this.conflictOf(edit)))};
 		}
 
 		const candidate = SettingsTree.create();
@@ -231,25 +231,25 @@
 		}
 
 		while (this.tree.revision < head.value.revision) {
-			const known = this.tree.revision;
-			const changes = await this.store.readChanges(known, changePage);
+			const knownRevision = this.tree.revision;
+			const changes = await this.store.readChanges(knownRevision, changePageSize);
 			if (!changes.ok) {
 				return changes;
 			}
 
-			if (changes.value[0]?.revision === known + 1 && head.value.revision - known <= changePage) {
-				this.takeOver(changes.value);
+			if (changes.value[0]?.revision === knownRevision + 1 && head.value.revision - knownRevision <= changePageSize) {
+				this.applyChanges(changes.value);
 			} else {
 				const restored = await this.restoreSnapshot();
 				if (!restored.ok) {
 					return restored;
 				}
 
-				this.takeOver(changes.value);
+				this.applyChanges(changes.value);
 			}
 
-			if (this.tree.revision === known) {
-				return fail({code: 'storeUnavailable', message: `revision ${known + 1} can't be read`, mayHaveTakenEffect: false});
+			if (this.tree.revision === knownRevision) {
+				return fail({code: 'storeUnavailable', message: `revision ${knownRevision + 1} can't be read`, mayHaveTakenEffect: false});
 			}
 		}
 
@@ -262,39 +262,39 @@
 			return snapshot;
 		}
 
-		const before = this.tree.revision;
+		const previousRevision = this.tree.revision;
 		if (snapshot.value && this.tree.restore(snapshot.value)) {
-			this.recent = [];
+			this.recentChanges = [];
 		}
 
-		this.announce(before);
+		this.fireIfRevisionRose(previousRevision);
 		return ok(undefined);
 	}
 
-	private takeOver(changes: readonly Change[]): void {
-		const before = this.tree.revision;
+	private applyChanges(changes: readonly Change[]): void {
+		const previousRevision = this.tree.revision;
 		for (const change of changes) {
 			this.applyNext(change);
 		}
 
-		this.announce(before);
+		this.fireIfRevisionRose(previousRevision);
 	}
 
 	private applyNext(change: Change): void {
 		if (this.tree.apply(change)) {
-			this.recent.push(change);
-			this.recent = this.recent.slice(-recentChanges);
+			this.recentChanges.push(change);
+			this.recentChanges = this.recentChanges.slice(-maxRecentChanges);
 		}
 	}
 
-	private announce(before: number): void {
-		if (this.tree.revision > before) {
+	private fireIfRevisionRose(previousRevision: number): void {
+		if (this.tree.revision > previousRevision) {
 			this.didChangeRevision.fire(this.tree.revision);
 		}
 	}
 
-	private async keepSnapshot(revision: number): Promise<void> {
-		if (revision % snapshotInterval === 0) {
+	private async writeSnapshotIfDue(revision: number): Promise<void> {
+		if (revision % revisionsPerSnapshot === 0) {
 			await this.store.writeSnapshot(this.tree.snapshot());
 		}
 	}
--- a/src/settings/common/settings-store.ts
+++ b/src/settings/common/settings-store.ts
@@ -14,7 +14,7 @@
 const revisionDigits = 12;
 
 /** Changes read in one call. */
-export const changePage = 200;
+export const changePageSize = 200;
 
 /** The newest accepted revision, with the version its row has. */
 export type Head = {readonly revision: number; readonly version: number};
@@ -29,7 +29,7 @@
 	return `${changePrefix}${String(revision).padStart(revisionDigits, '0')}`;
 }
 
-function storeFailure(failure: TableFailure): StoreFailure {
+function toStoreFailure(failure: TableFailure): StoreFailure {
 	return failure.code === 'unavailable'
 		? {code: 'storeUnavailable', message: failure.message, mayHaveTakenEffect: failure.mayHaveTakenEffect}
 		: {code: 'storeUnavailable', message: `unexpected conflict on ${failure.keys.join(', ')}`, mayHaveTakenEffect: false};
@@ -47,7 +47,7 @@
 	async readHead(): Promise<Outcome<Head, StoreFailure>> {
 		const rows = await this.table.read([headKey]);
 		if (!rows.ok) {
-			return fail(storeFailure(rows.error));
+			return fail(toStoreFailure(rows.error));
 		}
 
 		const [row] = rows.value;
@@ -59,10 +59,10 @@
 	@param changeId - the editor's id.
 	@returns the revision, or nothing if it did not.
 	*/
-	async readChangeId(changeId: string): Promise<Outcome<number | undefined, StoreFailure>> {
+	async findRevisionByChangeId(changeId: string): Promise<Outcome<number | undefined, StoreFailure>> {
 		const rows = await this.table.read([`${changeIdPrefix}${changeId}`]);
 		if (!rows.ok) {
-			return fail(storeFailure(rows.error));
+			return fail(toStoreFailure(rows.error));
 		}
 
 		return ok(rows.value.length > 0 ? Number(rows.value[0].value) : undefined);
@@ -74,16 +74,16 @@
 	@param limit - most changes wanted.
 	@returns the next changes; fewer than asked for means there are no more, or that older ones were archived.
 	*/
-	async readChanges(afterRevision: number, limit = changePage): Promise<Outcome<Change[], StoreFailure>> {
+	async readChanges(afterRevision: number, limit = changePageSize): Promise<Outcome<Change[], StoreFailure>> {
 		const rows = await this.table.scan({prefix: changePrefix, after: changeKey(afterRevision), limit});
 		if (!rows.ok) {
-			return fail(storeFailure(rows.error));
+			return fail(toStoreFailure(rows.error));
 		}
 
-		const changes = rows.value.map(row => parseText(row.value, changeSchema));
+		const changes = rows.value.map(row => parseStored(row.value, changeSchema));
 		// What can't be read ends the list: a host stays at the revision before it rather than skip one.
-		const firstBad = changes.indexOf(undefined);
-		return ok(changes.slice(0, firstBad === -1 ? changes.length : firstBad).filter(change => change !== undefined));
+		const firstUnreadableIndex = changes.indexOf(undefined);
+		return ok(changes.slice(0, firstUnreadableIndex === -1 ? changes.length : firstUnreadableIndex).filter(change => change !== undefined));
 	}
 
 	/**
@@ -92,7 +92,7 @@
 	*/
 	async readChange(revision: number): Promise<Change | undefined> {
 		const rows = await this.table.read([changeKey(revision)]);
-		return rows.ok && rows.value.length > 0 ? parseText(rows.value[0].value, changeSchema) : undefined;
+		return rows.ok && rows.value.length > 0 ? parseStored(rows.value[0].value, changeSchema) : undefined;
 	}
 
 	/**
@@ -103,28 +103,28 @@
 	*/
 	async append(change: Change, head: Head): Promise<Outcome<AppendResult, StoreFailure>> {
 		const key = changeKey(change.revision);
-		const idKey = `${changeIdPrefix}${change.changeId}`;
+		const changeIdKey = `${changeIdPrefix}${change.changeId}`;
 		const writes: RowWrite[] = [
 			{key: headKey, value: String(change.revision)},
 			{key, value: JSON.stringify(change)},
-			{key: idKey, value: String(change.revision)},
+			{key: changeIdKey, value: String(change.revision)},
 		];
-		const done = await this.table.transact({
-			conditions: [{key: headKey, version: head.version}, {key, version: 0}, {key: idKey, version: 0}],
+		const result = await this.table.transact({
+			conditions: [{key: headKey, version: head.version}, {key, version: 0}, {key: changeIdKey, version: 0}],
 			writes,
 		});
-		if (done.ok) {
+		if (result.ok) {
 			return ok('appended');
 		}
 
-		return done.error.code === 'conflict' ? ok('conflict') : fail(storeFailure(done.error));
+		return result.error.code === 'conflict' ? ok('conflict') : fail(toStoreFailure(result.error));
 	}
 
 	/** @returns the newest snapshot, or nothing where there is none. */
 	async readSnapshot(): Promise<Outcome<SettingsSnapshot | undefined, StoreFailure>> {
 		const rows = await this.table.read([snapshotKey]);
 		if (!rows.ok) {
-			return fail(storeFailure(rows.error));
+			return fail(toStoreFailure(rows.error));
 		}
 
 		if (rows.value.length === 0) {
@@ -136,7 +136,7 @@
 			return fail({code: 'storeUnavailable', message: text.error.message, mayHaveTakenEffect: false});
 		}
 
-		return ok(text.value === undefined ? undefined : parseText(text.value, snapshotSchema));
+		return ok(text.value === undefined ? undefined : parseStored(text.value, snapshotSchema));
 	}
 
 	/**
@@ -150,7 +150,7 @@
 			return;
 		}
 
-		const isNewer = rows.value.length === 0 || revisionOfName(rows.value[0].value) < snapshot.revision;
+		const isNewer = rows.value.length === 0 || revisionOfSnapshotName(rows.value[0].value) < snapshot.revision;
 		const written = isNewer ? await this.objects.put(name, JSON.stringify(snapshot)) : undefined;
 		if (written?.ok) {
 			// A lost answer does no harm: the next snapshot names itself.
@@ -163,7 +163,7 @@
 }
 
 /** Reads what the store keeps; another version of this program may have written it. */
-function parseText<T>(text: string, schema: z.ZodType<T>): T | undefined {
+function parseStored<T>(text: string, schema: z.ZodType<T>): T | undefined {
 	try {
 		return schema.safeParse(JSON.parse(text)).data;
 	} catch {
@@ -171,6 +171,6 @@
 	}
 }
 
-function revisionOfName(name: string): number {
+function revisionOfSnapshotName(name: string): number {
 	return Number(name.slice(snapshotObjectPrefix.length));
 }
--- a/src/settings/common/settings-tree.ts
+++ b/src/settings/common/settings-tree.ts
@@ -120,9 +120,9 @@
 	}
 
 	stageKind(workspace: string, pipeline: string, stage: string): StageNode['kind'] {
-		const tail = `/pipelines/${pipeline}/stages/${stage}`;
-		const own = this.fieldsAt<StageNode>(`/workspaces/${workspace}${tail}`);
-		return own?.kind ?? this.fieldsAt<StageNode>(tail)?.kind;
+		const stagePath = `/pipelines/${pipeline}/stages/${stage}`;
+		const own = this.fieldsAt<StageNode>(`/workspaces/${workspace}${stagePath}`);
+		return own?.kind ?? this.fieldsAt<StageNode>(stagePath)?.kind;
 	}
 
 	hasService(workspace: string, service: string): boolean {
@@ -136,8 +136,8 @@
 	*/
 	policyAt(path: string): EffectivePolicy {
 		const policy: EffectivePolicy = {...policyDefaults};
-		for (const from of lineage(path).toReversed()) {
-			Object.assign(policy, this.policyOf(from));
+		for (const from of inheritanceChain(path).toReversed()) {
+			Object.assign(policy, this.ownPolicyAt(from));
 		}
 
 		return policy;
@@ -148,14 +148,14 @@
 	@param path - a node's path.
 	@returns the fields in order of their names.
 	*/
-	explain(path: string): EffectiveField[] {
+	effectiveFieldsAt(path: string): EffectiveField[] {
 		const fields = new Map<string, EffectiveField>();
 		for (const [field, value] of Object.entries(policyDefaults)) {
 			fields.set(field, {field, value, from: 'default'});
 		}
 
-		for (const from of lineage(path).toReversed()) {
-			for (const [field, value] of Object.entries(this.policyOf(from))) {
+		for (const from of inheritanceChain(path).toReversed()) {
+			for (const [field, value] of Object.entries(this.ownPolicyAt(from))) {
 				fields.set(field, {field, value, from});
 			}
 		}
@@ -163,7 +163,7 @@
 		return [...fields.values()].toSorted((a, b) => a.field.localeCompare(b.field));
 	}
 
-	private policyOf(path: string): Policy {
+	private ownPolicyAt(path: string): Policy {
 		const fields = this.fieldsAt<NodeFields>(path) ?? {};
 		return Object.fromEntries(Object.entries(fields).filter(([key]) => Object.hasOwn(policyFields, key)));
 	}
@@ -180,23 +180,23 @@
 @param path - a node's path.
 @returns the paths.
 */
-export function lineage(path: string): string[] {
+export function inheritanceChain(path: string): string[] {
 	const parts = path.split('/').filter(part => part !== '');
 	const isInWorkspace = parts[0] === 'workspaces' && parts.length >= 2;
-	const prefix = isInWorkspace ? `/${parts.slice(0, 2).join('/')}` : '';
-	const tail = isInWorkspace ? parts.slice(2) : parts;
+	const workspacePath = isInWorkspace ? `/${parts.slice(0, 2).join('/')}` : '';
+	const relativeParts = isInWorkspace ? parts.slice(2) : parts;
 	const result: string[] = [];
-	for (let {length} = tail; length > 0; length -= 2) {
-		const rest = `/${tail.slice(0, length).join('/')}`;
+	for (let {length} = relativeParts; length > 0; length -= 2) {
+		const relativePath = `/${relativeParts.slice(0, length).join('/')}`;
 		if (isInWorkspace) {
-			result.push(`${prefix}${rest}`);
+			result.push(`${workspacePath}${relativePath}`);
 		}
 
-		result.push(rest);
+		result.push(relativePath);
 	}
 
 	if (isInWorkspace) {
-		result.push(prefix);
+		result.push(workspacePath);
 	}
 
 	result.push(fleetPath);
--- a/src/settings/node/settings-sync.ts
+++ b/src/settings/node/settings-sync.ts
@@ -6,7 +6,7 @@
 import {jitter, type Random} from '../../base/common/random.js';
 import type {Message} from '../../wire/common/messages.js';
 import type {WireConnection} from '../../wire/node/wire-connection.js';
-import {RevisionBoard} from '../common/revision-board.js';
+import {RevisionTracker} from '../common/revision-tracker.js';
 import type {SettingsService} from '../common/settings-service.js';
 
 /** What the sync needs. */
@@ -25,18 +25,18 @@
 		return new SettingsSync(options);
 	}
 
-	readonly board = RevisionBoard.create();
+	readonly revisionTracker = RevisionTracker.create();
 	private readonly peers = new Set<WireConnection>();
-	private readonly owned = DisposableStore.create();
-	private readonly asked = new Map<WireConnection, number>();
-	private isStoreDown = false;
+	private readonly disposables = DisposableStore.create();
+	private readonly requestedRevisions = new Map<WireConnection, number>();
+	private isStoreUnavailable = false;
 
 	private constructor(private readonly options: SettingsSyncOptions) {
 		const {settings, clock, random, pollMs} = options;
-		this.owned.add(settings.onDidChangeRevision(() => {
-			this.tellPeers();
+		this.disposables.add(settings.onDidChangeRevision(() => {
+			this.notifyPeers();
 		}));
-		this.owned.add(setRepeating(clock, () => jitter(random, pollMs(this.peers.size)), async () => this.poll()));
+		this.disposables.add(setRepeating(clock, () => jitter(random, pollMs(this.peers.size)), async () => this.poll()));
 	}
 
 	/**
@@ -47,22 +47,22 @@
 		this.peers.add(connection);
 		connection.onDidClose(() => {
 			this.peers.delete(connection);
-			this.asked.delete(connection);
+			this.requestedRevisions.delete(connection);
 			if (connection.peer) {
-				this.board.lost(connection.peer.hostId);
+				this.revisionTracker.removeHost(connection.peer.hostId);
 			}
 		});
 		connection.onDidReceive(message => {
-			this.receive(connection, message);
+			this.handleMessage(connection, message);
 		});
-		this.tell(connection);
+		this.notifyPeer(connection);
 	}
 
 	/** Reads the store now. */
 	async poll(): Promise<void> {
 		const result = await this.options.settings.refresh();
-		if (result.ok === this.isStoreDown) {
-			this.isStoreDown = !result.ok;
+		if (result.ok === this.isStoreUnavailable) {
+			this.isStoreUnavailable = !result.ok;
 			const {log} = this.options;
 			if (result.ok) {
 				log.info('The settings store answers again.', {revision: result.value});
@@ -73,20 +73,20 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
-	private receive(connection: WireConnection, message: Message): void {
+	private handleMessage(connection: WireConnection, message: Message): void {
 		const {settings} = this.options;
 		switch (message.type) {
 			case 'settingsRequest': {
-				connection.send(settings.replyTo(message.fromRevision));
+				connection.send(settings.createReply(message.fromRevision));
 				break;
 			}
 
 			case 'settingsReply': {
-				this.asked.delete(connection);
-				this.learn(message);
+				this.requestedRevisions.delete(connection);
+				this.handleReply(message);
 				break;
 			}
 
@@ -94,7 +94,7 @@
 			case 'pong':
 			case 'report':
 			case 'dispatch': {
-				this.notice(connection, message.settingsRevision);
+				this.handlePeerRevision(connection, message.settingsRevision);
 				break;
 			}
 
@@ -104,34 +104,34 @@
 		}
 	}
 
-	private learn(message: Extract<Message, {type: 'settingsReply'}>): void {
+	private handleReply(message: Extract<Message, {type: 'settingsReply'}>): void {
 		try {
-			this.options.settings.learn(message);
+			this.options.settings.applyReply(message);
 		} catch (error) {
 			this.options.log.error('A peer sent settings that can\'t be read.', {reason: messageOf(error)});
 		}
 	}
 
 	/** Asks a peer that has more, once for each of its revisions. */
-	private notice(connection: WireConnection, revision: number): void {
-		const known = this.options.settings.tree.revision;
+	private handlePeerRevision(connection: WireConnection, revision: number): void {
+		const ownRevision = this.options.settings.tree.revision;
 		if (connection.peer) {
-			this.board.heard(connection.peer, revision, this.options.clock.nowMs());
+			this.revisionTracker.recordRevision(connection.peer, revision, this.options.clock.nowMs());
 		}
 
-		if (revision > known && (this.asked.get(connection) ?? 0) < revision) {
-			this.asked.set(connection, revision);
-			connection.send({type: 'settingsRequest', fromRevision: known});
+		if (revision > ownRevision && (this.requestedRevisions.get(connection) ?? 0) < revision) {
+			this.requestedRevisions.set(connection, revision);
+			connection.send({type: 'settingsRequest', fromRevision: ownRevision});
 		}
 	}
 
-	private tellPeers(): void {
+	private notifyPeers(): void {
 		for (const connection of this.peers) {
-			this.tell(connection);
+			this.notifyPeer(connection);
 		}
 	}
 
-	private tell(connection: WireConnection): void {
+	private notifyPeer(connection: WireConnection): void {
 		connection.send({type: 'ping', nonce: 0, settingsRevision: this.options.settings.tree.revision});
 	}
 }
--- a/src/store/common/shared-host-list.ts
+++ b/src/store/common/shared-host-list.ts
@@ -4,7 +4,7 @@
 import type {HostList, HostListFailure, ListedHost} from './host-list.js';
 
 /** How long an answer is shared; a little less than the shortest time between two reads of one part. */
-const lifeMs = 600;
+const listCacheMs = 600;
 
 /** Shares each answer for a short while. */
 export class SharedHostList implements HostList {
@@ -12,18 +12,18 @@
 		return new SharedHostList(source, clock);
 	}
 
-	private last: Promise<Outcome<ListedHost[], HostListFailure>> | undefined;
-	private lastMs = -Infinity;
+	private lastResult: Promise<Outcome<ListedHost[], HostListFailure>> | undefined;
+	private lastReadMs = -Infinity;
 
 	private constructor(private readonly source: HostList, private readonly clock: Clock) {}
 
 	async list(): Promise<Outcome<ListedHost[], HostListFailure>> {
 		const nowMs = this.clock.nowMs();
-		if (!this.last || nowMs - this.lastMs >= lifeMs) {
-			this.last = this.source.list();
-			this.lastMs = nowMs;
+		if (!this.lastResult || nowMs - this.lastReadMs >= listCacheMs) {
+			this.lastResult = this.source.list();
+			this.lastReadMs = nowMs;
 		}
 
-		return this.last;
+		return this.lastResult;
 	}
 }
--- a/src/store/node/store-client.ts
+++ b/src/store/node/store-client.ts
@@ -19,8 +19,8 @@
 const statusOk = 200;
 const statusConflict = 409;
 
-type Reply = {readonly status: number; readonly body: unknown};
-type NoReply = {readonly message: string};
+type PlatformResponse = {readonly status: number; readonly body: unknown};
+type PlatformFailure = {readonly message: string};
 
 /** How the platform is reached. */
 export type PlatformOptions = {
@@ -29,10 +29,10 @@
 	readonly callTimeoutMs: number;
 };
 
-class PlatformHttp {
+class PlatformHttpClient {
 	constructor(private readonly options: PlatformOptions) {}
 
-	async post(path: string, body: unknown): Promise<Outcome<Reply, NoReply>> {
+	async post(path: string, body: unknown): Promise<Outcome<PlatformResponse, PlatformFailure>> {
 		try {
 			const response = await request(`${this.options.origin}${path}`, {
 				method: 'POST',
@@ -47,26 +47,26 @@
 	}
 
 	/** Posts, and checks the answer's shape. */
-	async postFor<T>(path: string, body: unknown, schema: z.ZodType<T>): Promise<Outcome<T, NoReply>> {
-		const reply = await this.post(path, body);
-		if (!reply.ok) {
-			return reply;
+	async postAndParse<T>(path: string, body: unknown, schema: z.ZodType<T>): Promise<Outcome<T, PlatformFailure>> {
+		const response = await this.post(path, body);
+		if (!response.ok) {
+			return response;
 		}
 
-		const parsed = schema.safeParse(reply.value.body);
-		return reply.value.status === statusOk && parsed.success
+		const parsed = schema.safeParse(response.value.body);
+		return response.value.status === statusOk && parsed.success
 			? ok(parsed.data)
-			: fail({message: `status ${reply.value.status} from ${path}`});
+			: fail({message: `status ${response.value.status} from ${path}`});
 	}
 }
 
 /** The table service over HTTP. */
 export class HttpTableService implements TableService {
 	static create(options: PlatformOptions): HttpTableService {
-		return new HttpTableService(new PlatformHttp(options));
+		return new HttpTableService(new PlatformHttpClient(options));
 	}
 
-	private constructor(private readonly http: PlatformHttp) {}
+	private constructor(private readonly http: PlatformHttpClient) {}
 
 	async read(keys: readonly string[]): Promise<Outcome<Row[], TableFailure>> {
 		return this.readRows('/v1/table/read', {keys});
@@ -77,12 +77,12 @@
 	}
 
 	async transact(transaction: Transaction): Promise<Outcome<undefined, TableFailure>> {
-		const reply = await this.http.post('/v1/table/transact', transaction);
-		if (!reply.ok) {
-			return fail({code: 'unavailable', message: reply.error.message, mayHaveTakenEffect: true});
+		const response = await this.http.post('/v1/table/transact', transaction);
+		if (!response.ok) {
+			return fail({code: 'unavailable', message: response.error.message, mayHaveTakenEffect: true});
 		}
 
-		const {status, body} = reply.value;
+		const {status, body} = response.value;
 		const conflict = conflictSchema.safeParse(body);
 		if (status === statusConflict && conflict.success) {
 			return fail({code: 'conflict', keys: conflict.data.keys});
@@ -95,42 +95,42 @@
 	}
 
 	private async readRows(path: string, body: unknown): Promise<Outcome<Row[], TableFailure>> {
-		const reply = await this.http.postFor(path, body, rowsSchema);
-		return reply.ok
-			? ok(reply.value.rows)
-			: fail({code: 'unavailable', message: reply.error.message, mayHaveTakenEffect: false});
+		const response = await this.http.postAndParse(path, body, rowsSchema);
+		return response.ok
+			? ok(response.value.rows)
+			: fail({code: 'unavailable', message: response.error.message, mayHaveTakenEffect: false});
 	}
 }
 
 /** The object store over HTTP. */
 export class HttpObjectStore implements ObjectStore {
 	static create(options: PlatformOptions): HttpObjectStore {
-		return new HttpObjectStore(new PlatformHttp(options));
+		return new HttpObjectStore(new PlatformHttpClient(options));
 	}
 
-	private constructor(private readonly http: PlatformHttp) {}
+	private constructor(private readonly http: PlatformHttpClient) {}
 
 	async get(name: string): Promise<Outcome<string | undefined, ObjectFailure>> {
-		const reply = await this.http.postFor('/v1/objects/get', {name}, objectSchema);
-		return reply.ok ? ok(reply.value.text) : fail({code: 'unavailable', message: reply.error.message});
+		const response = await this.http.postAndParse('/v1/objects/get', {name}, objectSchema);
+		return response.ok ? ok(response.value.text) : fail({code: 'unavailable', message: response.error.message});
 	}
 
 	async put(name: string, text: string): Promise<Outcome<undefined, ObjectFailure>> {
-		const reply = await this.http.postFor('/v1/objects/put', {name, text}, objectSchema);
-		return reply.ok ? ok(undefined) : fail({code: 'unavailable', message: reply.error.message});
+		const response = await this.http.postAndParse('/v1/objects/put', {name, text}, objectSchema);
+		return response.ok ? ok(undefined) : fail({code: 'unavailable', message: response.error.message});
 	}
 }
 
 /** The host list over HTTP. */
 export class HttpHostList implements HostList {
 	static create(options: PlatformOptions): HttpHostList {
-		return new HttpHostList(new PlatformHttp(options));
+		return new HttpHostList(new PlatformHttpClient(options));
 	}
 
-	private constructor(private readonly http: PlatformHttp) {}
+	private constructor(private readonly http: PlatformHttpClient) {}
 
 	async list(): Promise<Outcome<ListedHost[], HostListFailure>> {
-		const reply = await this.http.postFor('/v1/hosts/list', {}, hostsSchema);
-		return reply.ok ? ok(reply.value.hosts) : fail({code: 'unavailable', message: reply.error.message});
+		const response = await this.http.postAndParse('/v1/hosts/list', {}, hostsSchema);
+		return response.ok ? ok(response.value.hosts) : fail({code: 'unavailable', message: response.error.message});
 	}
 }
--- a/test/daemon-process.test.ts
+++ b/test/daemon-process.test.ts
@@ -4,7 +4,7 @@
 import {fileURLToPath} from 'node:url';
 import t, {type Test} from 'tap';
 import {z} from 'zod';
-import {planEdits, readDeclaration, requestOf} from '../src/settings/common/plan.js';
+import {planEdits, readDeclaration, toChangeRequest} from '../src/settings/common/plan.js';
 import {PlatformServer} from '../src/standins/node/platform-server.js';
 import {ServiceServer} from '../src/standins/node/service-server.js';
 import {call, until} from './fleet-harness.js';
@@ -90,7 +90,7 @@
 	const operators = `http://127.0.0.1:${entry.line.operators!}`;
 	const nodes = readDeclaration(readFileSync(declarationFile), declarationFile);
 	t.ok(nodes.ok);
-	const change = requestOf(planEdits(nodes.ok ? nodes.value : new Map(), new Map()), 'first', 'test');
+	const change = toChangeRequest(planEdits(nodes.ok ? nodes.value : new Map(), new Map()), 'first', 'test');
 	t.equal((await call(operators, '/v1/settings/changes', {body: JSON.stringify(change), token: 'demo-operator'})).status, 200);
 	const isServing = async () => (await call(callers, 'services/stock/lots', {method: 'GET'})).status === 200;
 	const reserve = async (name: string, headers: Record<string, string> = {}) =>
--- a/test/fleet-harness.ts
+++ b/test/fleet-harness.ts
@@ -5,7 +5,7 @@
 import {request} from 'undici';
 import {z} from 'zod';
 import {LocalFleet, type FleetSpec} from '../examples/local-fleet.js';
-import {planEdits, readDeclaration, requestOf} from '../src/settings/common/plan.js';
+import {planEdits, readDeclaration, toChangeRequest} from '../src/settings/common/plan.js';
 
 const declarationFile = fileURLToPath(new URL('../../examples/kaolack.jsonc', import.meta.url));
 
@@ -84,7 +84,7 @@
 
 	// These tests fail more often than the example allows retries for.
 	nodes.value.set('/', {...nodes.value.get('/'), retryShare: 1});
-	const change = requestOf(planEdits(nodes.value, new Map()), 'initial', 'test');
+	const change = toChangeRequest(planEdits(nodes.value, new Map()), 'initial', 'test');
 	const answer = await call(fleet.operatorsOrigin(entry), '/v1/settings/changes', {body: JSON.stringify(change), token: 'demo-operator'});
 	if (answer.status !== 200) {
 		throw new Error(answer.text);
--- a/test/settings-fuzz.ts
+++ b/test/settings-fuzz.ts
@@ -65,8 +65,8 @@
 	gossip(fromIndex: number, toIndex: number): void {
 		const from = this.hosts[fromIndex % hostCount];
 		const to = this.hosts[toIndex % hostCount];
-		to.learn(from.replyTo(to.tree.revision));
-		to.learn(from.replyTo(0));
+		to.applyReply(from.createReply(to.tree.revision));
+		to.applyReply(from.createReply(0));
 	}
 
 	async settle(): Promise<void> {
--- a/tools/caller-value.ts
+++ b/tools/caller-value.ts
@@ -4,7 +4,7 @@
 refusal. What never reached a host is not in its logs, and so not in the sum.
 */
 import {numberOf, textOf, type LogLine} from '../src/cli/common/log-lines.js';
-import {isFinal, judge, verdicts} from '../src/cli/common/verdicts.js';
+import {isFinal, verdictOf, verdicts} from '../src/cli/common/verdicts.js';
 import {requestLogMessages} from '../src/request/common/request-log-messages.js';
 
 /** What requests with one target are worth. */
@@ -55,7 +55,7 @@
 function add(sum: {owed: number; credit: number; waited: number; failedAgain: number}, line: LogLine, worth: Worth): void {
 	const sinceMs = numberOf(line, 'sinceFirstTryMs');
 	const isFirst = sinceMs < firstTryMs;
-	const {verdict} = judge(line, []);
+	const {verdict} = verdictOf(line, []);
 	sum.owed += isFirst ? worth.inTime : 0;
 	if (verdict === verdicts.served || verdict === verdicts.late) {
 		const answeredMs = sinceMs + (numberOf(line, 'firstMs') || numberOf(line, 'tookMs'));
