--- a/src/cli/common/exit-codes.ts
+++ b/src/cli/common/exit-codes.ts
@@ -1,23 +1,24 @@
-/** Exit codes of the command line; listed in docs/OPERATING.md. */
+/** Exit codes of the command line, as listed in docs/OPERATING.md. */
 export const exitCodes = {
 	ok: 0,
-	/** Something did not work. */
+	/** The operation failed. */
 	failed: 1,
-	/** The command, a file or a value is wrong. */
+	/** The command, a file or a value is invalid. */
 	badInput: 2,
-	/** Someone else changed the same settings. */
+	/** The same settings have been changed by someone else. */
 	conflict: 3,
-	/** The entry or the store behind it did not answer; nothing is known to have changed. */
+	/** The entry or the store behind it did not respond; it is not known whether anything changed. */
 	unavailable: 4,
-	/** A declaration differs from what is in force. */
+	/** A declaration differs from the settings in force. */
 	drift: 10,
 } as const;
 
 export type ExitCode = typeof exitCodes[keyof typeof exitCodes];
 
 /**
-Gives the exit code for an answer's HTTP status.
-@param status - the status.
+Maps the HTTP status of a response to an exit code.
+@param status - the HTTP status.
+@returns the exit code.
 */
 export function exitCodeOfStatus(status: number): ExitCode {
 	switch (status) {
--- a/src/cli/common/explain.test.ts
+++ b/src/cli/common/explain.test.ts
@@ -52,29 +52,29 @@
 	'',
 ].join('\n'));
 
-t.test('lines of all hosts are put in order; others are counted', async t => {
+t.test('lines of all hosts are ordered by time; unreadable and dropped lines are counted', async t => {
 	t.same(lines.map(({request}) => request), [undefined, 'r1', 'r2', 'r3', 'r4', 'r5', 'r6']);
 	t.same([unreadCount, droppedCount], [1, 3]);
 });
 
-t.test('a refusal is explained by the queue its steps would have joined', async t => {
+t.test('a refusal is explained by the queue that the steps of the request would have joined', async t => {
 	const {verdict, cause, around} = explainRequest('r1', lines);
 	t.equal(verdict, 'refused');
-	t.match(cause, /1900 ms of 1600 ms.*come back in 800 ms.*pool stage had 90 pieces waiting before 2 servers/v);
+	t.match(cause, /predicted 1900 ms of a target of 1600 ms.*retry after 800 ms.*pool stage had 90 pieces waiting for 2 servers/v);
 	t.equal(around.length, 1);
 });
 
-t.test('late, cut, served, turned away and left are told apart', async t => {
+t.test('late, cut, served and refused requests and those whose caller left are distinguished', async t => {
 	const explanations = ['r2', 'r3', 'r4', 'r5', 'r6'].map(id => explainRequest(id, lines));
 	t.same(explanations.map(({verdict}) => verdict), ['late', 'cut', 'served', 'refused', 'callerLeft']);
 	t.match(explanations[0].cause, /1900 ms of a target of 1600 ms, most of it for its steps \(1700 ms; 200 ms for the upstream\)/v);
 	t.match(explanations[1].cause, /other side closed/v);
 	t.match(explanations[3].cause, /no workspace has this key \(status 401, declaration 7\)/v);
-	t.match(explanations[4].cause, /left after 2000 ms/v);
+	t.match(explanations[4].cause, /disconnected after 2000 ms/v);
 });
 
-t.test('a request no host wrote of is said to be so', async t => {
-	t.match(explainRequest('none', lines), {verdict: 'unknown', lines: [], cause: /no host wrote of it/v});
+t.test('a request that no host logged is reported as such', async t => {
+	t.match(explainRequest('none', lines), {verdict: 'unknown', lines: [], cause: /no host logged it/v});
 });
 
 t.test('verdicts are counted by host and route', async t => {
--- a/src/cli/common/explain.ts
+++ b/src/cli/common/explain.ts
@@ -1,29 +1,30 @@
-/** From the log lines of all hosts to one request's story: what became of it, why, and what stood around it. */
+/** Explains the outcome of one request from the log lines of all hosts: the verdict, its cause, and what hosts logged around that time. */
 import {numberOf, type LogLine} from './log-lines.js';
 import {
 	isFinal, verdictOf, verdicts, type RequestVerdict,
 } from './verdicts.js';
 
-/** A request's story. */
+/** The explanation of one request. */
 export type Explanation = RequestVerdict & {
 	readonly requestId: string;
-	/** Its own lines, in order. */
+	/** Log lines of the request, ordered by time. */
 	readonly lines: readonly LogLine[];
-	/** Lines of the same seconds that tell how pools, store, peers and servers stood. */
+	/** Log lines of the same seconds on the state of pools, store, peers and servers. */
 	readonly around: readonly LogLine[];
 };
 
-/** Parts whose lines tell of the surroundings of a request: what changed what hosts believe, and queues that stand. */
+/** Logger parts whose lines give the context of a request: changes of a host's view of the fleet, and queues. */
 const surroundingParts = new Set(['batches', 'store', 'peers', 'servers', 'declaration', 'entry']);
-/** Queues are told of once a second: the line of the second before a decision is the one it was made on. */
+/** Queues are logged once a second, so the line that a decision was based on may be up to a second older than the decision. */
 const lookBackMs = 1000;
-/** Most lines of the surroundings that are shown: the last ones. */
+/** Maximum number of context lines that are shown; the latest ones are kept. */
 const maxSurroundingLines = 40;
 
 /**
 Explains one request.
-@param requestId - as its caller sent it.
-@param lines - of all hosts, in the order of time.
+@param requestId - the request id, as the caller sent it.
+@param lines - log lines of all hosts, ordered by time.
+@returns the verdict with its cause and the log lines that it is based on.
 */
 export function explainRequest(requestId: string, lines: readonly LogLine[]): Explanation {
 	const requestLines = lines.filter(line => line.request === requestId);
@@ -36,11 +37,11 @@
 
 function missingEndCause(requestLines: readonly LogLine[]): string {
 	return requestLines.length === 0
-		? 'no host wrote of it: it reached none (no connection, or cut before its head was read), or its lines were dropped'
-		: 'no host wrote of its end: its host was lost, or its lines were dropped';
+		? 'no host logged it: it reached no host (no connection, or the connection was lost before its headers were read), or its log lines were dropped'
+		: 'no host logged its end: its host was lost, or its log lines were dropped';
 }
 
-/** Lines of the surroundings from before a request came until its last line; none where no host wrote of it. */
+/** Returns the context lines from shortly before the request arrived until its last line; none if no host logged the request. */
 function surroundingLines(requestLines: readonly LogLine[], lines: readonly LogLine[]): LogLine[] {
 	const first = requestLines.at(0);
 	const last = requestLines.at(-1);
--- a/src/cli/common/log-lines.ts
+++ b/src/cli/common/log-lines.ts
@@ -1,4 +1,4 @@
-/** Log lines as hosts write them, read back: one JSON object a line, with whatever a collector put before it. */
+/** Parses the log lines of hosts: one JSON object per line, possibly preceded by text that a log collector added. */
 import {z} from 'zod';
 
 const lineSchema = z.looseObject({
@@ -9,25 +9,26 @@
 	request: z.string().optional(),
 });
 
-/** The line by which a host says that it wrote less than there was; it has no time of its own. */
+/** The line with which a host logs that it dropped lines; it has no `time` field. */
 const droppedSchema = z.looseObject({part: z.literal('logs'), count: z.number()});
 
-/** One line of a host. */
+/** One log line of a host. */
 export type LogLine = z.infer<typeof lineSchema>;
 
-/** What was read of logs. */
+/** Result of reading log lines. */
 export type LogReading = {
-	/** In the order of time. */
+	/** Log lines, ordered by time. */
 	readonly lines: readonly LogLine[];
-	/** Lines that are no log lines. */
+	/** Number of non-empty lines that are not log lines. */
 	readonly unreadCount: number;
-	/** Lines that hosts say they dropped. */
+	/** Number of lines that hosts logged as dropped. */
 	readonly droppedCount: number;
 };
 
 /**
-Reads lines of any number of hosts.
+Reads log lines of any number of hosts.
 @param text - the lines, in any order.
+@returns the log lines and the numbers of other and of dropped lines.
 */
 export function readLogLines(text: string): LogReading {
 	const lines: LogLine[] = [];
@@ -49,30 +50,30 @@
 	return {lines: lines.toSorted(compareByTime), unreadCount, droppedCount};
 }
 
-/** A field that is a number, or 0. */
+/** Returns a numeric field, or 0 if it is missing or not a number. */
 export function numberOf(line: LogLine, field: string): number {
 	const value = line[field];
 	return typeof value === 'number' ? value : 0;
 }
 
-/** A field as text; empty where there is none. */
+/** Returns a field as text, or an empty string if it is neither a string nor a number. */
 export function textOf(line: LogLine, field: string): string {
 	const value = line[field];
 	return typeof value === 'string' || typeof value === 'number' ? String(value) : '';
 }
 
-/** Hosts write the time in one form, so the text's order is the time's. */
+/** Compares the times as text: all hosts write them in the same format, in which the order of the texts is that of the times. */
 function compareByTime(left: LogLine, right: LogLine): number {
 	return left.time < right.time ? -1 : Number(left.time > right.time);
 }
 
-/** The object of a row, past whatever a collector put before it. */
+/** Parses the JSON object of a row, skipping text that a log collector put before it. */
 function parseRow(row: string): unknown {
 	const start = row.indexOf('{');
 	try {
 		return start === -1 ? undefined : JSON.parse(row.slice(start));
 	} catch {
-		// Counted by the caller as a line that is none.
+		// The caller counts the row as a line that is not a log line.
 		return undefined;
 	}
 }
--- a/src/cli/common/quarantine-report.test.ts
+++ b/src/cli/common/quarantine-report.test.ts
@@ -9,7 +9,7 @@
 	time: `2026-01-01T00:00:${second++}.000Z`, part: 'quarantine', host, message, ...fields,
 });
 
-t.test('tries, ends and refusals of one content are gathered over all hosts, each end once', async t => {
+t.test('attempts, server crashes and refusals of one content are collected from all hosts, each crash once', async t => {
 	const {brokeOff: connectionLost, ended: serverCrashed, barred} = quarantineLogMessages;
 	const {lines} = readLogLines([
 		line('a', connectionLost, {request: 'r1', content: 'c1', server: 's1'}),
@@ -33,5 +33,5 @@
 		{
 			content: 'c2', state: 'suspected', servers: ['s1'], requests: ['other'], refusedCount: 0,
 		},
-	], 'a call whose server lived is not listed');
+	], 'a call whose server did not crash is not listed');
 });
--- a/src/cli/common/quarantine-report.ts
+++ b/src/cli/common/quarantine-report.ts
@@ -1,21 +1,21 @@
-/** Which requests ended servers, gathered from the log lines of all hosts. */
+/** Reports which requests crashed servers, from the log lines of all hosts. */
 import {quarantineLogMessages} from '../../quarantine/common/quarantine-log-messages.js';
 import {requestLogMessages} from '../../request/common/request-log-messages.js';
 import {textOf, type LogLine} from './log-lines.js';
 
-/** How a content stands as its last line tells. */
+/** State of a request content, by its last log line. */
 export const contentStates = {suspected: 'suspected', barred: 'barred', lifted: 'lifted'} as const;
 export type ContentState = typeof contentStates[keyof typeof contentStates];
 
-/** What the logs tell of one content under which servers ended. */
+/** Report on one request content during which servers crashed. */
 export type ContentReport = {
 	readonly content: string;
 	state: ContentState;
-	/** Starts of servers that ended. */
+	/** Server processes that crashed. */
 	readonly servers: string[];
-	/** Ids of tries whose calls broke off: `pumicehatch explain` tells more of each. */
+	/** Ids of the requests whose connections were lost; `pumicehatch explain` shows the details of each. */
 	readonly requests: string[];
-	/** Tries that were refused at the door. */
+	/** Number of requests that were refused on admission. */
 	refusedCount: number;
 };
 
@@ -26,9 +26,9 @@
 ]);
 
 /**
-Gathers what is known of contents under which servers ended.
-@param lines - of all hosts, in the order of time.
-@returns those with the most ends first.
+Reports on the request contents during which servers crashed.
+@param lines - log lines of all hosts, ordered by time.
+@returns the reports, those with the most crashes first.
 */
 export function reportQuarantine(lines: readonly LogLine[]): ContentReport[] {
 	const reports = new Map<string, ContentReport>();
--- a/src/cli/common/tables.ts
+++ b/src/cli/common/tables.ts
@@ -1,10 +1,10 @@
-/** Plain tables for people. */
+/** Formats results as text for people. */
 
 /**
-Lines up rows under headings.
-@param headings - one for each column.
-@param rows - the cells.
-@returns the text, one line for each row.
+Formats a table with aligned columns.
+@param headings - the heading of each column.
+@param rows - the cells of each row.
+@returns the text: a line of headings, then one line for each row.
 */
 export function formatTable(headings: readonly string[], rows: ReadonlyArray<ReadonlyArray<string | number>>): string {
 	const cells = [headings, ...rows].map(row => row.map(String));
@@ -13,17 +13,19 @@
 }
 
 /**
-Writes a share as a percentage.
-@param part - a part.
-@param whole - of this.
+Formats a share as a percentage.
+@param part - the numerator.
+@param whole - the denominator.
+@returns the percentage, or `-` if the denominator is 0.
 */
 export function formatShare(part: number, whole: number): string {
 	return whole === 0 ? '-' : `${((part / whole) * 100).toFixed(1)}%`;
 }
 
 /**
-Writes milliseconds.
-@param valueMs - a duration.
+Formats a duration in milliseconds.
+@param valueMs - the duration.
+@returns the duration with its unit, or `-` if it is undefined.
 */
 export function formatMs(valueMs: number | undefined): string {
 	return valueMs === undefined ? '-' : `${valueMs.toFixed(1)} ms`;
--- a/src/cli/common/verdict-counts.ts
+++ b/src/cli/common/verdict-counts.ts
@@ -1,14 +1,14 @@
-/** Counts what became of requests, from the log lines of all hosts. */
+/** Counts the verdicts on requests, from the log lines of all hosts. */
 import {textOf, type LogLine} from './log-lines.js';
 import {isFinal, verdictOf, type Verdict} from './verdicts.js';
 
-/** How often a verdict came at one host for one route; what was turned away has no route and stands by its status. */
+/** Number of requests with a verdict on one host and route. A request that was refused on admission has no route and is counted by its status. */
 export type VerdictCount = {readonly verdict: Verdict; readonly host: string; readonly route: string; readonly count: number};
 
 /**
-Counts what became of all requests.
-@param lines - of all hosts.
-@returns the counts, the greatest first.
+Counts the verdicts on all requests.
+@param lines - log lines of all hosts.
+@returns the counts, in descending order.
 */
 export function countVerdicts(lines: readonly LogLine[]): VerdictCount[] {
 	const counts = new Map<string, VerdictCount>();
--- a/src/cli/common/verdicts.ts
+++ b/src/cli/common/verdicts.ts
@@ -1,8 +1,8 @@
-/** What became of a request, judged by the last line of its own; the messages named here are those the parts write. */
+/** Determines the outcome of a request from its last log line, which is recognized by the messages that the components log. */
 import {requestLogMessages} from '../../request/common/request-log-messages.js';
 import {numberOf, textOf, type LogLine} from './log-lines.js';
 
-/** What became of a request. */
+/** Possible outcomes of a request. */
 export const verdicts = {
 	served: 'served',
 	late: 'late',
@@ -14,29 +14,30 @@
 } as const;
 export type Verdict = typeof verdicts[keyof typeof verdicts];
 
-/** A verdict, and why. */
+/** A verdict with its cause. */
 export type RequestVerdict = {readonly verdict: Verdict; readonly cause: string};
 
 const {ended, refusedAtDoor: refusedForPredictedWait, turnedAway: refusedOnAdmission, poolWaits: poolBacklog} = requestLogMessages;
-/** Statuses from here on are failures of the upstream. */
+/** HTTP statuses from this one on are failures of the upstream. */
 const minServerErrorStatus = 500;
 
-/** Whether a line says what became of a request. */
+/** Checks whether a line states the outcome of a request. */
 export function isFinal({message}: LogLine): boolean {
 	return message === ended || message === refusedForPredictedWait || message === refusedOnAdmission;
 }
 
 /**
-Judges a request by its last line.
-@param last - the line.
-@param around - lines of the same seconds.
+Determines the verdict on a request from its last log line.
+@param last - the last line of the request.
+@param around - log lines of the same seconds, for the queue that was longest.
+@returns the verdict with its cause.
 */
 export function verdictOf(last: LogLine, around: readonly LogLine[]): RequestVerdict {
 	switch (last.message) {
 		case refusedForPredictedWait: {
-			const prediction = `reckoned at ${textOf(last, 'predictedMs')} ms of ${textOf(last, 'targetMs')} ms`;
-			const retryAdvice = `told to come back in ${textOf(last, 'retryAfterMs')} ms`;
-			return {verdict: verdicts.refused, cause: `the queues of its steps: ${prediction}; ${retryAdvice}${describeLongestQueue(around)}`};
+			const prediction = `predicted ${textOf(last, 'predictedMs')} ms of a target of ${textOf(last, 'targetMs')} ms`;
+			const retryAdvice = `the caller was asked to retry after ${textOf(last, 'retryAfterMs')} ms`;
+			return {verdict: verdicts.refused, cause: `the queues of its steps were too long: ${prediction}; ${retryAdvice}${describeLongestQueue(around)}`};
 		}
 
 		case refusedOnAdmission: {
@@ -50,10 +51,10 @@
 	}
 }
 
-/** Judges a request that was let in. */
+/** Determines the verdict on a request that was admitted. */
 function verdictOfEnded(last: LogLine, around: readonly LogLine[]): RequestVerdict {
 	if (textOf(last, 'code') === 'callerGone') {
-		return {verdict: verdicts.callerLeft, cause: `its caller left after ${textOf(last, 'tookMs')} ms, ${describeTimeSplit(last)}${describeLongestQueue(around)}`};
+		return {verdict: verdicts.callerLeft, cause: `its caller disconnected after ${textOf(last, 'tookMs')} ms, ${describeTimeSplit(last)}${describeLongestQueue(around)}`};
 	}
 
 	const cause = `${textOf(last, 'reason')}; ${textOf(last, 'attempts') || 'nothing was sent'}`;
@@ -73,12 +74,12 @@
 	}
 }
 
-/** Judges a request whose answer has come whole: it may be late, or an upstream's own error. */
+/** Determines the verdict on a request with a complete response, which may be late or an error of the upstream. */
 function verdictOfCompleted(last: LogLine, around: readonly LogLine[]): RequestVerdict {
 	const attempts = textOf(last, 'attempts');
 	const status = numberOf(last, 'status');
 	if (status >= minServerErrorStatus) {
-		return {verdict: verdicts.failed, cause: `the upstream's own answer was ${status}: ${attempts}`};
+		return {verdict: verdicts.failed, cause: `the upstream responded with status ${status}: ${attempts}`};
 	}
 
 	const responseTimeMs = responseTimeOf(last);
@@ -88,12 +89,12 @@
 		: {verdict: verdicts.served, cause: `served within its target: ${attempts}`};
 }
 
-/** Time to the first event, or to the end where the answer has no events. */
+/** Time in milliseconds to the first event of the response, or to its end if it has no events. */
 function responseTimeOf(line: LogLine): number {
 	return numberOf(line, 'firstMs') || numberOf(line, 'tookMs');
 }
 
-/** The longest part of a request's time. */
+/** Describes which part of the response time was longer: that of the steps or that of the upstream. */
 function describeTimeSplit(line: LogLine): string {
 	const preparedMs = numberOf(line, 'preparedMs');
 	const upstreamMs = responseTimeOf(line) - preparedMs;
@@ -102,7 +103,7 @@
 		: `most of it for the upstream (${upstreamMs} ms; ${preparedMs} ms for its steps)`;
 }
 
-/** The queue that stood longest around a request, where one stood. */
+/** Describes the queue with the longest wait around a request, or returns an empty string if no pieces were waiting. */
 function describeLongestQueue(around: readonly LogLine[]): string {
 	const [longest] = around
 		.filter(({message}) => message === poolBacklog)
@@ -111,6 +112,6 @@
 		return '';
 	}
 
-	const waiting = `${textOf(longest, 'waiting')} pieces waiting before ${textOf(longest, 'servers')} servers`;
+	const waiting = `${textOf(longest, 'waiting')} pieces waiting for ${textOf(longest, 'servers')} servers`;
 	return `; pool ${textOf(longest, 'pool')} had ${waiting}, the oldest for ${textOf(longest, 'oldestMs')} ms`;
 }
--- a/src/cli/node/entry-client.ts
+++ b/src/cli/node/entry-client.ts
@@ -1,4 +1,4 @@
-/** Calls an entry's HTTP interfaces. */
+/** HTTP client of an entry's operators' interface. */
 import process from 'node:process';
 import {request} from 'undici';
 import {z} from 'zod';
@@ -6,20 +6,21 @@
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import {exitCodeOfStatus, exitCodes, type ExitCode} from '../common/exit-codes.js';
 
-/** Why a call gave no result. */
+/** Why a call failed. */
 export type CallFailure = {readonly exitCode: ExitCode; readonly message: string; readonly body?: unknown};
 
-/** Flags that every command takes. */
+/** Flags that all commands that call an entry accept. */
 export type CommonFlags = {readonly entry?: string; readonly callers?: string; readonly json?: boolean};
 
 const callTimeoutMs = 15_000;
 const problemSchema = z.object({code: z.string(), detail: z.string(), more: z.unknown().optional()});
 
-/** Talks to one entry as one operator. */
+/** Calls one entry on behalf of one operator. */
 export class EntryClient {
 	/**
-	Makes a client.
-	@param flags - the command's flags; the environment says what they leave open.
+	Creates a client.
+	@param flags - the command's flags; environment variables apply where a flag is not given.
+	@returns the client.
 	*/
 	static create(flags: CommonFlags): EntryClient {
 		const origin = flags.entry ?? process.env.PUMICEHATCH_ENTRY ?? 'http://127.0.0.1:7002';
@@ -48,7 +49,7 @@
 			const exitCode = exitCodeOfStatus(response.statusCode);
 			if (exitCode === exitCodes.ok) {
 				const parsed = schema.safeParse(responseBody);
-				return parsed.success ? ok(parsed.data) : fail({exitCode: exitCodes.failed, message: `${this.origin}${path}: an answer that can't be read`});
+				return parsed.success ? ok(parsed.data) : fail({exitCode: exitCodes.failed, message: `${this.origin}${path}: malformed response`});
 			}
 
 			const problem = problemSchema.safeParse(responseBody);
--- a/src/cli/node/fleet-commands.ts
+++ b/src/cli/node/fleet-commands.ts
@@ -1,4 +1,4 @@
-/** `pumicehatch status`, `drain`, `report` and `request`. */
+/** The commands `pumicehatch status`, `drain`, `report` and `request`. */
 import process from 'node:process';
 import {request as httpRequest} from 'undici';
 import {z} from 'zod';
@@ -41,7 +41,7 @@
 
 const drainSchema = z.object({upstreamId: z.string(), state: z.string()});
 
-/** Flags of `request`. */
+/** Flags of the command `request`. */
 export type RequestFlags = CommonFlags & {
 	readonly data?: string;
 	readonly deadline?: number;
@@ -115,10 +115,11 @@
 }
 
 /**
-Sends one request as a caller.
+Sends one request as a caller and prints the response.
 @param workspace - the caller's workspace; its token is in PUMICEHATCH_CALLER_TOKEN.
-@param target - a pipeline's name, or `services/NAME/PATH`.
-@param flags - body, deadline, key and what to show.
+@param target - the name of a pipeline, or `services/NAME/PATH`.
+@param flags - body, deadline, idempotency key and output options.
+@returns the exit code.
 */
 export async function request(workspace: string, target: string, flags: RequestFlags): Promise<ExitCode> {
 	const origin = flags.callers ?? process.env.PUMICEHATCH_CALLERS ?? 'http://127.0.0.1:7001';
--- a/src/cli/node/log-commands.ts
+++ b/src/cli/node/log-commands.ts
@@ -1,4 +1,4 @@
-/** `pumicehatch explain`, `pumicehatch logs summary` and `pumicehatch logs quarantine`: what became of requests, from log lines alone. */
+/** The commands `pumicehatch explain`, `logs summary` and `logs quarantine`: outcomes of requests, from log lines alone. */
 import {readFileSync} from 'node:fs';
 import {messageOf, type InputProblem} from '../../base/common/errors.js';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
@@ -10,19 +10,19 @@
 import {countVerdicts} from '../common/verdict-counts.js';
 import {note, print, reportProblems} from './output.js';
 
-/** Flags of the commands that read logs. */
+/** Flags of the commands that read log lines. */
 export type LogFlags = {readonly json?: boolean; readonly file?: string};
 
 const standardInput = 0;
-/** Fields that are not listed behind a line's message. */
+/** Fields that are not listed after the message of a line. */
 const unlistedFields = new Set(['time', 'host', 'part', 'level', 'message', 'request']);
 
-/** Reads the log lines that a command is given. */
+/** Reads the log lines from the given file or from standard input. */
 function readLogs({file}: LogFlags): Outcome<LogReading, InputProblem[]> {
 	try {
 		const reading = readLogLines(readFileSync(file ?? standardInput, 'utf8'));
 		if (reading.droppedCount > 0) {
-			note(`pumicehatch: hosts dropped ${reading.droppedCount} lines; what is missing may be among them.`);
+			note(`pumicehatch: hosts dropped ${reading.droppedCount} log lines; missing lines may be among them.`);
 		}
 
 		return ok(reading);
@@ -31,7 +31,7 @@
 	}
 }
 
-/** Tells what became of one request, and why. */
+/** Prints the verdict on one request and its cause. */
 export function explain(requestId: string, flags: LogFlags): ExitCode {
 	const reading = readLogs(flags);
 	if (!reading.ok) {
@@ -42,12 +42,12 @@
 	print(flags.json, explanation, () => [
 		`${requestId}: ${explanation.verdict}: ${explanation.cause}`,
 		...explanation.lines.map(line => formatLine(line)),
-		...explanation.around.length > 0 ? ['around it:', ...explanation.around.map(line => formatLine(line))] : [],
+		...explanation.around.length > 0 ? ['lines around it:', ...explanation.around.map(line => formatLine(line))] : [],
 	].join('\n'));
 	return explanation.lines.length > 0 ? exitCodes.ok : exitCodes.failed;
 }
 
-/** Counts what became of all requests. */
+/** Prints how many requests had each outcome, by host and route. */
 export function summary(flags: LogFlags): ExitCode {
 	const reading = readLogs(flags);
 	if (!reading.ok) {
@@ -61,7 +61,7 @@
 	return exitCodes.ok;
 }
 
-/** Lists requests under which servers ended. */
+/** Prints the request contents during which servers crashed. */
 export function quarantine(flags: LogFlags): ExitCode {
 	const reading = readLogs(flags);
 	if (!reading.ok) {
@@ -74,7 +74,7 @@
 	return exitCodes.ok;
 }
 
-/** One line as people read it: the columns first, then every other field by its name. */
+/** Formats a log line for people: the fixed columns first, then all other fields as `name=value`. */
 function formatLine(line: LogLine): string {
 	const fields = Object.entries(line)
 		.filter(([name]) => !unlistedFields.has(name))
--- a/src/cli/node/main.ts
+++ b/src/cli/node/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line of operators and their automation. */
+/** Entry point of the command line for operators and their automation. */
 import process from 'node:process';
 import {runCommandLine} from './program.js';
 
--- a/src/cli/node/program.ts
+++ b/src/cli/node/program.ts
@@ -1,4 +1,4 @@
-/** The commands of `pumicehatch`, each at its one visible place. */
+/** Defines all commands of `pumicehatch`. */
 import sade from 'sade';
 import {exitCodes, type ExitCode} from '../common/exit-codes.js';
 import type {CommonFlags} from './entry-client.js';
@@ -21,7 +21,7 @@
 */
 export async function runCommandLine(argv: string[]): Promise<ExitCode> {
 	const parsed = createProgram().parse(argv, {lazy: true});
-	// Nothing to run: help or the version was asked for, and is printed.
+	// Nothing to run: help or the version was requested and has been printed.
 	if (!parsed) {
 		return exitCodes.ok;
 	}
@@ -34,32 +34,32 @@
 function createProgram() {
 	const program = sade('pumicehatch')
 		.version('0.1.0')
-		.describe('Operates a pumicehatch fleet. Exit codes: 0 done, 1 failed, 2 wrong input, 3 conflict, 4 not available, 10 drift.')
+		.describe('Operates a pumicehatch fleet. Exit codes: 0 done, 1 failed, 2 invalid input, 3 conflict, 4 unavailable, 10 drift.')
 		.option('--entry', 'Operators\' address of an entry (or PUMICEHATCH_ENTRY); the token is in PUMICEHATCH_TOKEN')
 		.option('--json', 'Write the result as JSON');
 
 	program.command('settings validate <file>')
-		.describe('Check a declaration without asking anyone.')
+		.describe('Check a declaration without calling an entry.')
 		.action((file: string, flags: SettingsFlags) => validate(file, flags));
 
 	program.command('settings plan <file>')
-		.describe('Show what a declaration would change. Exits with 10 where it differs from what is in force.')
+		.describe('Show what a declaration would change. Exits with 10 if it differs from the settings in force.')
 		.action(async (file: string, flags: SettingsFlags) => plan(file, flags));
 
 	program.command('settings apply <file>')
-		.describe('Make the settings in force those of a declaration, as one change.')
+		.describe('Apply a declaration to the settings in force, as one change.')
 		.option('--reason', 'Why, for the audit trail')
 		.option('--wait', 'Wait until it is in force on every live host')
 		.option('--change-id', 'Id under which the change takes effect at most once')
 		.action(async (file: string, flags: SettingsFlags) => apply(file, flags));
 
 	program.command('settings get <path>')
-		.describe('Show a node, and each value with the node it comes from.')
+		.describe('Show a node, and each effective value with the node that it comes from.')
 		.example('settings get /workspaces/mill-a/pipelines/quote/stages/rerank')
 		.action(async (path: string, flags: SettingsFlags) => get(path, flags));
 
 	program.command('settings set <path> <assignment>')
-		.describe('Change fields of one node: FIELD=VALUE sets, FIELD= inherits again. Several may follow.')
+		.describe('Change fields of one node: FIELD=VALUE sets a field, FIELD= inherits it again. More assignments may follow.')
 		.option('--reason', 'Why, for the audit trail')
 		.option('--wait', 'Wait until it is in force on every live host')
 		.option('--change-id', 'Id under which the change takes effect at most once')
@@ -69,7 +69,7 @@
 	program.command('settings history')
 		.describe('Show accepted changes: who, when, why.')
 		.option('--after', 'Only revisions above this one')
-		.option('--limit', 'Most changes to read')
+		.option('--limit', 'Maximum number of changes to read')
 		.option('--path', 'Only changes of nodes below this path')
 		.option('--author', 'Only changes of this operator')
 		.action(async (flags: SettingsFlags) => history(flags));
@@ -79,7 +79,7 @@
 		.action(async (flags: CommonFlags) => status(flags));
 
 	program.command('drain <upstream>')
-		.describe('Give an upstream no new work; what runs there ends.')
+		.describe('Drain an upstream: it gets no new work and finishes its current work.')
 		.action(async (upstreamId: string, flags: CommonFlags) => drain(upstreamId, flags));
 
 	program.command('report')
@@ -94,25 +94,25 @@
 		.option('--deadline', 'Time for the whole request in milliseconds')
 		.option('--key', 'Idempotency key')
 		.option('--once', 'Mark the request as not repeatable')
-		.option('--stream', 'Show the answer as it comes')
+		.option('--stream', 'Stream the response')
 		.option('--explain', 'Show candidates, choices, waits and costs')
 		.example('request mill-a quote --data \'{"lot":"teak-17"}\' --explain')
 		.example('request mill-a services/stock/lots/17')
 		.action(async (workspace: string, target: string, flags: RequestFlags) => request(workspace, target, flags));
 
 	program.command('explain <requestId>')
-		.describe('Tell what became of a request and why, from the log lines of all hosts on standard input.')
+		.describe('Show the outcome of a request and its cause, from the log lines of all hosts on standard input.')
 		.option('--file', 'Read this file instead')
 		.example('explain 9c41d07be2a35f68 < logs')
 		.action((requestId: string, flags: LogFlags) => explain(requestId, flags));
 
 	program.command('logs summary')
-		.describe('Count what became of requests, by host and route, from log lines on standard input.')
+		.describe('Count the outcomes of requests by host and route, from log lines on standard input.')
 		.option('--file', 'Read this file instead')
 		.action((flags: LogFlags) => summary(flags));
 
 	program.command('logs quarantine')
-		.describe('List requests under which servers ended, and the tries of each, from log lines on standard input.')
+		.describe('List requests during which servers crashed, with the ids of all attempts, from log lines on standard input.')
 		.option('--file', 'Read this file instead')
 		.action((flags: LogFlags) => quarantine(flags));
 
--- a/src/cli/node/settings-commands.ts
+++ b/src/cli/node/settings-commands.ts
@@ -1,4 +1,4 @@
-/** `pumicehatch settings …`. */
+/** The commands `pumicehatch settings …`. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -46,7 +46,7 @@
 	readonly author?: string;
 };
 
-/** Reads a declaration's file. */
+/** Reads and validates the declaration in a file. */
 function loadDeclaration(file: string): Outcome<Map<string, NodeFields>, InputProblem[]> {
 	try {
 		return readDeclaration(readFileSync(file), file);
@@ -171,7 +171,7 @@
 	return exitCodes.ok;
 }
 
-/** JSON where it is JSON, else the text itself. */
+/** Parses a value as JSON; text that is not JSON is taken as a string. */
 function parseValue(text: string): unknown {
 	try {
 		return JSON.parse(text);
@@ -193,7 +193,7 @@
 async function submitChange(client: EntryClient, request: ChangeRequest, flags: SettingsFlags): Promise<ExitCode> {
 	const accepted = await client.post('/v1/settings/changes', request, acceptanceSchema);
 	if (!accepted.ok) {
-		note(`The change id was ${request.changeId}: sending it again with --change-id can't take effect twice.`);
+		note(`The change id was ${request.changeId}: it takes effect at most once, so the command can be repeated with --change-id.`);
 		return reportFailure(flags.json, accepted.error);
 	}
 
@@ -241,7 +241,7 @@
 
 function formatEdits(edits: readonly PlannedEdit[]): string {
 	if (edits.length === 0) {
-		return 'The settings in force are those of the file.';
+		return 'The settings in force match the file.';
 	}
 
 	return edits.map(edit => {
--- a/src/settings/common/change.ts
+++ b/src/settings/common/change.ts
@@ -1,4 +1,4 @@
-/** Changes of the settings: what is asked, what is accepted, what is refused. */
+/** Changes of the settings: requests, accepted changes and refusals. */
 import {z} from 'zod';
 import type {InputProblem} from '../../base/common/errors.js';
 
@@ -6,21 +6,21 @@
 
 const editSchema = z.strictObject({
 	path: z.string().min(1).max(500),
-	/** Revision of the node the editor saw; 0 where there was none. */
+	/** Revision of the node that the edit is based on; 0 if the node did not exist. */
 	baseRevision: z.number().int().nonnegative(),
-	/** The node's new own fields; none deletes it. */
+	/** The new own fields of the node; the node is deleted if they are omitted. */
 	after: fieldsSchema.optional(),
 });
-/** What an editor wants one node to be. */
+/** The requested state of one node. */
 export type Edit = z.infer<typeof editSchema>;
 
 export const changeRequestSchema = z.strictObject({
-	/** Chosen by the editor: the same id never takes effect twice. */
+	/** Chosen by the client. A change id takes effect at most once, so a request can be sent again safely. */
 	changeId: z.string().min(1).max(128),
 	reason: z.string().max(2000).default(''),
 	edits: z.array(editSchema).min(1).max(100_000),
 });
-/** A change as asked for. */
+/** A requested change. */
 export type ChangeRequest = z.infer<typeof changeRequestSchema>;
 
 const acceptedEditSchema = z.strictObject({path: z.string(), before: fieldsSchema.optional(), after: fieldsSchema.optional()});
@@ -30,14 +30,14 @@
 	changeId: z.string(),
 	author: z.string(),
 	reason: z.string(),
-	/** When it was accepted, by the accepting host's clock. */
+	/** Time of acceptance, by the clock of the host that accepted the change. */
 	atMs: z.number(),
 	edits: z.array(acceptedEditSchema),
 });
-/** An accepted change; its row is the audit trail's entry as well. */
+/** An accepted change. Its row in the table service is also the entry of the audit trail. */
 export type Change = z.infer<typeof changeSchema>;
 
-/** A node that someone else changed meanwhile. */
+/** A node that another change has modified since the revision that the edit is based on. */
 export type EditConflict = {
 	readonly path: string;
 	readonly baseRevision: number;
@@ -46,13 +46,13 @@
 	readonly fields?: Readonly<Record<string, unknown>>;
 };
 
-/** Why a change was not accepted, or not known to be. */
+/** Why a change was refused, or why it is not known whether it was accepted. */
 export type ChangeRefusal
 	= | {readonly code: 'invalid'; readonly problems: readonly InputProblem[]}
 		| {readonly code: 'conflict'; readonly conflicts: readonly EditConflict[]}
 		| {readonly code: 'storeUnavailable'; readonly message: string; readonly mayHaveTakenEffect: boolean};
 
-/** A difference between a declaration and what is in force. */
+/** A difference between a declaration and the settings in force. */
 export type PlannedEdit = {
 	readonly kind: 'add' | 'change' | 'remove';
 	readonly path: string;
--- a/src/settings/common/node-path.ts
+++ b/src/settings/common/node-path.ts
@@ -1,9 +1,9 @@
-/** Paths of nodes in the settings tree, as `/workspaces/a/pipelines/quote/stages/rerank`. */
+/** Paths of nodes in the settings tree, such as `/workspaces/a/pipelines/quote/stages/rerank`. */
 import type {NodeFields, NodeKind} from './schema.js';
 
 export const fleetPath = '/';
 
-/** Collections a node may hold, and the kind of node in each. */
+/** The collections that each kind of node may contain, and the kind of their nodes. */
 const collections: Readonly<Partial<Record<NodeKind, Readonly<Record<string, NodeKind>>>>> = {
 	fleet: {
 		pools: 'pool', operators: 'operator', pipelines: 'pipeline', services: 'service', workspaces: 'workspace',
@@ -13,9 +13,9 @@
 };
 
 /**
-Tells the kind of node a path leads to.
+Determines the kind of node that a path refers to.
 @param path - any text.
-@returns the kind, or nothing where no such node can be.
+@returns the kind, or undefined if the path is not a valid node path.
 */
 export function kindOfPath(path: string): NodeKind | undefined {
 	if (path === fleetPath) {
@@ -41,8 +41,8 @@
 }
 
 /**
-Takes a declaration apart into nodes.
-@param declaration - a checked declaration.
+Splits a declaration into its nodes.
+@param declaration - a valid declaration.
 @returns the own fields of each node, by path.
 */
 export function flatten(declaration: NodeFields): Map<string, NodeFields> {
@@ -68,9 +68,9 @@
 }
 
 /**
-Splits a path into the keys that lead to it in a declaration.
+Splits a path into the object keys that lead to its node in a declaration.
 @param path - a node's path.
-@returns its keys.
+@returns the keys, outermost first.
 */
 export function keysOf(path: string): string[] {
 	return path.split('/').filter(part => part !== '');
--- a/src/settings/common/plan.test.ts
+++ b/src/settings/common/plan.test.ts
@@ -8,7 +8,7 @@
 	return read.ok ? 'none' : read.error.map(problem => formatProblem(problem)).join('\n');
 };
 
-t.test('each kind of bad declaration is told with its place', async t => {
+t.test('each kind of invalid declaration is reported with its position', async t => {
 	t.match(problemsOf(''), /fleet\.jsonc:1:1: .*\(badSyntax\)/v);
 	t.match(problemsOf('{"deadlineMs": 10'), /fleet\.jsonc:1:\d+: .*\(badSyntax\)/v);
 	t.match(problemsOf('[1, 2]'), /\(badValue\)/v);
@@ -22,7 +22,7 @@
 	t.match(problemsOf('{"workspaces": {"Not A Name": {}}}'), /\(badValue\)/v);
 });
 
-t.test('what a declaration names must exist', async t => {
+t.test('stages, pools and models that a declaration refers to must exist', async t => {
 	t.match(problemsOf('{"pipelines": {"p": {"order": ["a"]}}}'), /fleet\.jsonc:1:\d+ \/pipelines\/p\/order: stage "a" has no node with a "kind" \(unknownStage\)/v);
 	t.match(problemsOf('{"pipelines": {"p": {"order": ["a"], "stages": {"a": {"kind": "run", "pool": "q"}}}}}'), /\(unknownPool\)/v);
 	t.match(problemsOf('{"pools": {"q": {"kind": "engine"}}, "pipelines": {"p": {"order": ["a"], "stages": {"a": {"kind": "run", "pool": "q"}}}}}'), /\(wrongPool\)/v);
@@ -30,12 +30,12 @@
 	t.match(problemsOf('{"workspaces": {"w": {"pipelines": {"p": {}}}}}'), /\(noStages\)/v);
 });
 
-t.test('a place inherits from deeper before higher, and from its workspace before the fleet', async t => {
+t.test('a path inherits from deeper nodes before higher ones, and from its workspace before the fleet', async t => {
 	t.strictSame(inheritanceChain('/workspaces/w/pipelines/p/stages/s'), [
 		'/workspaces/w/pipelines/p/stages/s', '/pipelines/p/stages/s', '/workspaces/w/pipelines/p', '/pipelines/p', '/workspaces/w', '/',
 	]);
 	const read = readDeclaration(`{
-		// comments are kept out of the way
+		// comments are ignored
 		"deadlineMs": 1000, "maxLateMs": 1,
 		"pools": {"q": {"kind": "worker"}},
 		"pipelines": {"p": {"order": ["s"], "deadlineMs": 2000, "stages": {"s": {"kind": "run", "pool": "q"}}}},
--- a/src/settings/common/plan.ts
+++ b/src/settings/common/plan.ts
@@ -1,4 +1,4 @@
-/** Differences between a declaration and the settings in force. */
+/** Reads declarations and computes how they differ from the settings in force. */
 import type {InputProblem} from '../../base/common/errors.js';
 import {checkDocument, readJsonc} from '../../base/common/jsonc.js';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
@@ -9,10 +9,10 @@
 import {checkTree} from './validate.js';
 
 /**
-Reads and checks a declaration.
-@param bytes - its text.
-@param source - its name, for errors.
-@returns its nodes by path, or everything wrong with it, each with its place.
+Parses and validates a declaration.
+@param bytes - the text of the declaration.
+@param source - name of the declaration for problem reports, such as its file name.
+@returns the nodes by path, or all problems, each with its position in the text.
 */
 export function readDeclaration(bytes: Uint8Array | string, source: string): Outcome<Map<string, NodeFields>, InputProblem[]> {
 	const document = readJsonc(bytes, source);
@@ -35,10 +35,10 @@
 }
 
 /**
-Compares.
-@param wanted - nodes of a declaration.
+Computes the edits that turn the settings in force into a declaration.
+@param wanted - nodes of the declaration, by path.
 @param current - nodes in force, by path.
-@returns what would change, in order of paths.
+@returns the edits, ordered by path.
 */
 export function planEdits(wanted: ReadonlyMap<string, NodeFields>, current: ReadonlyMap<string, SettingsNode>): PlannedEdit[] {
 	const edits: PlannedEdit[] = [];
@@ -64,11 +64,11 @@
 }
 
 /**
-Makes one change of a plan.
+Creates one change request from the edits of a plan.
 @param edits - the plan.
-@param changeId - the id under which it takes effect at most once.
-@param reason - why, for the audit trail.
-@returns the request.
+@param changeId - the id under which the change takes effect at most once.
+@param reason - the reason for the change, for the audit trail.
+@returns the change request.
 */
 export function toChangeRequest(edits: readonly PlannedEdit[], changeId: string, reason: string): ChangeRequest {
 	return {
@@ -79,9 +79,9 @@
 }
 
 /**
-Compares JSON values, whatever the order of their keys.
+Compares two JSON values, ignoring the order of object keys.
 @param left - a value.
-@param right - another.
+@param right - the value to compare it with.
 @returns whether they are equal.
 */
 export function isSameValue(left: unknown, right: unknown): boolean {
--- a/src/settings/common/revision-tracker.ts
+++ b/src/settings/common/revision-tracker.ts
@@ -1,7 +1,7 @@
-/** Which revision each host has in force, as far as it was heard here. */
+/** Tracks the settings revision in force on each host, as last reported to this host. */
 import type {Identity} from '../../wire/common/messages.js';
 
-/** One host on the board. */
+/** The revision that a host last reported. */
 export type HostRevision = {
 	readonly hostId: string;
 	readonly role: Identity['role'];
@@ -10,7 +10,7 @@
 	readonly heardMs: number;
 };
 
-/** Keeps the last revision heard of each host. */
+/** Holds the last reported revision of each host. */
 export class RevisionTracker {
 	static create(): RevisionTracker {
 		return new RevisionTracker();
@@ -19,10 +19,10 @@
 	private readonly hosts = new Map<string, HostRevision>();
 
 	/**
-	A host told its revision.
+	Records the revision that a host reported.
 	@param identity - the host.
-	@param revision - what it has in force.
-	@param nowMs - the time.
+	@param revision - the revision in force on it.
+	@param nowMs - the current time in milliseconds.
 	*/
 	recordRevision(identity: Identity, revision: number, nowMs: number): void {
 		const {hostId, role, hall} = identity;
@@ -31,12 +31,12 @@
 		});
 	}
 
-	/** A host is gone. */
+	/** Removes a host whose connection was closed. */
 	removeHost(hostId: string): void {
 		this.hosts.delete(hostId);
 	}
 
-	/** @returns all hosts heard. */
+	/** @returns the hosts that reported a revision, ordered by host id. */
 	all(): HostRevision[] {
 		return [...this.hosts.values()].toSorted((a, b) => a.hostId.localeCompare(b.hostId));
 	}
--- a/src/settings/common/schema.ts
+++ b/src/settings/common/schema.ts
@@ -1,11 +1,11 @@
-/** Shape of the settings tree: what each node may hold, with units and defaults. */
+/** Schemas of the settings tree: the fields of each kind of node, with units and defaults. */
 import {z} from 'zod';
 
 const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9.\-]{0,62}$/v, 'a name has small letters, digits, dots and hyphens');
 const hashSchema = z.string().regex(/^[0-9a-f]{64}$/v, 'a token hash has 64 hexadecimal digits (SHA-256)');
 const shareSchema = z.number().min(0).max(1);
 
-/** Fields that a node inherits from the one above unless it sets them itself. */
+/** Policy fields; a node inherits each of them from the node above unless it sets the field itself. */
 export const policyFields = {
 	deadlineMs: z.number().int().min(1).max(600_000).describe('Time for the whole request where the caller names none.'),
 	maxLateMs: z.number().int().min(0).max(600_000).describe('How long past its deadline a request that has started may still be answered.'),
@@ -30,24 +30,24 @@
 
 const policySchema = z.strictObject(policyFields).partial();
 
-/** Own fields of a node's policy, before inheritance. */
+/** The policy fields that a node sets itself, before inheritance. */
 export type Policy = z.infer<typeof policySchema>;
 
-/** What a stage does with the answer of the stage before it. */
+/** How a stage processes the result of the stage before it: a worker runs it, or an engine generates from it. */
 export const stageKinds = {run: 'run', generate: 'generate'} as const;
 export type StageKind = typeof stageKinds[keyof typeof stageKinds];
 
-/** What stands behind a pool's upstreams. */
+/** The kind of server behind the upstreams of a pool. */
 export const poolKinds = {engine: 'engine', worker: 'worker', service: 'service'} as const;
 export type PoolKind = typeof poolKinds[keyof typeof poolKinds];
 
-/** What an operator's token may do. */
+/** The rights that an operator's token can have. */
 export const operatorRights = {read: 'read', change: 'change', order: 'order'} as const;
 export type OperatorRight = typeof operatorRights[keyof typeof operatorRights];
 
 const modelSchema = z.strictObject({model: nameSchema, version: nameSchema, adapters: z.array(nameSchema).max(256).default([])});
 
-/** The own fields of each kind of node. */
+/** Schemas of the own fields of each kind of node. */
 export const nodeSchemas = {
 	fleet: policySchema,
 	pool: z.strictObject({
@@ -80,7 +80,7 @@
 export type PipelineNode = z.infer<typeof nodeSchemas.pipeline>;
 export type StageNode = z.infer<typeof nodeSchemas.stage>;
 
-/** The own fields of any node. */
+/** The own fields of a node of any kind. */
 export type NodeFields = Readonly<Record<string, unknown>>;
 
 const stagesField = {stages: z.record(nameSchema, nodeSchemas.stage).optional()};
@@ -90,7 +90,7 @@
 	services: z.record(nameSchema, nodeSchemas.service).optional(),
 };
 
-/** A whole declaration, as kept in version control. */
+/** Schema of a complete declaration, as kept in version control. */
 export const declarationSchema = policySchema.extend({
 	...sharedFields,
 	pools: z.record(nameSchema, nodeSchemas.pool).optional(),
@@ -98,7 +98,7 @@
 	workspaces: z.record(nameSchema, nodeSchemas.workspace.extend(sharedFields)).optional(),
 });
 
-/** What holds where no node says otherwise. */
+/** Defaults of the policy fields, used where no node sets them. */
 export const policyDefaults = {
 	deadlineMs: 2000,
 	maxLateMs: 1000,
@@ -117,5 +117,5 @@
 	maxTokens: 256,
 } as const satisfies Policy;
 
-/** Policy of one place in the tree after inheritance. */
+/** Effective policy of a path in the tree, after inheritance. */
 export type EffectivePolicy = Policy & Required<Pick<Policy, keyof typeof policyDefaults>>;
--- a/src/settings/common/settings-service.test.ts
+++ b/src/settings/common/settings-service.test.ts
@@ -14,7 +14,7 @@
 
 const changeOf = (number: number, baseRevision: number) => ({changeId: `c${number}`, reason: '', edits: [{path: '/', baseRevision, after: {deadlineMs: 1000 + number}}]});
 
-t.test('a row that can\'t be read, as of a newer program, holds a host where it is and harms it no more', async t => {
+t.test('a malformed row, such as one from a newer version of the program, keeps a host at the previous revision without further harm', async t => {
 	const {table, hostOf} = setUp();
 	const host = hostOf();
 	await host.change(changeOf(1, 0), 'a');
@@ -22,10 +22,10 @@
 	const other = hostOf();
 	t.match(await other.refresh(), {ok: false, error: {code: 'storeUnavailable'}});
 	t.equal(other.tree.revision, 1);
-	t.match(await other.refresh(), {ok: false}, 'and may be tried again');
+	t.match(await other.refresh(), {ok: false}, 'and can be retried');
 });
 
-t.test('a host far behind starts from a snapshot and the changes after it', async t => {
+t.test('a host that is far behind starts from a snapshot and applies the changes after it', async t => {
 	const {table, hostOf} = setUp();
 	const host = hostOf();
 	for (let number = 1; number <= 300; number++) {
@@ -39,7 +39,7 @@
 	t.ok(table.readCount - readCount < 10, `${table.readCount - readCount} reads`);
 });
 
-t.test('a peer a little behind gets changes, one far behind gets everything', async t => {
+t.test('a peer that is slightly behind gets changes, one that is far behind gets a snapshot', async t => {
 	const {hostOf} = setUp();
 	const host = hostOf();
 	for (let number = 1; number <= 3; number++) {
@@ -54,5 +54,5 @@
 	late.applyReply(host.createReply(0));
 	t.equal(late.tree.revision, 3);
 	late.applyReply(hostOf().createReply(0));
-	t.equal(late.tree.revision, 3, 'a peer without settings takes nothing away');
+	t.equal(late.tree.revision, 3, 'a reply from a peer without settings removes nothing');
 });
--- a/src/settings/common/settings-service.ts
+++ b/src/settings/common/settings-service.ts
@@ -1,4 +1,4 @@
-/** The settings of one host: in force, kept up to date, changed, and told to peers. */
+/** The settings of one host: holds the settings in force, updates them from the store and from peers, and accepts changes. */
 import type {InjectionToken} from 'tsyringe';
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
@@ -12,42 +12,48 @@
 import {changePageSize, type SettingsStore, type StoreFailure} from './settings-store.js';
 import {checkNode, checkTree} from './validate.js';
 
-/** Changes kept in memory for peers that are a little behind. */
+/** Number of changes kept in memory, so that a peer that is slightly behind gets changes rather than a snapshot. */
 const maxRecentChanges = 500;
-/** A snapshot is kept each time this many changes were accepted. */
+/** Number of accepted changes from one stored snapshot to the next. */
 const revisionsPerSnapshot = 64;
 const maxAttempts = 20;
 
-/** A change in force, with whether this call brought it about. */
+/** An accepted change, and whether an earlier request with the same change id had already made it (`isRepeat`). */
 export type Acceptance = {readonly revision: number; readonly isRepeat: boolean};
 
 /** The settings service of a host. */
 export type SettingsService = {
 	readonly tree: SettingsTree;
-	/** Fires with the new revision, after it is in force here. */
+	/** Fires with the new revision after it has come into force on this host. */
 	readonly onDidChangeRevision: (listener: (revision: number) => void) => Disposable;
-	/** Takes over what the store has beyond what is in force here. */
+	/**
+	Applies revisions in the store that are newer than the one in force here.
+	@returns the revision in force afterwards.
+	*/
 	refresh(): Promise<Outcome<number, StoreFailure>>;
 	/**
-	Accepts a change, or refuses it.
+	Validates a change and writes it to the store, or refuses it.
 	@param request - the change.
-	@param author - who asks.
+	@param author - name of the operator who requests the change, for the audit trail.
+	@returns the accepted revision, or why the change was refused or its outcome is unknown.
 	*/
 	change(request: ChangeRequest, author: string): Promise<Outcome<Acceptance, ChangeRefusal>>;
 	/**
-	Answers a peer that is behind.
-	@param fromRevision - what the peer has in force.
+	Creates the reply to a peer that is behind: the changes it lacks if all are in memory, otherwise a snapshot.
+	@param fromRevision - the revision in force on the peer.
+	@returns the reply.
 	*/
 	createReply(fromRevision: number): SettingsReply;
 	/**
-	Takes over what a peer has.
-	@param reply - the peer's answer.
+	Applies the settings in a peer's reply that are newer than those in force here.
+	@param reply - the peer's reply.
+	@throws if the changes or the snapshot can't be parsed.
 	*/
 	applyReply(reply: SettingsReply): void;
 	/**
-	Lists accepted changes.
-	@param afterRevision - the last one not wanted.
-	@param limit - most changes wanted.
+	Lists accepted changes in order.
+	@param afterRevision - the revision after which the list starts.
+	@param limit - maximum number of changes.
 	*/
 	history(afterRevision: number, limit: number): Promise<Outcome<Change[], StoreFailure>>;
 };
@@ -76,7 +82,7 @@
 	}
 
 	async refresh(): Promise<Outcome<number, StoreFailure>> {
-		// One at a time: callers that come meanwhile share the answer.
+		// Only one refresh runs at a time; concurrent callers share its result.
 		this.pendingRefresh ??= this.runRefresh().finally(() => {
 			this.pendingRefresh = undefined;
 		});
@@ -106,7 +112,7 @@
 			if (!result.error.mayHaveTakenEffect) {
 				break;
 			}
-			// The answer may be lost after the write: the next try reads the change id back first.
+			// The response may have been lost after the write took effect. The next attempt therefore reads the change id first.
 		}
 
 		return fail({...lastFailure, mayHaveTakenEffect});
--- a/src/settings/common/settings-store.ts
+++ b/src/settings/common/settings-store.ts
@@ -1,4 +1,4 @@
-/** Accepted settings in the table service: one transaction accepts a change and writes its audit row. */
+/** Stores accepted settings in the table service. One transaction accepts a change and writes its audit row. */
 import type {z} from 'zod';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import type {ObjectStore} from '../../store/common/object-store.js';
@@ -13,16 +13,16 @@
 const snapshotObjectPrefix = 'settings/snapshot/';
 const revisionDigits = 12;
 
-/** Changes read in one call. */
+/** Maximum number of changes read in one call. */
 export const changePageSize = 200;
 
-/** The newest accepted revision, with the version its row has. */
+/** The newest accepted revision, and the version of the row that holds it. */
 export type Head = {readonly revision: number; readonly version: number};
 
-/** A call that the store did not answer. */
+/** A call that failed because the store did not respond. A write may have taken effect nevertheless. */
 export type StoreFailure = {readonly code: 'storeUnavailable'; readonly message: string; readonly mayHaveTakenEffect: boolean};
 
-/** How a try to append a change ended. */
+/** Outcome of an attempt to append a change. */
 export type AppendResult = 'appended' | 'conflict';
 
 function changeKey(revision: number): string {
@@ -55,9 +55,9 @@
 	}
 
 	/**
-	Finds the revision under which a change id took effect.
-	@param changeId - the editor's id.
-	@returns the revision, or nothing if it did not.
+	Finds the revision that a change id produced.
+	@param changeId - the id that the client chose.
+	@returns the revision, or undefined if the change has not taken effect.
 	*/
 	async findRevisionByChangeId(changeId: string): Promise<Outcome<number | undefined, StoreFailure>> {
 		const rows = await this.table.read([`${changeIdPrefix}${changeId}`]);
@@ -70,9 +70,9 @@
 
 	/**
 	Reads accepted changes in order.
-	@param afterRevision - the last one known.
-	@param limit - most changes wanted.
-	@returns the next changes; fewer than asked for means there are no more, or that older ones were archived.
+	@param afterRevision - the last known revision.
+	@param limit - maximum number of changes.
+	@returns the next changes; fewer than `limit` if there are no more, if older ones were archived, or if a row is malformed.
 	*/
 	async readChanges(afterRevision: number, limit = changePageSize): Promise<Outcome<Change[], StoreFailure>> {
 		const rows = await this.table.scan({prefix: changePrefix, after: changeKey(afterRevision), limit});
@@ -81,14 +81,15 @@
 		}
 
 		const changes = rows.value.map(row => parseStored(row.value, changeSchema));
-		// What can't be read ends the list: a host stays at the revision before it rather than skip one.
+		// A malformed row ends the list: a host stays at the revision before it rather than skip a revision.
 		const firstUnreadableIndex = changes.indexOf(undefined);
 		return ok(changes.slice(0, firstUnreadableIndex === -1 ? changes.length : firstUnreadableIndex).filter(change => change !== undefined));
 	}
 
 	/**
 	Reads one accepted change.
-	@param revision - its revision.
+	@param revision - revision of the change.
+	@returns the change, or undefined if it is missing, malformed or can't be read.
 	*/
 	async readChange(revision: number): Promise<Change | undefined> {
 		const rows = await this.table.read([changeKey(revision)]);
@@ -96,10 +97,10 @@
 	}
 
 	/**
-	Appends a change after the head it was checked against.
-	@param change - the change, with the revision after the head's.
-	@param head - the head it was checked against.
-	@returns whether it was appended; after a failure it may have been.
+	Appends a change if the head has not changed since the change was validated.
+	@param change - the change, with the revision after that of the head.
+	@param head - the head that the change was validated against.
+	@returns whether the change was appended; after a failure it may have been.
 	*/
 	async append(change: Change, head: Head): Promise<Outcome<AppendResult, StoreFailure>> {
 		const key = changeKey(change.revision);
@@ -120,7 +121,7 @@
 		return result.error.code === 'conflict' ? ok('conflict') : fail(toStoreFailure(result.error));
 	}
 
-	/** @returns the newest snapshot, or nothing where there is none. */
+	/** @returns the newest snapshot, or undefined if there is none or it is malformed. */
 	async readSnapshot(): Promise<Outcome<SettingsSnapshot | undefined, StoreFailure>> {
 		const rows = await this.table.read([snapshotKey]);
 		if (!rows.ok) {
@@ -140,8 +141,9 @@
 	}
 
 	/**
-	Keeps a snapshot, the object first and then the row that names it, so that a reader never finds a name without its object.
-	@param snapshot - everything at a revision.
+	Stores a snapshot unless a newer one exists. Writes the object before the row that names it, so that a reader never finds
+	a name without its object.
+	@param snapshot - all nodes at a revision.
 	*/
 	async writeSnapshot(snapshot: SettingsSnapshot): Promise<void> {
 		const name = `${snapshotObjectPrefix}${snapshot.revision}`;
@@ -153,7 +155,7 @@
 		const isNewer = rows.value.length === 0 || revisionOfSnapshotName(rows.value[0].value) < snapshot.revision;
 		const written = isNewer ? await this.objects.put(name, JSON.stringify(snapshot)) : undefined;
 		if (written?.ok) {
-			// A lost answer does no harm: the next snapshot names itself.
+			// The result is ignored: a lost response does no harm, since the next snapshot writes its own name.
 			await this.table.transact({
 				conditions: [{key: snapshotKey, version: rows.value[0]?.version ?? 0}],
 				writes: [{key: snapshotKey, value: name}],
@@ -162,7 +164,7 @@
 	}
 }
 
-/** Reads what the store keeps; another version of this program may have written it. */
+/** Parses a stored text. Returns undefined if it is malformed, since another version of this program may have written it. */
 function parseStored<T>(text: string, schema: z.ZodType<T>): T | undefined {
 	try {
 		return schema.safeParse(JSON.parse(text)).data;
--- a/src/settings/common/settings-tree.ts
+++ b/src/settings/common/settings-tree.ts
@@ -1,4 +1,4 @@
-/** The settings in force on one host: nodes by path, and what each place inherits. */
+/** The settings in force on one host: nodes by path, with inheritance of policy fields. */
 import {z} from 'zod';
 import {
 	policyDefaults, policyFields, type EffectivePolicy, type NodeFields, type OperatorNode, type PipelineNode,
@@ -7,7 +7,7 @@
 import {fleetPath} from './node-path.js';
 import type {Change} from './change.js';
 
-/** A node's own fields and the revision that last wrote them. */
+/** The own fields of a node and the revision that last wrote them. */
 export type SettingsNode = {readonly fields: NodeFields; readonly revision: number};
 
 export const snapshotSchema = z.strictObject({
@@ -18,13 +18,13 @@
 		revision: z.number().int().positive(),
 	})),
 });
-/** Everything, as sent to a host that starts. */
+/** All nodes at a revision, as sent to a host that starts. */
 export type SettingsSnapshot = z.infer<typeof snapshotSchema>;
 
-/** A field's value with the node it came from; `default` names the built-in ones. */
+/** The value of a field and the path of the node that it comes from; `default` marks built-in values. */
 export type EffectiveField = {readonly field: string; readonly value: unknown; readonly from: string};
 
-/** Holds the nodes of one revision; the revision only rises. */
+/** Holds the nodes of one revision. The revision never decreases. */
 export class SettingsTree {
 	static create(): SettingsTree {
 		return new SettingsTree();
@@ -42,18 +42,18 @@
 	}
 
 	/**
-	Finds a node.
-	@param path - where.
-	@returns its own fields and revision.
+	Looks up a node.
+	@param path - the node's path.
+	@returns its own fields and revision, or undefined if there is no such node.
 	*/
 	get(path: string): SettingsNode | undefined {
 		return this.nodes.get(path);
 	}
 
 	/**
-	Takes over everything, if it is newer.
-	@param snapshot - all nodes of a revision.
-	@returns whether it was newer and is now in force.
+	Replaces all nodes by those of a snapshot, if the snapshot is newer.
+	@param snapshot - all nodes at a revision.
+	@returns whether the snapshot was newer and is now in force.
 	*/
 	restore(snapshot: SettingsSnapshot): boolean {
 		if (snapshot.revision <= this.currentRevision) {
@@ -66,9 +66,9 @@
 	}
 
 	/**
-	Takes over the next change.
+	Applies a change, if it is the one after the current revision.
 	@param change - an accepted change.
-	@returns whether it was the next one and is now in force.
+	@returns whether it was the next change and is now in force.
 	*/
 	apply(change: Change): boolean {
 		if (change.revision !== this.currentRevision + 1) {
@@ -87,7 +87,7 @@
 		return true;
 	}
 
-	/** @returns everything, for a host that starts. */
+	/** @returns all nodes with the current revision, for a host that starts. */
 	snapshot(): SettingsSnapshot {
 		return {
 			revision: this.currentRevision,
@@ -108,10 +108,10 @@
 	}
 
 	/**
-	Finds a pipeline as a workspace sees it.
-	@param workspace - its name.
-	@param pipeline - its name.
-	@returns the stages in order, or nothing where the pipeline is not declared.
+	Returns the stages of a pipeline in a workspace. The pipeline of the workspace goes before that of the fleet.
+	@param workspace - name of the workspace.
+	@param pipeline - name of the pipeline.
+	@returns the stage names in order, or undefined if neither of the two nodes sets `order`.
 	*/
 	stagesOf(workspace: string, pipeline: string): string[] | undefined {
 		const own = this.fieldsAt<PipelineNode>(`/workspaces/${workspace}/pipelines/${pipeline}`);
@@ -130,9 +130,9 @@
 	}
 
 	/**
-	Gives the policy of a place after inheritance.
-	@param path - a node's path, whether or not the node exists.
-	@returns every policy field that has a value.
+	Computes the effective policy of a path, after inheritance.
+	@param path - a node's path; the node need not exist.
+	@returns all policy fields that have a value.
 	*/
 	policyAt(path: string): EffectivePolicy {
 		const policy: EffectivePolicy = {...policyDefaults};
@@ -144,9 +144,9 @@
 	}
 
 	/**
-	Tells where each value of a place comes from.
-	@param path - a node's path.
-	@returns the fields in order of their names.
+	Lists the effective policy fields of a path with the origin of each value.
+	@param path - a node's path; the node need not exist.
+	@returns the fields, ordered by name.
 	*/
 	effectiveFieldsAt(path: string): EffectiveField[] {
 		const fields = new Map<string, EffectiveField>();
@@ -175,10 +175,10 @@
 }
 
 /**
-Lists the nodes a place inherits from, nearest first: deeper before higher and,
-at one depth, the workspace's own node before the fleet's.
+Lists the nodes that a path inherits from, in order of precedence: deeper nodes before higher ones and,
+at the same depth, the node of the workspace before that of the fleet.
 @param path - a node's path.
-@returns the paths.
+@returns the paths, starting with the path itself.
 */
 export function inheritanceChain(path: string): string[] {
 	const parts = path.split('/').filter(part => part !== '');
--- a/src/settings/common/validate.ts
+++ b/src/settings/common/validate.ts
@@ -1,4 +1,4 @@
-/** Checks of nodes, and of a tree as a whole. */
+/** Validation of single nodes and of complete settings trees. */
 import type {InputProblem} from '../../base/common/errors.js';
 import {kindOfPath} from './node-path.js';
 import {nodeSchemas, type NodeFields} from './schema.js';
@@ -12,10 +12,10 @@
 }
 
 /**
-Checks one node by itself.
-@param path - where it stands.
-@param fields - its own fields.
-@returns what is wrong.
+Validates one node against the schema of its kind, without regard to other nodes.
+@param path - the node's path.
+@param fields - the node's own fields.
+@returns the problems found.
 */
 export function checkNode(path: string, fields: NodeFields): InputProblem[] {
 	const kind = kindOfPath(path);
@@ -34,10 +34,10 @@
 }
 
 /**
-Checks that what nodes name exists: stages, pools, models, parents.
-@param tree - the whole tree as it would be.
-@param editedPaths - paths that changed, where all else was checked before; nothing checks everything.
-@returns what is wrong.
+Checks that the stages, pools, models and parents that nodes refer to exist.
+@param tree - the complete tree, with the edits applied.
+@param editedPaths - paths that changed, if the rest was checked before; if omitted, all nodes are checked.
+@returns the problems found.
 */
 export function checkTree(tree: SettingsTree, editedPaths?: readonly string[]): InputProblem[] {
 	const problems: InputProblem[] = [];
@@ -54,7 +54,7 @@
 	return problems;
 }
 
-/** A workspace's settings bear on that workspace only; what stands above bears on all. */
+/** Returns the paths that edits can invalidate: an edit inside a workspace affects only that workspace, any other edit affects all nodes. */
 function affectedPaths(tree: SettingsTree, editedPaths: readonly string[]): string[] {
 	const workspaces = new Set(editedPaths.map(path => workspaceOf(path)));
 	return workspaces.has(undefined) ? tree.paths : tree.paths.filter(path => workspaces.has(workspaceOf(path)));
--- a/src/settings/node/settings-sync.ts
+++ b/src/settings/node/settings-sync.ts
@@ -1,4 +1,4 @@
-/** Keeps the settings of a host up to date: polls the store's head, and exchanges revisions with peers. */
+/** Keeps the settings of a host up to date: polls the head revision in the store, and exchanges revisions with peers. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {messageOf} from '../../base/common/errors.js';
@@ -9,17 +9,17 @@
 import {RevisionTracker} from '../common/revision-tracker.js';
 import type {SettingsService} from '../common/settings-service.js';
 
-/** What the sync needs. */
+/** Dependencies and parameters of `SettingsSync`. */
 export type SettingsSyncOptions = {
 	readonly settings: SettingsService;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly log: Logger;
-	/** Time between reads of the head, as long as peers are connected or not. */
+	/** Interval between reads of the head in milliseconds, depending on the number of connected peers. */
 	readonly pollMs: (peerCount: number) => number;
 };
 
-/** Exchanges settings with the store and with peers. */
+/** Synchronizes settings with the store and with peers. */
 export class SettingsSync implements Disposable {
 	static create(options: SettingsSyncOptions): SettingsSync {
 		return new SettingsSync(options);
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	Exchanges with a peer from now on.
+	Starts to exchange settings with a peer, until the connection closes.
 	@param connection - an open connection.
 	*/
 	attach(connection: WireConnection): void {
@@ -58,16 +58,16 @@
 		this.notifyPeer(connection);
 	}
 
-	/** Reads the store now. */
+	/** Reads the store now, and logs when it becomes unavailable or available again. */
 	async poll(): Promise<void> {
 		const result = await this.options.settings.refresh();
 		if (result.ok === this.isStoreUnavailable) {
 			this.isStoreUnavailable = !result.ok;
 			const {log} = this.options;
 			if (result.ok) {
-				log.info('The settings store answers again.', {revision: result.value});
+				log.info('The settings store is available again.', {revision: result.value});
 			} else {
-				log.warn('The settings store does not answer; settings stay as they are.', {reason: result.error.message});
+				log.warn('The settings store is unavailable; the current settings stay in force.', {reason: result.error.message});
 			}
 		}
 	}
@@ -108,11 +108,11 @@
 		try {
 			this.options.settings.applyReply(message);
 		} catch (error) {
-			this.options.log.error('A peer sent settings that can\'t be read.', {reason: messageOf(error)});
+			this.options.log.error('A peer sent malformed settings.', {reason: messageOf(error)});
 		}
 	}
 
-	/** Asks a peer that has more, once for each of its revisions. */
+	/** Records the revision that a peer reports; requests it if it is newer, at most once for each of the peer's revisions. */
 	private handlePeerRevision(connection: WireConnection, revision: number): void {
 		const ownRevision = this.options.settings.tree.revision;
 		if (connection.peer) {
--- a/src/store/common/host-list.ts
+++ b/src/store/common/host-list.ts
@@ -1,4 +1,4 @@
-/** Port to the platform's lagging list of live and leaving hosts. */
+/** Interface to the platform's list of live and leaving hosts; the list lags behind the actual state. */
 import type {InjectionToken} from 'tsyringe';
 import {z} from 'zod';
 import type {Outcome} from '../../base/common/outcome.js';
@@ -13,13 +13,13 @@
 	state: z.enum({live: 'live', leaving: 'leaving'}),
 });
 
-/** A host as the platform lists it, perhaps some seconds ago. */
+/** A host as the platform lists it. The entry may be some seconds old. */
 export type ListedHost = z.infer<typeof listedHostSchema>;
 
-/** Why the list could not be had. */
+/** Why the list could not be read. */
 export type HostListFailure = {readonly code: 'unavailable'; readonly message: string};
 
-/** The host list. */
+/** Reads the host list. */
 export type HostList = {
 	/** @returns all hosts of the deployment. */
 	list(): Promise<Outcome<ListedHost[], HostListFailure>>;
--- a/src/store/common/shared-host-list.ts
+++ b/src/store/common/shared-host-list.ts
@@ -1,12 +1,15 @@
-/** The host list read once for all parts of a process. */
+/** Shares one read of the host list among all components of a process. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Outcome} from '../../base/common/outcome.js';
 import type {HostList, HostListFailure, ListedHost} from './host-list.js';
 
-/** How long an answer is shared; a little less than the shortest time between two reads of one part. */
+/**
+Time in milliseconds for which a result is shared; slightly less than the shortest interval between two reads by one
+component, so that each of its reads gets a new result.
+*/
 const listCacheMs = 600;
 
-/** Shares each answer for a short while. */
+/** A host list that caches each result of its source for a short time. */
 export class SharedHostList implements HostList {
 	static create(source: HostList, clock: Clock): SharedHostList {
 		return new SharedHostList(source, clock);
--- a/src/store/common/table-service.ts
+++ b/src/store/common/table-service.ts
@@ -1,47 +1,47 @@
-/** Port to the platform's transactional table service. */
+/** Interface to the platform's transactional table service. */
 import type {InjectionToken} from 'tsyringe';
 import type {Outcome} from '../../base/common/outcome.js';
 
-/** A row as kept; `version` rises with each write and is 0 for a row that is absent. */
+/** A stored row; `version` rises with each write and is 0 for a row that does not exist. */
 export type Row = {readonly key: string; readonly version: number; readonly value: string};
 
-/** What must hold for a transaction to be accepted. */
+/** The version that a row must have for a transaction to be accepted. */
 export type RowCondition = {readonly key: string; readonly version: number};
 
-/** A row to put, or to delete where no value is given. */
+/** A row to write, or to delete if no value is given. */
 export type RowWrite = {readonly key: string; readonly value?: string};
 
-/** Why a call to the table service gave no result. */
+/** Why a call to the table service failed. */
 export type TableFailure
-	/** Conditions that did not hold; nothing was written. */
+	/** The conditions on these keys did not hold; nothing was written. */
 	= | {readonly code: 'conflict'; readonly keys: readonly string[]}
-	/** No answer. A write may have taken effect all the same. */
+	/** The service did not respond. A write may have taken effect nevertheless. */
 		| {readonly code: 'unavailable'; readonly message: string; readonly mayHaveTakenEffect: boolean};
 
-/** A transaction: all writes, if all conditions hold. */
+/** A transaction: performs all writes if all conditions hold, otherwise none. */
 export type Transaction = {readonly conditions: readonly RowCondition[]; readonly writes: readonly RowWrite[]};
 
-/** Where rows start and how many are wanted. */
+/** Range of a scan: prefix of the keys, the key to start after, and the maximum number of rows. */
 export type ScanRange = {readonly prefix: string; readonly after?: string; readonly limit: number};
 
-/** The table service. Each call has its own time limit. */
+/** The table service. Each call has its own timeout. */
 export type TableService = {
 	/**
 	Reads rows.
-	@param keys - which.
-	@returns those that exist.
+	@param keys - keys of the rows.
+	@returns the rows that exist.
 	*/
 	read(keys: readonly string[]): Promise<Outcome<Row[], TableFailure>>;
 	/**
 	Reads rows in order of their keys.
-	@param range - prefix, start and count.
+	@param range - prefix, start and maximum number of rows.
 	@returns the rows.
 	*/
 	scan(range: ScanRange): Promise<Outcome<Row[], TableFailure>>;
 	/**
-	Writes all or nothing.
+	Executes a transaction: all of its writes or none.
 	@param transaction - conditions and writes.
-	@returns nothing, or why it was not done or not known to be done.
+	@returns no value, or why the transaction was not executed or its outcome is unknown.
 	*/
 	transact(transaction: Transaction): Promise<Outcome<undefined, TableFailure>>;
 };
--- a/src/store/node/store-client.ts
+++ b/src/store/node/store-client.ts
@@ -1,4 +1,4 @@
-/** HTTP client of the platform's services; the protocol is in docs/SURROUNDINGS.md. */
+/** HTTP clients of the platform's services. docs/SURROUNDINGS.md describes the protocol. */
 import {request} from 'undici';
 import {z} from 'zod';
 import {messageOf} from '../../base/common/errors.js';
@@ -22,7 +22,7 @@
 type PlatformResponse = {readonly status: number; readonly body: unknown};
 type PlatformFailure = {readonly message: string};
 
-/** How the platform is reached. */
+/** Address, credentials and call timeout of the platform's services. */
 export type PlatformOptions = {
 	readonly origin: string;
 	readonly token: string;
@@ -46,7 +46,7 @@
 		}
 	}
 
-	/** Posts, and checks the answer's shape. */
+	/** Sends a POST request and validates the body of the response. */
 	async postAndParse<T>(path: string, body: unknown, schema: z.ZodType<T>): Promise<Outcome<T, PlatformFailure>> {
 		const response = await this.post(path, body);
 		if (!response.ok) {
@@ -88,7 +88,7 @@
 			return fail({code: 'conflict', keys: conflict.data.keys});
 		}
 
-		// Any other answer may come from something between us and the service.
+		// Any other response may come from an intermediary rather than from the service, so the outcome is unknown.
 		return status === statusOk
 			? ok(undefined)
 			: fail({code: 'unavailable', message: `status ${status} from the table service`, mayHaveTakenEffect: true});
