--- a/bench/synthetic-settings.ts
+++ b/bench/synthetic-settings.ts
@@ -1,5 +1,5 @@
 /** Trees of settings at any size, for slopes. */
-import {flatten} from '../src/settings/common/node-path.js';
+import {flattenDeclaration} from '../src/settings/common/node-path.js';
 import {SettingsTree, type SettingsSnapshot} from '../src/settings/common/settings-tree.js';
 
 const pipelineCount = 34;
@@ -32,7 +32,7 @@
 		pipelines,
 		workspaces: Object.fromEntries(Array.from({length: workspaces}, (_, number) => [`w${number}`, own(number)])),
 	};
-	return {revision: 1, nodes: Array.from(flatten(declaration), ([path, fields]) => ({path, fields: {...fields}, revision: 1}))};
+	return {revision: 1, nodes: Array.from(flattenDeclaration(declaration), ([path, fields]) => ({path, fields: {...fields}, revision: 1}))};
 }
 
 /**
--- a/src/settings/common/node-path.ts
+++ b/src/settings/common/node-path.ts
@@ -45,20 +45,20 @@
 @param declaration - a valid declaration.
 @returns the own fields of each node, by path.
 */
-export function flatten(declaration: NodeFields): Map<string, NodeFields> {
+export function flattenDeclaration(declaration: NodeFields): Map<string, NodeFields> {
 	const nodes = new Map<string, NodeFields>();
-	collect(declaration, 'fleet', '', nodes);
+	collectNodes(declaration, 'fleet', '', nodes);
 	return nodes;
 }
 
-function collect(value: NodeFields, kind: NodeKind, path: string, nodes: Map<string, NodeFields>): void {
+function collectNodes(value: NodeFields, kind: NodeKind, path: string, nodes: Map<string, NodeFields>): void {
 	const childKinds: Readonly<Record<string, NodeKind>> = collections[kind] ?? {};
 	const ownFields = Object.fromEntries(Object.entries(value).filter(([key]) => !Object.hasOwn(childKinds, key)));
 	nodes.set(path === '' ? fleetPath : path, ownFields);
 	for (const [collection, childKind] of Object.entries(childKinds)) {
 		const children = value[collection];
 		for (const [name, child] of Object.entries(isFields(children) ? children : {})) {
-			collect(isFields(child) ? child : {}, childKind, `${path}/${collection}/${name}`, nodes);
+			collectNodes(isFields(child) ? child : {}, childKind, `${path}/${collection}/${name}`, nodes);
 		}
 	}
 }
--- a/src/settings/common/plan.ts
+++ b/src/settings/common/plan.ts
@@ -3,7 +3,7 @@
 import {checkDocument, readJsonc} from '../../base/common/jsonc.js';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import type {ChangeRequest, PlannedEdit} from './change.js';
-import {flatten, keysOf} from './node-path.js';
+import {flattenDeclaration, keysOf} from './node-path.js';
 import {declarationSchema, type NodeFields} from './schema.js';
 import {SettingsTree, type SettingsNode} from './settings-tree.js';
 import {checkTree} from './validate.js';
@@ -25,7 +25,7 @@
 		return declaration;
 	}
 
-	const nodes = flatten(declaration.value);
+	const nodes = flattenDeclaration(declaration.value);
 	const tree = SettingsTree.create();
 	tree.restore({revision: 1, nodes: [...nodes].map(([path, fields]) => ({path, fields, revision: 1}))});
 	const problems = checkTree(tree).map(problem => ({
--- a/src/settings/common/settings-service.ts
+++ b/src/settings/common/settings-service.ts
@@ -149,14 +149,14 @@
 	}
 
 	private async tryChange(request: ChangeRequest, author: string): Promise<Outcome<Acceptance, ChangeRefusal> | 'conflict'> {
-		const earlier = await this.store.findRevisionByChangeId(request.changeId);
-		if (!earlier.ok) {
-			return fail(earlier.error);
+		const existingRevision = await this.store.findRevisionByChangeId(request.changeId);
+		if (!existingRevision.ok) {
+			return fail(existingRevision.error);
 		}
 
-		if (earlier.value !== undefined) {
+		if (existingRevision.value !== undefined) {
 			await this.refresh();
-			return ok({revision: earlier.value, isRepeat: true});
+			return ok({revision: existingRevision.value, isRepeat: true});
 		}
 
 		const head = await this.store.readHead();
--- a/src/settings/common/settings-store.ts
+++ b/src/settings/common/settings-store.ts
@@ -17,7 +17,7 @@
 export const changePageSize = 200;
 
 /** The newest accepted revision, and the version of the row that holds it. */
-export type Head = {readonly revision: number; readonly version: number};
+export type SettingsHead = {readonly revision: number; readonly version: number};
 
 /** A call that failed because the store did not respond. A write may have taken effect nevertheless. */
 export type StoreFailure = {readonly code: 'storeUnavailable'; readonly message: string; readonly mayHaveTakenEffect: boolean};
@@ -44,7 +44,7 @@
 	private constructor(private readonly table: TableService, private readonly objects: ObjectStore) {}
 
 	/** @returns the newest accepted revision. */
-	async readHead(): Promise<Outcome<Head, StoreFailure>> {
+	async readHead(): Promise<Outcome<SettingsHead, StoreFailure>> {
 		const rows = await this.table.read([headKey]);
 		if (!rows.ok) {
 			return fail(toStoreFailure(rows.error));
@@ -102,7 +102,7 @@
 	@param head - the head that the change was validated against.
 	@returns whether the change was appended; after a failure it may have been.
 	*/
-	async append(change: Change, head: Head): Promise<Outcome<AppendResult, StoreFailure>> {
+	async append(change: Change, head: SettingsHead): Promise<Outcome<AppendResult, StoreFailure>> {
 		const key = changeKey(change.revision);
 		const changeIdKey = `${changeIdPrefix}${change.changeId}`;
 		const writes: RowWrite[] = [
