--- a/src/cli/common/quarantine-report.test.ts
+++ b/src/cli/common/quarantine-report.test.ts
@@ -9,18 +9,18 @@
 	time: `2026-01-01T00:00:${second++}.000Z`, part: 'quarantine', host, message, ...fields,
 });
 
-t.test('tries, ends and refusals of one content are gathered over all hosts, each end once', async t => {
-	const {connectionLost: brokeOff, serverCrashed: ended, barred} = quarantineLogMessages;
+t.test('attempts, server crashes and refusals of one content are collected from all hosts, each crash once', async t => {
+	const {connectionLost, serverCrashed, barred} = quarantineLogMessages;
 	const {lines} = readLogLines([
-		line('a', brokeOff, {request: 'r1', content: 'c1', server: 's1'}),
-		line('a', brokeOff, {request: 'other', content: 'c2', server: 's1'}),
-		line('a', brokeOff, {request: 'cut', content: 'c3', server: 's9'}),
-		line('a', ended, {content: 'c1', server: 's1', ends: 1}),
-		line('a', ended, {content: 'c2', server: 's1', ends: 1}),
-		line('b', ended, {content: 'c1', server: 's1', ends: 1}),
-		line('b', brokeOff, {request: 'r2', content: 'c1', server: 's2'}),
-		line('b', ended, {content: 'c1', server: 's2', ends: 2}),
-		line('b', ended, {content: 'c1', server: 's3', ends: 3}),
+		line('a', connectionLost, {request: 'r1', content: 'c1', server: 's1'}),
+		line('a', connectionLost, {request: 'other', content: 'c2', server: 's1'}),
+		line('a', connectionLost, {request: 'cut', content: 'c3', server: 's9'}),
+		line('a', serverCrashed, {content: 'c1', server: 's1', ends: 1}),
+		line('a', serverCrashed, {content: 'c2', server: 's1', ends: 1}),
+		line('b', serverCrashed, {content: 'c1', server: 's1', ends: 1}),
+		line('b', connectionLost, {request: 'r2', content: 'c1', server: 's2'}),
+		line('b', serverCrashed, {content: 'c1', server: 's2', ends: 2}),
+		line('b', serverCrashed, {content: 'c1', server: 's3', ends: 3}),
 		line('b', barred, {content: 'c1', servers: 's1 s2 s3'}),
 		line('a', requestLogMessages.refusedOnAdmission, {
 			request: 'r4', content: 'c1', status: 503, reason: 'in quarantine',
@@ -33,5 +33,5 @@
 		{
 			content: 'c2', state: 'suspected', servers: ['s1'], requests: ['other'], refusedCount: 0,
 		},
-	], 'a call whose server lived is not listed');
+	], 'a call whose server did not crash is not listed');
 });
--- a/src/settings/common/plan.ts
+++ b/src/settings/common/plan.ts
@@ -1,18 +1,18 @@
-/** Differences between a declaration and the settings in force. */
+/** Reads declarations and computes how they differ from the settings in force. */
 import type {InputProblem} from '../../base/common/errors.js';
 import {checkDocument, readJsonc} from '../../base/common/jsonc.js';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import type {ChangeRequest, PlannedEdit} from './change.js';
-import {flatten, keysOf} from './node-path.js';
+import {flattenDeclaration, keysOf} from './node-path.js';
 import {declarationSchema, type NodeFields} from './schema.js';
 import {SettingsTree, type SettingsNode} from './settings-tree.js';
 import {checkTree} from './validate.js';
 
 /**
-Reads and checks a declaration.
-@param bytes - its text.
-@param source - its name, for errors.
-@returns its nodes by path, or everything wrong with it, each with its place.
+Parses and validates a declaration.
+@param bytes - the text of the declaration.
+@param source - name of the declaration for problem reports, such as its file name.
+@returns the nodes by path, or all problems, each with its position in the text.
 */
 export function readDeclaration(bytes: Uint8Array | string, source: string): Outcome<Map<string, NodeFields>, InputProblem[]> {
 	const document = readJsonc(bytes, source);
@@ -25,7 +25,7 @@
 		return declaration;
 	}
 
-	const nodes = flatten(declaration.value);
+	const nodes = flattenDeclaration(declaration.value);
 	const tree = SettingsTree.create();
 	tree.restore({revision: 1, nodes: [...nodes].map(([path, fields]) => ({path, fields, revision: 1}))});
 	const problems = checkTree(tree).map(problem => ({
@@ -35,10 +35,10 @@
 }
 
 /**
-Compares.
-@param wanted - nodes of a declaration.
+Computes the edits that turn the settings in force into a declaration.
+@param wanted - nodes of the declaration, by path.
 @param current - nodes in force, by path.
-@returns what would change, in order of paths.
+@returns the edits, ordered by path.
 */
 export function planEdits(wanted: ReadonlyMap<string, NodeFields>, current: ReadonlyMap<string, SettingsNode>): PlannedEdit[] {
 	const edits: PlannedEdit[] = [];
@@ -64,13 +64,13 @@
 }
 
 /**
-Makes one change of a plan.
+Creates one change request from the edits of a plan.
 @param edits - the plan.
-@param changeId - the id under which it takes effect at most once.
-@param reason - why, for the audit trail.
-@returns the request.
+@param changeId - the id under which the change takes effect at most once.
+@param reason - the reason for the change, for the audit trail.
+@returns the change request.
 */
-export function requestOf(edits: readonly PlannedEdit[], changeId: string, reason: string): ChangeRequest {
+export function toChangeRequest(edits: readonly PlannedEdit[], changeId: string, reason: string): ChangeRequest {
 	return {
 		changeId,
 		reason,
@@ -79,16 +79,16 @@
 }
 
 /**
-Compares JSON values, whatever the order of their keys.
+Compares two JSON values, ignoring the order of object keys.
 @param left - a value.
-@param right - another.
+@param right - the value to compare it with.
 @returns whether they are equal.
 */
 export function isSameValue(left: unknown, right: unknown): boolean {
-	return canonical(left) === canonical(right);
+	return canonicalJson(left) === canonicalJson(right);
 }
 
-function canonical(value: unknown): string {
+function canonicalJson(value: unknown): string {
 	return JSON.stringify(value, (_key, inner: unknown) => {
 		if (typeof inner !== 'object' || inner === null || Array.isArray(inner)) {
 			return inner;
--- a/src/settings/common/settings-store.ts
+++ b/src/settings/common/settings-store.ts
@@ -1,4 +1,4 @@
-/** Accepted settings in the table service: one transaction accepts a change and writes its audit row. */
+/** Stores accepted settings in the table service. One transaction accepts a change and writes its audit row. */
 import type {z} from 'zod';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import type {ObjectStore} from '../../store/common/object-store.js';
@@ -13,23 +13,23 @@
 const snapshotObjectPrefix = 'settings/snapshot/';
 const revisionDigits = 12;
 
-/** Changes read in one call. */
-export const changePage = 200;
+/** Maximum number of changes read in one call. */
+export const changePageSize = 200;
 
-/** The newest accepted revision, with the version its row has. */
-export type Head = {readonly revision: number; readonly version: number};
+/** The newest accepted revision, and the version of the row that holds it. */
+export type SettingsHead = {readonly revision: number; readonly version: number};
 
-/** A call that the store did not answer. */
+/** A call that failed because the store did not respond. A write may have taken effect nevertheless. */
 export type StoreFailure = {readonly code: 'storeUnavailable'; readonly message: string; readonly mayHaveTakenEffect: boolean};
 
-/** How a try to append a change ended. */
+/** Outcome of an attempt to append a change. */
 export type AppendResult = 'appended' | 'conflict';
 
 function changeKey(revision: number): string {
 	return `${changePrefix}${String(revision).padStart(revisionDigits, '0')}`;
 }
 
-function storeFailure(failure: TableFailure): StoreFailure {
+function toStoreFailure(failure: TableFailure): StoreFailure {
 	return failure.code === 'unavailable'
 		? {code: 'storeUnavailable', message: failure.message, mayHaveTakenEffect: failure.mayHaveTakenEffect}
 		: {code: 'storeUnavailable', message: `unexpected conflict on ${failure.keys.join(', ')}`, mayHaveTakenEffect: false};
@@ -44,10 +44,10 @@
 	private constructor(private readonly table: TableService, private readonly objects: ObjectStore) {}
 
 	/** @returns the newest accepted revision. */
-	async readHead(): Promise<Outcome<Head, StoreFailure>> {
+	async readHead(): Promise<Outcome<SettingsHead, StoreFailure>> {
 		const rows = await this.table.read([headKey]);
 		if (!rows.ok) {
-			return fail(storeFailure(rows.error));
+			return fail(toStoreFailure(rows.error));
 		}
 
 		const [row] = rows.value;
@@ -55,14 +55,14 @@
 	}
 
 	/**
-	Finds the revision under which a change id took effect.
-	@param changeId - the editor's id.
-	@returns the revision, or nothing if it did not.
+	Finds the revision that a change id produced.
+	@param changeId - the id that the client chose.
+	@returns the revision, or undefined if the change has not taken effect.
 	*/
-	async readChangeId(changeId: string): Promise<Outcome<number | undefined, StoreFailure>> {
+	async findRevisionByChangeId(changeId: string): Promise<Outcome<number | undefined, StoreFailure>> {
 		const rows = await this.table.read([`${changeIdPrefix}${changeId}`]);
 		if (!rows.ok) {
-			return fail(storeFailure(rows.error));
+			return fail(toStoreFailure(rows.error));
 		}
 
 		return ok(rows.value.length > 0 ? Number(rows.value[0].value) : undefined);
@@ -70,61 +70,62 @@
 
 	/**
 	Reads accepted changes in order.
-	@param afterRevision - the last one known.
-	@param limit - most changes wanted.
-	@returns the next changes; fewer than asked for means there are no more, or that older ones were archived.
+	@param afterRevision - the last known revision.
+	@param limit - maximum number of changes.
+	@returns the next changes; fewer than `limit` if there are no more, if older ones were archived, or if a row is malformed.
 	*/
-	async readChanges(afterRevision: number, limit = changePage): Promise<Outcome<Change[], StoreFailure>> {
+	async readChanges(afterRevision: number, limit = changePageSize): Promise<Outcome<Change[], StoreFailure>> {
 		const rows = await this.table.scan({prefix: changePrefix, after: changeKey(afterRevision), limit});
 		if (!rows.ok) {
-			return fail(storeFailure(rows.error));
+			return fail(toStoreFailure(rows.error));
 		}
 
-		const changes = rows.value.map(row => parseText(row.value, changeSchema));
-		// What can't be read ends the list: a host stays at the revision before it rather than skip one.
-		const firstBad = changes.indexOf(undefined);
-		return ok(changes.slice(0, firstBad === -1 ? changes.length : firstBad).filter(change => change !== undefined));
+		const changes = rows.value.map(row => parseStored(row.value, changeSchema));
+		// A malformed row ends the list: a host stays at the revision before it rather than skip a revision.
+		const firstUnreadableIndex = changes.indexOf(undefined);
+		return ok(changes.slice(0, firstUnreadableIndex === -1 ? changes.length : firstUnreadableIndex).filter(change => change !== undefined));
 	}
 
 	/**
 	Reads one accepted change.
-	@param revision - its revision.
+	@param revision - revision of the change.
+	@returns the change, or undefined if it is missing, malformed or can't be read.
 	*/
 	async readChange(revision: number): Promise<Change | undefined> {
 		const rows = await this.table.read([changeKey(revision)]);
-		return rows.ok && rows.value.length > 0 ? parseText(rows.value[0].value, changeSchema) : undefined;
+		return rows.ok && rows.value.length > 0 ? parseStored(rows.value[0].value, changeSchema) : undefined;
 	}
 
 	/**
-	Appends a change after the head it was checked against.
-	@param change - the change, with the revision after the head's.
-	@param head - the head it was checked against.
-	@returns whether it was appended; after a failure it may have been.
+	Appends a change if the head has not changed since the change was validated.
+	@param change - the change, with the revision after that of the head.
+	@param head - the head that the change was validated against.
+	@returns whether the change was appended; after a failure it may have been.
 	*/
-	async append(change: Change, head: Head): Promise<Outcome<AppendResult, StoreFailure>> {
+	async append(change: Change, head: SettingsHead): Promise<Outcome<AppendResult, StoreFailure>> {
 		const key = changeKey(change.revision);
-		const idKey = `${changeIdPrefix}${change.changeId}`;
+		const changeIdKey = `${changeIdPrefix}${change.changeId}`;
 		const writes: RowWrite[] = [
 			{key: headKey, value: String(change.revision)},
 			{key, value: JSON.stringify(change)},
-			{key: idKey, value: String(change.revision)},
+			{key: changeIdKey, value: String(change.revision)},
 		];
-		const done = await this.table.transact({
-			conditions: [{key: headKey, version: head.version}, {key, version: 0}, {key: idKey, version: 0}],
+		const result = await this.table.transact({
+			conditions: [{key: headKey, version: head.version}, {key, version: 0}, {key: changeIdKey, version: 0}],
 			writes,
 		});
-		if (done.ok) {
+		if (result.ok) {
 			return ok('appended');
 		}
 
-		return done.error.code === 'conflict' ? ok('conflict') : fail(storeFailure(done.error));
+		return result.error.code === 'conflict' ? ok('conflict') : fail(toStoreFailure(result.error));
 	}
 
-	/** @returns the newest snapshot, or nothing where there is none. */
+	/** @returns the newest snapshot, or undefined if there is none or it is malformed. */
 	async readSnapshot(): Promise<Outcome<SettingsSnapshot | undefined, StoreFailure>> {
 		const rows = await this.table.read([snapshotKey]);
 		if (!rows.ok) {
-			return fail(storeFailure(rows.error));
+			return fail(toStoreFailure(rows.error));
 		}
 
 		if (rows.value.length === 0) {
@@ -136,12 +137,13 @@
 			return fail({code: 'storeUnavailable', message: text.error.message, mayHaveTakenEffect: false});
 		}
 
-		return ok(text.value === undefined ? undefined : parseText(text.value, snapshotSchema));
+		return ok(text.value === undefined ? undefined : parseStored(text.value, snapshotSchema));
 	}
 
 	/**
-	Keeps a snapshot, the object first and then the row that names it, so that a reader never finds a name without its object.
-	@param snapshot - everything at a revision.
+	Stores a snapshot unless a newer one exists. Writes the object before the row that names it, so that a reader never finds
+	a name without its object.
+	@param snapshot - all nodes at a revision.
 	*/
 	async writeSnapshot(snapshot: SettingsSnapshot): Promise<void> {
 		const name = `${snapshotObjectPrefix}${snapshot.revision}`;
@@ -150,10 +152,10 @@
 			return;
 		}
 
-		const isNewer = rows.value.length === 0 || revisionOfName(rows.value[0].value) < snapshot.revision;
+		const isNewer = rows.value.length === 0 || revisionOfSnapshotName(rows.value[0].value) < snapshot.revision;
 		const written = isNewer ? await this.objects.put(name, JSON.stringify(snapshot)) : undefined;
 		if (written?.ok) {
-			// A lost answer does no harm: the next snapshot names itself.
+			// The result is ignored: a lost response does no harm, since the next snapshot writes its own name.
 			await this.table.transact({
 				conditions: [{key: snapshotKey, version: rows.value[0]?.version ?? 0}],
 				writes: [{key: snapshotKey, value: name}],
@@ -162,8 +164,8 @@
 	}
 }
 
-/** Reads what the store keeps; another version of this program may have written it. */
-function parseText<T>(text: string, schema: z.ZodType<T>): T | undefined {
+/** Parses a stored text. Returns undefined if it is malformed, since another version of this program may have written it. */
+function parseStored<T>(text: string, schema: z.ZodType<T>): T | undefined {
 	try {
 		return schema.safeParse(JSON.parse(text)).data;
 	} catch {
@@ -171,6 +173,6 @@
 	}
 }
 
-function revisionOfName(name: string): number {
+function revisionOfSnapshotName(name: string): number {
 	return Number(name.slice(snapshotObjectPrefix.length));
 }
