--- a/src/deployment/common/server-limits.ts
+++ b/src/deployment/common/server-limits.ts
@@ -1,11 +1,12 @@
 /**
-Which servers name a limit in their answers: the requests a second that they take from all hosts together, for as long as they say so.
-
-Few hosts get the answers of a limited server, so hosts tell each other when a limit begins, changes and ends, and now and then
-that it is still named. Answers cross: one without a limit ends it only if its call was sent after the last answer with
-a limit had come. What a peer tells of an end counts only where nothing later is known here, and an end takes effect
-after a while, on one host after the other, so that a word that came late does no harm: the next answer with a limit
-takes it back. A limit that nobody repeats stays in force; `quietMs` tells whoever may send when to look whether it still holds.
+Tracks which servers announce a rate limit in their responses: the requests per second that they accept from all hosts together, for as long as
+they announce it.
+
+Few hosts receive the responses of a limited server, so hosts report to each other when a limit begins, changes and ends, and at intervals
+that it is still announced. Responses may overlap: one without a limit ends the limit only if its call was sent after the last response with
+a limit had arrived. A peer's report of an end counts only if nothing later is known here. An end takes effect after a delay that differs from
+host to host, so that a late report does no harm: the next response with a limit revokes it. A limit that is not announced again stays
+in force; `sinceAnnouncedMs` shows senders when to probe whether it still applies.
 */
 import type {InjectionToken} from 'tsyringe';
 import {Emitter} from '../../base/common/emitter.js';
@@ -15,90 +16,90 @@
 import {ToldOnce} from './told-once.js';
 import type {UpstreamServer} from './upstream-server.js';
 
-/** What an answer says of its server's limit. */
+/** What a response says about the rate limit of its server. */
 export type LimitReading
 	= | {readonly kind: 'named'; readonly perS: number}
 		| {readonly kind: 'none'}
-	/** A limit that makes no sense. */
+	/** A limit that can't be parsed. */
 		| {readonly kind: 'unreadable'; readonly text: string}
-	/** The answer is of another server, or none that would name a limit. */
+	/** The response is from another server, or of a kind that would not announce a limit. */
 		| {readonly kind: 'silent'};
 
-/** A limit as it stands. */
+/** A rate limit that is in force. */
 export type ServerLimit = {
 	readonly perS: number;
-	/** Time since an answer that named it came to any host, as far as is known. */
+	/** Time since a response that announced it reached any host, as far as is known. */
 	readonly quietMs: number;
 };
 
-/** What hosts tell each other of a limit. */
+/** What hosts report to each other about a limit. */
 export type LimitNews = {
 	readonly serverId: string;
 	readonly perS: number;
-	/** Time since an answer named it. */
+	/** Time since a response announced it. */
 	readonly namedAgoMs: number;
-	/** Time since a call was sent whose answer no longer named it; absent while it is in force. */
+	/** Time since a call was sent whose response no longer announced it; absent while it is in force. */
 	readonly endedAgoMs?: number;
 };
 
-/** A limit that is known here. */
+/** A limit that is known to this host. */
 type Known = {
 	readonly perS: number;
 	readonly namedMs: number;
-	/** When the peers last heard of it, from whichever host. */
+	/** When it was last reported to peers, by any host. */
 	readonly toldMs: number;
-	/** Whether what they heard is how it stands. */
+	/** Whether the last report matches the current state. */
 	readonly isTold: boolean;
-	/** The call whose answer no longer named it, and until when it is in force nevertheless. */
+	/** When the call was sent whose response no longer announced it, and until when the limit stays in force nevertheless. */
 	readonly end?: {readonly sentMs: number; readonly untilMs: number};
 };
 
-/** Peers are told this often that a limit is still named: far more often than one is taken for quiet. */
+/** Interval at which peers get a report that a limit is still announced: much shorter than the time after which a limit is probed. */
 const tellAgainMs = 5000;
-/** Peers are told of changes of one limit no closer together than this: a server may name another one in each answer. */
+/** Minimum interval between reports of changes to one limit: a server may announce a different one in each response. */
 const tellChangeMs = 250;
-/** An end takes effect once so many requests more would have been taken, after this long at least. */
+/** An end takes effect after the time in which the limit allows this many further requests, within the bounds below. */
 const requestsUntilEnd = 2;
 const shortestEndMs = 2000;
 const longestEndMs = 10_000;
-/** Limits that are remembered, those of servers that are not listed yet included. */
+/** Maximum number of limits that are remembered, including those of servers that are not listed yet. */
 const mostLimits = 2000;
 const mostLoggedChars = 80;
 const secondMs = 1000;
 
 export const serverLimitsToken: InjectionToken<ServerLimits> = Symbol('ServerLimits');
 
-/** What the limits are made of. */
+/** Options of `ServerLimits`. */
 export type ServerLimitsOptions = {
-	/** Spreads the ends over the hosts. */
+	/** Varies the time at which a limit ends from host to host. */
 	readonly random: Random;
 	readonly log: Logger;
 	readonly metrics: Metrics;
 };
 
-/** Knows the limits that servers name. */
+/** Keeps the rate limits that servers announce. */
 export class ServerLimits {
 	static create(options: ServerLimitsOptions): ServerLimits {
 		return new ServerLimits(options);
 	}
 
 	private readonly didLearn = Emitter.create<LimitNews>();
-	/** By `serverId`; the one learned longest ago first. */
+	/** By `serverId`, least recently updated first. */
 	private readonly known = new Map<string, Known>();
 	private readonly strange = ToldOnce.create();
 
 	private constructor(private readonly options: ServerLimitsOptions) {}
 
-	/** Fires with what peers are to be told. */
+	/** Fires with what is to be reported to peers. */
 	get onDidLearn() {
 		return this.didLearn.event;
 	}
 
 	/**
-	Gives the limit of a server.
+	Returns the rate limit of a server.
 	@param serverId - the server.
-	@param nowMs - the time.
-	@returns nothing where it names none.
+	@param nowMs - current time.
+	@returns undefined if the server announces none.
 	*/
 	limitOf(serverId: string, nowMs: number): ServerLimit | undefined {
 		const known = this.known.get(serverId);
@@ -108,7 +109,7 @@
 
 		if (known.end && nowMs >= known.end.untilMs) {
 			this.known.delete(serverId);
-			this.options.log.info('A limit of an upstream is over.', {server: serverId, limitPerS: known.perS});
+			this.options.log.info('The rate limit of an upstream has ended.', {server: serverId, limitPerS: known.perS});
 			return undefined;
 		}
 
@@ -116,11 +117,11 @@
 	}
 
 	/**
-	A server has answered this host.
-	@param server - which.
-	@param reading - what its answer says of a limit.
+	Handles a response of a server to this host.
+	@param server - the server.
+	@param reading - what the response says about a limit.
 	@param sentMs - when the call was sent.
-	@param nowMs - the time.
+	@param nowMs - current time.
 	*/
 	answered({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: LimitReading, sentMs: number, nowMs: number): void {
 		switch (reading.kind) {
@@ -147,10 +148,10 @@
 	}
 
 	/**
-	A peer tells of limits.
-	@param news - what it knows.
+	Handles a peer's report of limits.
+	@param updates - what the peer knows.
 	@param peer - its name, for logs.
-	@param nowMs - the time.
+	@param nowMs - current time.
 	*/
 	hear(news: readonly LimitNews[], peer: string, nowMs: number): void {
 		for (const {serverId, perS, namedAgoMs, endedAgoMs} of news) {
@@ -163,16 +164,16 @@
 	}
 
 	/**
-	Gives all that is known, for a peer.
-	@param nowMs - the time.
+	Returns all known limits, to be reported to a peer.
+	@param nowMs - current time.
 	*/
 	all(nowMs: number): LimitNews[] {
 		return [...this.known].map(([serverId, known]) => newsOf(serverId, known, nowMs));
 	}
 
 	/**
-	A server is gone.
-	@param serverId - which.
+	Removes a server that is gone.
+	@param serverId - the server.
 	*/
 	forget(serverId: string): void {
 		this.known.delete(serverId);
@@ -187,15 +188,15 @@
 		};
 		this.keep(serverId, known);
 		if (this.tell(serverId, known, nowMs) && !isTold) {
-			this.options.log.info('An upstream names a limit.', {
+			this.options.log.info('An upstream announced a rate limit.', {
 				server: serverId, limitPerS: perS, ...(before && {beforePerS: before.perS}),
 			});
 		}
 	}
 
 	/**
-	Tells the peers how a limit stands, unless they know or heard of it a moment ago.
-	@returns whether they were told.
+	Reports the state of a limit to the peers, unless they know it or got a report a short time ago.
+	@returns whether it was reported.
 	*/
 	private tell(serverId: string, known: Known, nowMs: number): boolean {
 		const isDue = nowMs - known.toldMs >= (known.isTold ? tellAgainMs : tellChangeMs);
@@ -214,7 +215,7 @@
 		}
 
 		if (!isInForce(before, perS)) {
-			this.options.log.info('A peer tells that an upstream names a limit.', {
+			this.options.log.info('A peer reported that an upstream announced a rate limit.', {
 				server: serverId, limitPerS: perS, peer, ageMs: Math.round(nowMs - namedMs),
 			});
 		}
@@ -224,7 +225,7 @@
 		});
 	}
 
-	/** An answer of this host named none. */
+	/** Handles a response to this host that announced no limit. */
 	private notNamed(serverId: string, sentMs: number, nowMs: number): void {
 		this.endedBy(serverId, {sentMs, isTold: false}, nowMs);
 		const known = this.known.get(serverId);
@@ -233,7 +234,7 @@
 		}
 	}
 
-	/** A limit was not named by the answer to a call: it ends because of that, unless it was named since, or ends already. */
+	/** Starts the end of a limit because a response did not announce it, unless it was announced after the call was sent or is ending already. */
 	private endedBy(serverId: string, {sentMs, isTold}: {readonly sentMs: number; readonly isTold: boolean}, nowMs: number): void {
 		const known = this.known.get(serverId);
 		if (known === undefined || known.end !== undefined || sentMs <= known.namedMs) {
@@ -256,12 +257,12 @@
 	private tellStrange(serverId: string, pool: string, text: string): void {
 		this.options.metrics.increment('limits.unreadable', 1, {pool});
 		if (this.strange.isFirst(serverId)) {
-			this.options.log.warn('An upstream names a limit that can\'t be read; it is passed over.', {server: serverId, pool, limit: text.slice(0, mostLoggedChars)});
+			this.options.log.warn('An upstream announced a rate limit that can\'t be parsed; ignoring it.', {server: serverId, pool, limit: text.slice(0, mostLoggedChars)});
 		}
 	}
 }
 
-/** Whether a limit stands as it is named now, with no end in sight. */
+/** Returns whether a limit is in force at this rate and is not about to end. */
 function isInForce(known: Known | undefined, perS: number): boolean {
 	return known?.perS === perS && known.end === undefined;
 }
--- a/src/deployment/common/server-notices.ts
+++ b/src/deployment/common/server-notices.ts
@@ -1,4 +1,4 @@
-/** What servers say of themselves in their answers, of whichever kind of call; taken in here for all that heed it. */
+/** Dispatches what servers report about themselves in their responses, whatever the kind of call, to the parts that act on it. */
 import type {InjectionToken} from 'tsyringe';
 import type {Metrics} from '../../base/common/metrics.js';
 import type {LeavingServers} from './leaving-servers.js';
@@ -6,18 +6,18 @@
 import type {RestReading, ServerRests} from './server-rests.js';
 import type {UpstreamServer} from './upstream-server.js';
 
-/** What one answer says of its server, besides what it answers. */
+/** What one response reports about its server, besides its result. */
 export type ServerNotice = {
 	readonly limit: LimitReading;
-	/** Whether it finishes what it has and wants nothing new. */
+	/** Whether the server finishes its current work and accepts no new work. */
 	readonly isLeaving: boolean;
 	readonly rest: RestReading;
 };
 
-/** An answer that says nothing. */
+/** The notice of a response that reports nothing about the server. */
 export const silentNotice: ServerNotice = {limit: {kind: 'silent'}, isLeaving: false, rest: {kind: 'none'}};
 
-/** Who heeds what servers say. */
+/** The parts that act on notices. */
 export type ServerNoticesOptions = {
 	readonly limits: Pick<ServerLimits, 'answered'>;
 	readonly leaving: Pick<LeavingServers, 'said'>;
@@ -27,7 +27,7 @@
 
 export const serverNoticesToken: InjectionToken<ServerNotices> = Symbol('ServerNotices');
 
-/** Passes each part of a notice to the one that heeds it. */
+/** Passes each part of a notice to the part that acts on it. */
 export class ServerNotices {
 	static create(options: ServerNoticesOptions): ServerNotices {
 		return new ServerNotices(options);
@@ -36,11 +36,11 @@
 	private constructor(private readonly options: ServerNoticesOptions) {}
 
 	/**
-	A server has answered this host.
-	@param server - the one that was meant.
-	@param notice - what its answer says of it.
+	Handles the notice in a response to this host.
+	@param server - the server that the call was intended for.
+	@param notice - what the response reports about it.
 	@param sentMs - when the call was sent.
-	@param nowMs - the time.
+	@param nowMs - current time.
 	*/
 	answered(server: UpstreamServer, {limit, isLeaving, rest}: ServerNotice, sentMs: number, nowMs: number): void {
 		this.options.limits.answered(server, limit, sentMs, nowMs);
--- a/src/deployment/common/server-registry.ts
+++ b/src/deployment/common/server-registry.ts
@@ -1,16 +1,16 @@
 /**
-Which upstream servers there are.
+Registry of the upstream servers.
 
 A start of a server that is leaving or gone never comes back, with one exception: an entry that lapsed while the store
-was away, which is kept until its server has had time to write it again. A server may start again under the id that it
-had: the later start takes the place of the earlier one, which is gone from then on, however late it is told of.
+was unavailable is kept until its server has had time to write it again. A server may start again under the same
+`instanceId`: the later start replaces the earlier one, which is gone from then on, however late a report of it arrives.
 
-News come from the store's feed and from peers, late, twice and in any order. Each entry has the revision of the
-writing that made it, and the list is complete as of a revision of its own: whatever is older than either is passed
-over, so that history told again brings nothing back.
+Updates arrive from the store's feed and from peers, late, twice and in any order. Each entry has the revision of the
+write that made it, and the list is complete as of a revision of its own: anything older than either is ignored,
+so that repeated history restores nothing.
 
-An entry that goes while the store is away may come back for a while (`MissingEntries`). It gets work only where most of its pool is
-missing: without it an outage of the store in which all entries lapse would leave callers nobody to serve them.
+An entry that is removed while the store is unavailable may come back for some time (`MissingEntries`). Its server gets work only if most of
+its pool is missing: without that, an outage of the store in which all entries lapse would leave no server for callers.
 */
 import type {InjectionToken} from 'tsyringe';
 import {Emitter} from '../../base/common/emitter.js';
@@ -30,19 +30,19 @@
 
 export const serverRegistryToken: InjectionToken<ServerRegistry> = Symbol('ServerRegistry');
 
-/** One change of the list. */
+/** One change to the list. */
 type Change
 	= | {readonly kind: 'written'; readonly row: WrittenRow<UpstreamServer>}
 		| {readonly kind: 'dropped' | 'unreadable'; readonly row: DroppedRow};
 
-/** What the registry is made of. */
+/** Options of a `ServerRegistry`. */
 export type ServerRegistryOptions = {
 	readonly log: Logger;
-	/** Within this time after the store took it a server that leaves must get no more. */
+	/** Time after the write to the store within which a leaving server must stop getting work. */
 	readonly leavingWithinMs: number;
-	/** Halls whose servers get no new work; none where absent. */
+	/** Drained halls, whose servers get no new work; none if absent. */
 	readonly drains?: Pick<HallDrains, 'isDrained' | 'onDidChange'>;
-	/** Servers that have said themselves that they leave; none where absent. */
+	/** Servers that have reported themselves that they are leaving; none if absent. */
 	readonly leaving?: Pick<LeavingServers, 'has' | 'onDidLearn'>;
 };
 
@@ -57,14 +57,14 @@
 	private readonly starts = ServerStarts.create(serverId => this.servers.has(serverId));
 	private readonly missing: MissingEntries;
 	private readonly coldness = ServerColdness.create();
-	/** Servers that answered as another one, so that their address is someone else's now. */
+	/** Values of `serverId` whose address now responds as another server. */
 	private readonly replaced = new Set<string>();
 	private readonly views = PoolViews.create({
 		servers: this.servers, isMissing: serverId => this.missing.has(serverId), takesNew: server => this.takesNew(server),
 	});
 
 	private listRevision = 0;
-	/** Who told what is being taken; for logs. */
+	/** Where the update that is being applied was received from; for logs. */
 	private source: ListSource = listSources.store;
 
 	private constructor(private readonly options: ServerRegistryOptions) {
@@ -77,11 +77,12 @@
 		});
 	}
 
+	/** Fires when a server joins, is leaving, has a missing entry, becomes cold or is gone. */
 	get onDidChange() {
 		return this.didChange.event;
 	}
 
-	/** Which writing of the store the list is as of; 0 before the first list. */
+	/** The store revision that the list represents; 0 before the first list. */
 	get revision(): number {
 		return this.listRevision;
 	}
@@ -91,24 +92,24 @@
 	}
 
 	/**
-	Gives the servers of a pool that may get new work.
-	@param pool - the pool's name.
+	Returns the servers of a pool that may get new work.
+	@param pool - name of the pool.
 	*/
 	usable(pool: string): readonly UpstreamServer[] {
 		return this.views.usable(pool);
 	}
 
 	/**
-	Tells whether a pool has servers, and none of them may get anything new.
-	@param pool - the pool's name.
+	Returns whether a pool has servers, but none of them may get new work.
+	@param pool - name of the pool.
 	*/
 	isPoolClosed(pool: string): boolean {
 		return this.views.isClosed(pool);
 	}
 
 	/**
-	Tells whether a server may get anything new: one that leaves may not, nor may one in a hall that is being drained.
-	@param server - where work would go.
+	Returns whether a server may get new work: one that is leaving may not, nor may one in a hall that is being drained.
+	@param server - the server that would get the work.
 	*/
 	takesNew({serverId, hall}: Pick<UpstreamServer, 'serverId' | 'hall'>): boolean {
 		return this.servers.get(serverId)?.isLeaving !== true && this.options.drains?.isDrained(hall) !== true;
@@ -119,20 +120,20 @@
 	}
 
 	/**
-	Tells how much longer a server is cold.
+	Returns for how much longer a server is cold.
 	@param serverId - the server.
-	@param nowMs - the time.
+	@param nowMs - current time.
 	*/
 	coldLeftMs(serverId: string, nowMs: number): number {
 		return this.coldness.leftMs(serverId, nowMs);
 	}
 
 	/**
-	A data hall was given back: its servers may have gone cold meanwhile, which their entries tell up to a beat later.
+	Handles the end of a hall's drain: its servers may have become cold meanwhile, which their entries show up to one heartbeat later.
 	@param hall - the hall.
-	@param coldMsOf - how long servers of a pool are cold after they start.
-	@param revision - the writing that gave the hall back; entries written later say how it is.
-	@param nowMs - the time.
+	@param coldMsOf - returns how long servers of a pool are cold after they start.
+	@param revision - the store revision that ended the drain; entries written later are accurate.
+	@param nowMs - current time.
 	*/
 	hallReturned(hall: string, coldMsOf: (pool: string) => number, revision: number, nowMs: number): void {
 		for (const server of this.servers.values()) {
@@ -149,30 +150,30 @@
 		return this.missing.has(serverId);
 	}
 
-	/** @returns what is listed, for a peer: it decides for itself how long missing entries may come back. */
+	/** @returns the listed servers without missing entries, for a peer: it decides for itself how long missing entries may come back. */
 	snapshot(): ServerList {
 		return {revision: this.listRevision, servers: [...this.servers.values()].filter(({serverId}) => !this.missing.has(serverId))};
 	}
 
-	/** The store does not answer: entries that peers miss may have lapsed. */
+	/** Records that the store is unavailable: entries that are missing from the lists of peers may have lapsed. */
 	storeLost(): void {
 		this.missing.storeLost();
 	}
 
 	/**
-	The store answers again after it was away: entries missing now may have lapsed.
-	@param nowMs - the time.
+	Records that the store responds again after it was unavailable: entries that are missing now may have lapsed.
+	@param nowMs - current time.
 	*/
 	storeReturned(nowMs: number): void {
 		this.missing.storeReturned(nowMs);
 	}
 
 	/**
-	Takes a whole list.
-	@param list - the list.
-	@param nowMs - the time.
-	@param source - who told it.
-	@returns false for a list that is older than what is known.
+	Replaces the list.
+	@param list - the complete list.
+	@param nowMs - current time.
+	@param source - where it was received from.
+	@returns false if the list is older than the current one and was ignored.
 	*/
 	replaceAll(list: ServerList, nowMs: number, source: ListSource = listSources.store): boolean {
 		if (list.revision < this.listRevision) {
@@ -196,9 +197,9 @@
 	}
 
 	/**
-	Takes changes of the list.
+	Applies changes to the list.
 	@param changes - in any order; each counts by its own revision.
-	@param nowMs - the time.
+	@param nowMs - current time.
 	*/
 	applyChanges({changed, dropped, unreadable, revision}: FeedChanges<UpstreamServer>, nowMs: number): void {
 		this.source = listSources.store;
@@ -215,8 +216,8 @@
 	}
 
 	/**
-	Takes entries that were written so that they name no server; each counts by its own revision.
-	@param rows - by the id that all starts of their server have.
+	Handles entries that were overwritten with unreadable content; each counts by its own revision.
+	@param rows - keyed by the `instanceId` that all starts of a server share.
 	*/
 	voidEntries(rows: readonly DroppedRow[]): void {
 		for (const row of rows) {
@@ -225,8 +226,8 @@
 	}
 
 	/**
-	A server answered that it is not the one expected: its address belongs to another.
-	@param serverId - the one expected.
+	Removes a server whose address responded as another server and thus no longer belongs to it.
+	@param serverId - the server that was expected.
 	*/
 	addressTaken(serverId: string): void {
 		this.replaced.add(serverId);
@@ -234,8 +235,8 @@
 	}
 
 	/**
-	Drops entries whose time to come back is over.
-	@param nowMs - the time.
+	Removes servers whose missing entries can no longer come back.
+	@param nowMs - current time.
 	*/
 	tick(nowMs: number): void {
 		for (const serverId of this.missing.overdue(nowMs)) {
@@ -251,7 +252,7 @@
 		});
 	}
 
-	/** A server has said that it leaves, to this host or a peer; the list may tell so much later. */
+	/** Marks a server as leaving after it reported so to this host or a peer; the list may show this much later. */
 	private saidLeaving(serverId: string): void {
 		const server = this.servers.get(serverId);
 		if (server && !server.isLeaving) {
@@ -287,7 +288,7 @@
 
 	private put(entry: ListedServer, nowMs: number): void {
 		const latest = this.starts.latest(entry.instanceId);
-		// An entry that does not tell its start speaks of the latest one.
+		// An entry without a start time refers to the latest start.
 		const server = entry.startedMs === 0 && latest ? {...entry, ...latest} : entry;
 		const {serverId, startedMs} = server;
 		const isLaterStart = latest !== undefined && startedMs > latest.startedMs;
@@ -315,7 +316,7 @@
 		}
 	}
 
-	/** Whether a writing is newer than what is known of a server; where none is known, than the list that lacks it. */
+	/** Returns whether a write is newer than what is known about a server or, if the server is unknown, newer than the list that lacks it. */
 	private isNews(serverId: string, revision: number): boolean {
 		return revision > (this.missing.revisionOf(serverId) ?? this.servers.get(serverId)?.revision ?? this.listRevision);
 	}
@@ -336,7 +337,7 @@
 		this.tell(server, 'missing');
 	}
 
-	/** An entry was written so that it names no server: nothing is known of the one that it named before. */
+	/** Handles an entry that was overwritten with unreadable content: nothing is known any more about the server that it described. */
 	private voidEntry({key, revision}: DroppedRow): void {
 		const serverId = this.starts.latestId(key);
 		if (this.servers.has(serverId) && this.isNews(serverId, revision)) {
--- a/src/deployment/common/server-rests.ts
+++ b/src/deployment/common/server-rests.ts
@@ -1,6 +1,6 @@
 /**
-Which servers want nothing more from this host for a while, as they said when they turned a request away. Unlike leaving and limits, a rest is asked of
-one host: others go on. A later and shorter one does not end it, nor does an answer to a call that was under way.
+Tracks the backoffs of servers: a server that rejects a request may ask for a time without requests. Unlike leaving and rate limits, a backoff concerns
+only the host that was asked; others go on. It is not ended by a later and shorter backoff, nor by the response to a call that was in progress.
 */
 import type {InjectionToken} from 'tsyringe';
 import type {Logger} from '../../base/common/logger.js';
@@ -8,28 +8,28 @@
 import {ToldOnce} from './told-once.js';
 import type {UpstreamServer} from './upstream-server.js';
 
-/** What an answer says of a rest. */
+/** What a response says about a backoff. */
 export type RestReading
 	= | {readonly kind: 'none'}
 		| {readonly kind: 'asked'; readonly forMs: number}
-	/** A time that makes no sense. */
+	/** A time that can't be parsed. */
 		| {readonly kind: 'unreadable'; readonly text: string};
 
-/** Servers that are remembered; beyond them the one whose rest was learned first is forgotten. */
+/** Maximum number of servers that are remembered; beyond it the one whose backoff began first is evicted. */
 const mostRemembered = 2000;
-/** A server that asks for more is asked again after this. */
+/** A server that asks for a longer backoff gets requests again after this time. */
 const longestRestMs = 3_600_000;
 const mostLoggedChars = 80;
 
 export const serverRestsToken: InjectionToken<ServerRests> = Symbol('ServerRests');
 
-/** What the rests are made of. */
+/** Options of `ServerBackoffs`. */
 export type ServerRestsOptions = {
 	readonly log: Logger;
 	readonly metrics: Metrics;
 };
 
-/** Knows the servers that rest from this host. */
+/** Keeps the servers that get no requests from this host for a time. */
 export class ServerRests {
 	static create(options: ServerRestsOptions): ServerRests {
 		return new ServerRests(options);
@@ -37,16 +37,16 @@
 
 	/** By `serverId`. */
 	private readonly untilMs = new Map<string, number>();
-	/** Servers whose strange times were told. */
+	/** Servers for which a malformed backoff was logged. */
 	private readonly strange = ToldOnce.create();
 
 	private constructor(private readonly options: ServerRestsOptions) {}
 
 	/**
-	Tells for how much longer a server rests.
+	Returns for how much longer a server gets no requests from this host.
 	@param serverId - the server.
-	@param nowMs - the time.
-	@returns 0 for one that does not.
+	@param nowMs - current time.
+	@returns the remaining time of the backoff; 0 if there is none.
 	*/
 	leftMs(serverId: string, nowMs: number): number {
 		const untilMs = this.untilMs.get(serverId);
@@ -59,15 +59,15 @@
 		}
 
 		this.untilMs.delete(serverId);
-		this.options.log.info('An upstream\'s rest is over.', {server: serverId});
+		this.options.log.info('The backoff of an upstream has ended.', {server: serverId});
 		return 0;
 	}
 
 	/**
-	A server has answered this host.
-	@param server - which.
-	@param reading - what its answer says of a rest.
-	@param nowMs - the time.
+	Handles a response of a server to this host.
+	@param server - the server.
+	@param reading - what the response says about a backoff.
+	@param nowMs - current time.
 	*/
 	answered({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: RestReading, nowMs: number): void {
 		if (reading.kind === 'asked' && reading.forMs > 0) {
@@ -79,8 +79,8 @@
 	}
 
 	/**
-	A server is gone.
-	@param serverId - which.
+	Removes a server that is gone.
+	@param serverId - the server.
 	*/
 	forget(serverId: string): void {
 		this.untilMs.delete(serverId);
@@ -89,7 +89,7 @@
 
 	private rest(serverId: string, pool: string, forMs: number, nowMs: number): void {
 		if (this.leftMs(serverId, nowMs) === 0) {
-			this.options.log.info('An upstream asks for rest; it gets nothing from this host.', {server: serverId, pool, restMs: Math.round(forMs)});
+			this.options.log.info('An upstream asked for a backoff; it gets no requests from this host until it ends.', {server: serverId, pool, restMs: Math.round(forMs)});
 		}
 
 		this.untilMs.set(serverId, Math.max(this.untilMs.get(serverId) ?? 0, nowMs + forMs));
@@ -102,7 +102,7 @@
 	private tellStrange(serverId: string, pool: string, text: string): void {
 		this.options.metrics.increment('rests.unreadable', 1, {pool});
 		if (this.strange.isFirst(serverId)) {
-			this.options.log.warn('An upstream asks for a rest that can\'t be read; it is passed over.', {server: serverId, pool, rest: text.slice(0, mostLoggedChars)});
+			this.options.log.warn('An upstream asked for a backoff that can\'t be parsed; ignoring it.', {server: serverId, pool, rest: text.slice(0, mostLoggedChars)});
 		}
 	}
 }
--- a/src/deployment/common/server-starts.ts
+++ b/src/deployment/common/server-starts.ts
@@ -1,45 +1,45 @@
-/** Which start of each server is the latest that was told of: an earlier one that is told of late is no news. */
+/** Tracks the latest known start of each server, so that a late report of an earlier start is recognized as outdated. */
 import type {UpstreamServer} from './upstream-server.js';
 
-/** Starts that are remembered though they are gone; beyond them the oldest are forgotten. */
+/** Maximum number of starts that are remembered; beyond it the oldest that are no longer listed are evicted. */
 const mostStarts = 10_000;
 
-/** A start of a server. */
+/** Identifies one start of a server. */
 export type Start = Pick<UpstreamServer, 'serverId' | 'startedMs'>;
 
-/** Knows the latest starts. */
+/** Keeps the latest start of each server. */
 export class ServerStarts {
 	/**
-	Makes one that knows none.
-	@param isListed - whether a start, by its `serverId`, is still listed; such a start is not forgotten.
+	Creates an instance without starts.
+	@param isListed - returns whether a start, given its `serverId`, is still listed; such a start is not evicted.
 	*/
 	static create(isListed: (serverId: string) => boolean): ServerStarts {
 		return new ServerStarts(isListed);
 	}
 
-	/** By the id that all starts of a server have; the one remembered longest ago first. */
+	/** By `instanceId`, which all starts of a server share; least recently updated first. */
 	private readonly starts = new Map<string, Start>();
 
 	private constructor(private readonly isListed: (serverId: string) => boolean) {}
 
 	/**
-	Gives the latest start of a server.
-	@param instanceId - the id that all its starts have.
+	Returns the latest start of a server.
+	@param instanceId - the id that all its starts share.
 	*/
 	latest(instanceId: string): Start | undefined {
 		return this.starts.get(instanceId);
 	}
 
 	/**
-	Gives the `serverId` of the latest start of a server, known or not.
-	@param instanceId - the id that all its starts have.
+	Returns the `serverId` of the latest start of a server, or the `instanceId` itself if no start is known.
+	@param instanceId - the id that all its starts share.
 	*/
 	latestId(instanceId: string): string {
 		return this.starts.get(instanceId)?.serverId ?? instanceId;
 	}
 
 	/**
-	A start is listed.
+	Records a start that is listed.
 	@param server - the latest start of its server.
 	*/
 	remember({instanceId, serverId, startedMs}: UpstreamServer): void {
--- a/src/deployment/common/share-unchanged.ts
+++ b/src/deployment/common/share-unchanged.ts
@@ -1,12 +1,12 @@
-/** Versions that are read one after the other hold mostly the same; sharing it saves memory and tells at once what changed. */
+/** Shares unchanged objects between successive versions, which are mostly equal; this saves memory and shows what changed by identity alone. */
 import {isAlike} from '../../base/common/is-alike.js';
 import type {Deployment} from './declaration.js';
 
 /**
-Puts what did not change since the version before in its place.
-@param before - the version in force; none before the first.
+Reuses the objects of the previous version that did not change.
+@param before - the version in force; undefined before the first.
 @param after - the next version, as read.
-@returns the next version; routes, pools and workspaces that are alike are the very objects of the version before.
+@returns the next version, in which equal routes, pools and workspaces are the objects of the previous version.
 */
 export function shareUnchanged(before: Deployment | undefined, after: Deployment): Deployment {
 	if (!before) {
@@ -21,7 +21,7 @@
 	};
 }
 
-/** An item is looked for under its name: one that was renamed counts as new. */
+/** Matches items by name: a renamed item counts as new. */
 function shareItems<T extends {readonly name: string}>(before: readonly T[], after: readonly T[]): T[] {
 	const known = new Map(before.map(item => [item.name, item]));
 	return after.map(item => {
--- a/src/deployment/common/told-once.ts
+++ b/src/deployment/common/told-once.ts
@@ -1,9 +1,9 @@
-/** Whose strange words were told already: a server that repeats them in each answer costs one log line. */
+/** Limits log lines to one per server: a server that repeats malformed values in each response costs only one line. */
 
-/** Names that are remembered; beyond them the list is begun anew. */
+/** Maximum number of names that are remembered; beyond it all are cleared. */
 const mostRemembered = 1000;
 
-/** Remembers whom was told of. */
+/** Remembers the servers for which a line was logged. */
 export class ToldOnce {
 	static create(): ToldOnce {
 		return new ToldOnce();
@@ -12,8 +12,8 @@
 	private readonly told = new Set<string>();
 
 	/**
-	Tells whether this is the first time for a name, and remembers it.
-	@param name - of a server.
+	Returns whether this is the first call for a name, and remembers the name.
+	@param name - name of a server.
 	*/
 	isFirst(name: string): boolean {
 		if (this.told.has(name)) {
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	A server is gone.
+	Removes a server that is gone.
 	@param name - its name.
 	*/
 	forget(name: string): void {
--- a/src/deployment/common/upstream-server.ts
+++ b/src/deployment/common/upstream-server.ts
@@ -1,50 +1,50 @@
-/** One start of one upstream server, as the platform's list or a peer tells of it. */
+/** One start of one upstream server, as listed by the platform or reported by a peer. */
 import {z} from 'zod';
 import {addressPattern, mostPort} from '../../wire/common/endpoint.js';
 
-/** An entry that tells more is not believed: servers are cold for seconds. */
+/** Longest remaining cold time that is accepted; servers are cold for seconds, so an entry with a longer time is invalid. */
 export const longestColdMs = 3_600_000;
 
 export const upstreamServerSchema = z.object({
-	/** Names this start of the server; a restarted server has another. All that is known of a server is kept under it. */
+	/** Identifies this start of the server; a restarted server has another. Everything known about a server is stored under this id. */
 	serverId: z.string(),
-	/** Names the server over all its starts, as the platform lists it and as calls to it do. */
+	/** Identifies the server across its starts, in the platform's list and in calls to the server. */
 	instanceId: z.string(),
-	/** When it started, in Unix milliseconds; 0 where its entry does not tell: each start then has an `instanceId` of its own. */
+	/** Start time in Unix milliseconds; 0 if its entry does not state it, in which case each start has its own `instanceId`. */
 	startedMs: z.number().int().nonnegative(),
 	pool: z.string(),
 	address: z.string().regex(addressPattern),
 	port: z.number().int().positive().max(mostPort),
 	hall: z.string(),
 	slots: z.number().int().positive(),
-	/** Whether it finishes what it has and wants nothing new. */
+	/** Whether it finishes its current work and accepts no new work. */
 	isLeaving: z.boolean(),
-	/** How much longer it is cold, as of its entry's writing; absent where it is not. */
+	/** Remaining time for which it is cold, as of the write of its entry; absent if it is not cold. */
 	coldLeftMs: z.number().positive().max(longestColdMs).optional(),
 });
 export type UpstreamServer = z.infer<typeof upstreamServerSchema>;
 
-/** A server with the writing of the platform's store that made its entry what it is. */
+/** A server with the revision of the platform's store at which its entry was last written. */
 export type ListedServer = UpstreamServer & {readonly revision: number};
 
-/** All servers that are listed, and which writing of the platform's store the list is as of. */
+/** All listed servers, and the revision of the platform's store that the list represents. */
 export type ServerList = {readonly revision: number; readonly servers: readonly ListedServer[]};
 
 const listSchema = z.object({revision: z.number(), servers: z.array(z.unknown())});
-/** An entry as peers tell it; one without a revision is as new as the list. */
+/** An entry as sent by peers; one without a revision has the revision of the list. */
 const toldServerSchema = upstreamServerSchema.extend({revision: z.number().optional()});
 
-/** A list that a peer told. */
+/** A list of servers received from a peer. */
 export type ToldServerList = {
 	readonly list: ServerList;
-	/** Entries that could not be read; they name no server. */
+	/** Number of entries that could not be parsed and are left out. */
 	readonly unreadableCount: number;
 };
 
 /**
-Reads a list that a peer told; a strange entry costs no more than itself.
-@param value - as decoded.
-@throws z.ZodError for what is no list at all.
+Parses a list received from a peer; a malformed entry is left out without affecting the others.
+@param value - the decoded message.
+@throws z.ZodError if the value is not a list of servers.
 */
 export function readToldServers(value: unknown): ToldServerList {
 	const {revision, servers: told} = listSchema.parse(value);
--- a/test/platform/resting-server.test.ts
+++ b/test/platform/resting-server.test.ts
@@ -119,7 +119,7 @@
 		const answers = await load([host], plainCall, 60, 2000);
 		areServed(t, answers);
 		for (const server of servers) {
-			const told = host.lines.filter(line => line.includes('asks for a rest that can\'t be read') && line.includes(`"${server.serverId}"`));
+			const told = host.lines.filter(line => line.includes('asked for a backoff that can\'t be parsed') && line.includes(`"${server.serverId}"`));
 			t.equal(told.length, Math.min(1, server.refusals.length), 'lines of one upstream');
 		}
 	});
