--- a/src/deployment/common/deployment-patch.test.ts
+++ b/src/deployment/common/deployment-patch.test.ts
@@ -23,13 +23,13 @@
 	});
 }
 
-/** As a peer gets it. */
+/** Returns a patch as a peer receives it. */
 function overTheWire(patch: DeploymentPatch | undefined): DeploymentPatch {
 	const text = JSON.stringify(patch);
 	return deploymentPatchSchema.parse(JSON.parse(text));
 }
 
-t.test('a list made from its patch is the list, whatever was added, dropped, moved or doubled', async t => {
+t.test('applying the patch between two lists gives the second, whatever was added, removed, moved or duplicated', async t => {
 	const items = Array.from({length: 8}, (_, index) => ({index}));
 	const lists = fc.array(fc.constantFrom(...items), {maxLength: 12});
 	fc.assert(fc.property(lists, lists, (before, after) => {
@@ -39,7 +39,7 @@
 	}), {seed: 1, numRuns: 300});
 });
 
-t.test('a version made from the patch of any kept version is the version', async t => {
+t.test('applying the patch from any kept version gives the current version', async t => {
 	const names = fc.uniqueArray(fc.constantFrom(...'abcdefgh'), {maxLength: 8});
 	const versions = fc.array(fc.tuple(names, fc.constantFrom(100, 200)), {minLength: 1, maxLength: 6});
 	fc.assert(fc.property(versions, drawn => {
@@ -57,7 +57,7 @@
 	}), {seed: 1, numRuns: 60});
 });
 
-t.test('what did not change is not told again', async t => {
+t.test('a patch leaves out what did not change', async t => {
 	const board = DeploymentBoard.create(silentLoggers.for('test'));
 	const routes = Array.from({length: 100}, (_, index) => routeOf(`r${index}`));
 	board.offer(deploymentOf(1, routes), 'store');
@@ -70,9 +70,9 @@
 	});
 });
 
-t.test('a peer whose version is not kept gets everything', async t => {
+t.test('a peer whose version is not kept gets the whole declaration', async t => {
 	const board = DeploymentBoard.create(silentLoggers.for('test'));
-	t.equal(board.patchFrom(0), undefined, 'nothing is known yet');
+	t.equal(board.patchFrom(0), undefined, 'no version is known yet');
 	for (let version = 1; version <= 30; version++) {
 		board.offer(deploymentOf(version, [routeOf('a')]), 'store');
 	}
@@ -82,7 +82,7 @@
 	t.equal(board.patchFrom(77)?.baseVersion, 0);
 });
 
-t.test('a patch of another version, or one that names what is not there, changes nothing', async t => {
+t.test('a patch for another version, or one that refers to missing items, is rejected', async t => {
 	const patch: DeploymentPatch = {
 		baseVersion: 3, version: 4, routes: [{from: 0, count: 2}], pools: [], limits,
 	};
--- a/src/deployment/common/hall-drains.test.ts
+++ b/src/deployment/common/hall-drains.test.ts
@@ -6,17 +6,17 @@
 
 const drain = (hall: string, revision: number, isDrained = true): HallDrain => ({hall, isDrained, revision});
 
-/** News as they may come: each writing says one thing of one hall. */
+/** Updates as they may arrive: each store revision changes one hall. */
 const newsArbitrary = fc.uniqueArray(fc.record({
 	hall: fc.constantFrom('a', 'b', 'c'), isDrained: fc.boolean(), revision: fc.integer({min: 1, max: 40}),
 }), {selector: ({revision}) => revision, maxLength: 30});
 
-/** What the newest writing says of each hall. */
+/** The halls that are drained according to the newest update of each. */
 function latestOf(news: readonly HallDrain[]): string[] {
 	return ['a', 'b', 'c'].filter(hall => news.filter(each => each.hall === hall).toSorted((left, right) => right.revision - left.revision).at(0)?.isDrained === true);
 }
 
-t.test('whatever order news come in, and however often, the newest writing of each hall counts', async t => {
+t.test('the newest write for each hall counts, whatever the order and number of updates', async t => {
 	fc.assert(fc.property(newsArbitrary.chain(news => fc.tuple(fc.constant(news), fc.shuffledSubarray([...news, ...news], {minLength: news.length * 2}))), ([news, told]) => {
 		const drains = HallDrains.create();
 		for (const [index, each] of told.entries()) {
@@ -27,7 +27,7 @@
 	}), {seed: 1});
 });
 
-t.test('hosts that tell each other all they know agree, whoever heard what, and none goes back', async t => {
+t.test('hosts that exchange all they know agree, whatever each received, and none returns to an older revision', async t => {
 	fc.assert(fc.property(newsArbitrary, fc.array(fc.tuple(fc.nat(3), fc.nat(3)), {maxLength: 20}), (news, tellings) => {
 		const hosts = Array.from({length: 4}, () => HallDrains.create());
 		for (const [index, each] of news.entries()) {
@@ -55,7 +55,7 @@
 	}), {seed: 2, numRuns: 50});
 });
 
-t.test('a reading of everything ends drains that it lacks, but none that began after it', async t => {
+t.test('a full read ends drains that it lacks, except those that began after it', async t => {
 	const drains = HallDrains.create();
 	const changes: string[] = [];
 	drains.onDidChange(({hall, isDrained, source}) => {
@@ -65,11 +65,11 @@
 	drains.replaceAll([drain('c', 3)], 7, listSources.store);
 	t.same(changes, ['a true peer', 'b true peer', 'c true store', 'a false store']);
 	drains.take([drain('a', 5)], listSources.peer);
-	t.notOk(drains.isDrained('a'), 'a peer that missed the end brings nothing back');
-	t.equal(changes.length, 4, 'what was known is told once');
+	t.notOk(drains.isDrained('a'), 'a peer that missed the end does not restore the drain');
+	t.equal(changes.length, 4, 'each change fires once');
 });
 
-t.test('halls whose drain ended are forgotten beyond a bound, drained ones never', async t => {
+t.test('halls whose drain ended are evicted beyond a bound, drained ones never', async t => {
 	const drains = HallDrains.create();
 	drains.take([drain('kept', 1)], listSources.store);
 	for (let index = 0; index < 2 * mostHalls; index++) {
@@ -81,10 +81,10 @@
 });
 
 /*
-Found by reading: beside a message that is longer than peers take, nothing is taken of it, and its connection is closed. More rows
-of halls than a deployment has must not cut its hosts off from each other.
+Guards against hosts losing their connections to each other: peers reject a message with more drains than allowed as a whole
+and close its connection, so more hall rows than a deployment has halls must not produce such a message.
 */
-t.test('of more drains than a message may hold the newest are told', async t => {
+t.test('if there are more drains than a message may hold, the newest are sent', async t => {
 	const drains = HallDrains.create();
 	const count = hallDrainsTold + 50;
 	for (let index = 1; index <= count; index++) {
@@ -94,7 +94,7 @@
 	t.equal(drains.told.length, hallDrainsTold);
 	t.equal(drains.told.at(-1)?.hall, `h${count}`);
 	t.equal(drains.told[0].hall, 'h51');
-	t.ok(drains.isDrained('h1'), 'all are in force here');
+	t.ok(drains.isDrained('h1'), 'all remain in force on this host');
 	const beat = {
 		type: 'peerBeat', endpoint: 'e', knownEndpoints: [], deploymentVersion: 1, listRevision: 1, isLeaving: false, hallDrains: drains.told,
 	};
@@ -102,24 +102,24 @@
 });
 
 /*
-Found by reading: a host that had read the whole table, and knew nothing of a hall, believed a peer that had missed the end of its drain:
-the hall was taken for drained until its row was written again.
+Guards against a drain that is restored by a peer that missed its end: a host that had made a full read and knew nothing of the hall
+accepted such an update, and considered the hall drained until its row was written again.
 */
-t.test('what a peer tells that is older than what was read whole brings no drain back, here and at others', async t => {
+t.test('a peer\'s update that is older than a full read restores no drain, neither on this host nor on others', async t => {
 	const reader = HallDrains.create();
 	reader.replaceAll([], 100, listSources.store);
 	reader.take([drain('a', 10)], listSources.peer);
 	t.notOk(reader.isDrained('a'));
 	const misled = HallDrains.create();
 	misled.take([drain('a', 10)], listSources.peer);
-	t.ok(misled.isDrained('a'), 'one that has read nothing can\'t know better');
+	t.ok(misled.isDrained('a'), 'a host that has read nothing accepts it');
 	misled.take(reader.told, listSources.peer);
-	t.notOk(misled.isDrained('a'), 'until one that does tells it');
+	t.notOk(misled.isDrained('a'), 'until a host that has read the store corrects it');
 	reader.take([drain('b', 101)], listSources.peer);
-	t.ok(reader.isDrained('b'), 'what is newer counts');
+	t.ok(reader.isDrained('b'), 'a newer update counts');
 });
 
-t.test('a host that follows the store knows as much as its last reading, also of ends that it need not remember', async t => {
+t.test('a host that follows the store is as current as its last read, also for drain ends that it does not remember', async t => {
 	const reader = HallDrains.create();
 	reader.replaceAll([drain('a', 5)], 50, listSources.store);
 	reader.take([drain('a', 60, false)], listSources.store);
--- a/src/deployment/common/leaving-servers.test.ts
+++ b/src/deployment/common/leaving-servers.test.ts
@@ -15,7 +15,7 @@
 	return {leaving, said, learned};
 }
 
-t.test('what a server says is learned once; only what it said here is told to peers', async t => {
+t.test('a server is recorded once; only a report that it made to this host first is passed on to peers', async t => {
 	const {leaving, said, learned} = makeLeaving();
 	leaving.said({serverId: 'a', pool: 'p'});
 	leaving.said({serverId: 'a', pool: 'p'});
@@ -27,7 +27,7 @@
 	t.notOk(leaving.has('c'));
 });
 
-t.test('what is remembered is bounded; the oldest is forgotten', async t => {
+t.test('the number of remembered servers is bounded; the oldest is evicted', async t => {
 	const {leaving} = makeLeaving();
 	leaving.hear(Array.from({length: 2001}, (_, index) => `s${index}`), 'peer');
 	t.equal(leaving.all.length, 2000);
--- a/src/deployment/common/server-coldness.test.ts
+++ b/src/deployment/common/server-coldness.test.ts
@@ -6,7 +6,7 @@
 	serverId: 's', instanceId: 's', startedMs: 0, pool: 'p', address: '127.0.0.1', port: 1, hall: 'a', slots: 1, isLeaving: false, revision, ...(coldLeftMs !== undefined && {coldLeftMs}),
 });
 
-t.test('an entry says how it is, but for one written before its hall was given back', async t => {
+t.test('an entry determines whether its server is cold, unless it was written before the drain of its hall ended', async t => {
 	const coldness = ServerColdness.create();
 	t.ok(coldness.read(entry(1, 3000), 0));
 	t.notOk(coldness.read(entry(2, 2000), 1000), 'it was cold before');
@@ -20,8 +20,8 @@
 	t.equal(coldness.leftMs('s', 2600), 0);
 });
 
-/* Found by reading: a hall that was given back made its coldest servers warm too early. */
-t.test('a server of a hall that was given back is cold for no less time than its entry told', async t => {
+/* Guards against the end of a hall's drain shortening the cold time of servers whose entries state a longer one. */
+t.test('a server of a hall whose drain has ended is cold for at least as long as its entry stated', async t => {
 	const coldness = ServerColdness.create();
 	coldness.read(entry(1, 60_000), 0);
 	t.notOk(coldness.suspect('s', 3000, 10, 1000));
--- a/src/deployment/common/server-limits.test.ts
+++ b/src/deployment/common/server-limits.test.ts
@@ -8,7 +8,7 @@
 const server = {serverId: 's@1', pool: 'p'};
 const named = (perS: number): LimitReading => ({kind: 'named', perS});
 const none: LimitReading = {kind: 'none'};
-/** An end takes effect on every host after this. */
+/** Time after which an end has taken effect on every host. */
 const endedMs = 4000;
 
 function makeLimits(seed = 1) {
@@ -35,32 +35,32 @@
 	};
 }
 
-t.test('a limit is in force once it is named, for as long as it is named; peers hear of what changes', async t => {
+t.test('a limit is in force from its first announcement for as long as it is announced; changes are reported to peers', async t => {
 	const {clock, answered, perS, told} = makeLimits();
 	t.equal(perS(), undefined);
 	answered(named(2));
 	t.equal(perS(), 2);
 	clock.advance(100);
 	answered(named(2));
-	t.equal(told.length, 1, 'nothing new');
+	t.equal(told.length, 1, 'nothing has changed');
 	clock.advance(150);
 	answered(named(0.5));
 	t.equal(perS(), 0.5);
 	t.match(told.at(-1), {serverId: 's@1', perS: 0.5, namedAgoMs: 0});
 	clock.advance(5000);
 	answered(named(0.5));
-	t.equal(told.length, 3, 'that it still holds is told now and then');
+	t.equal(told.length, 3, 'it is reported at intervals that the limit is still in force');
 	clock.advance(60_000);
-	t.equal(perS(), 0.5, 'nobody says otherwise');
+	t.equal(perS(), 0.5, 'no response has ended it');
 });
 
-t.test('an answer without a limit ends it only if its call was sent after the last answer with one; the end takes a while', async t => {
+t.test('a response without a limit ends it only if its call was sent after the last response with one; the end takes effect after a delay', async t => {
 	const {clock, answered, perS, told} = makeLimits();
 	answered(named(1));
 	clock.advance(50);
 	answered(none, 80);
 	clock.advance(endedMs);
-	t.equal(perS(), 1, 'the answers crossed');
+	t.equal(perS(), 1, 'the calls overlapped');
 	answered(none);
 	t.match(told.at(-1), {endedAgoMs: 0, namedAgoMs: endedMs + 50});
 	clock.advance(1999);
@@ -69,7 +69,7 @@
 	t.equal(perS(), undefined);
 });
 
-t.test('a limit that is named again before its end takes effect goes on', async t => {
+t.test('a limit that is announced again before its end takes effect stays in force', async t => {
 	const {clock, answered, perS} = makeLimits();
 	answered(named(1));
 	clock.advance(10);
@@ -80,7 +80,7 @@
 	t.equal(perS(), 1);
 });
 
-t.test('hosts end a limit one after the other, and a slow one later', async t => {
+t.test('hosts end a limit at different times, and a low limit later', async t => {
 	const endOf = (seed: number, limitPerS: number) => {
 		const {clock, answered, perS} = makeLimits(seed);
 		answered(named(limitPerS));
@@ -98,27 +98,27 @@
 	t.ok(Math.min(...ends) >= 2000);
 	t.ok(Math.max(...ends) - Math.min(...ends) >= 1000, String(ends));
 	t.ok(endOf(1, 0.25) >= 8000);
-	t.ok(endOf(1, 0) <= 20_000, 'one that takes nothing ends as well');
+	t.ok(endOf(1, 0) <= 20_000, 'a limit of zero ends as well');
 });
 
-t.test('what peers tell is as old as they say: an end that was overtaken is none, and so is a limit that has ended since', async t => {
+t.test('reports of peers count by their stated age: an end is ignored if the limit was announced later, and a limit if it ended later', async t => {
 	const {clock, answered, hear, perS, told} = makeLimits();
 	hear({perS: 3, namedAgoMs: 200});
 	t.equal(perS(), 3);
-	t.equal(told.length, 0, 'it is not told on');
+	t.equal(told.length, 0, 'it is not passed on');
 	hear({perS: 7, namedAgoMs: 900});
-	t.equal(perS(), 3, 'an older word');
+	t.equal(perS(), 3, 'an older report');
 	hear({endedAgoMs: 300});
 	clock.advance(endedMs);
-	t.equal(perS(), 3, 'named since');
+	t.equal(perS(), 3, 'announced since');
 	clock.advance(10);
 	answered(none);
 	hear({perS: 3, namedAgoMs: 20});
 	clock.advance(endedMs);
-	t.equal(perS(), undefined, 'named before it ended');
+	t.equal(perS(), undefined, 'announced before it ended');
 });
 
-t.test('an end that a peer tells takes effect, but for a word with a limit that comes meanwhile', async t => {
+t.test('an end that a peer reports takes effect unless the limit is announced meanwhile', async t => {
 	const {clock, answered, hear, perS} = makeLimits();
 	answered(named(1));
 	clock.advance(1000);
@@ -140,14 +140,14 @@
 	t.same(limits.all(clock.nowMs()), []);
 });
 
-t.test('a sleep ages what is known', async t => {
+t.test('known limits age while the host is suspended', async t => {
 	const {clock, limits, answered} = makeLimits();
 	answered(named(1));
 	clock.sleep(9000);
 	t.same(limits.all(clock.nowMs()), [{serverId: 's@1', perS: 1, namedAgoMs: 9000}]);
 });
 
-t.test('limits that can\'t be read, and those of other servers, change nothing; thousands of limits are bounded', async t => {
+t.test('limits that can\'t be parsed and those of other servers change nothing; the number of limits is bounded', async t => {
 	const {clock, limits, answered, perS} = makeLimits();
 	answered(named(1));
 	clock.advance(10);
@@ -164,10 +164,10 @@
 });
 
 /**
-Found by reading: a server that names another limit in each answer, or names one in every other answer, had each of them told to all peers
-and written to the log.
+Guards against a flood of messages and log lines: if a server announces a different limit in each response, or one in every other response, not
+each of them may be reported to all peers and logged.
 */
-t.test('a limit that changes with each answer is told a few times a second, and the last word reaches the peers', async t => {
+t.test('a limit that changes with each response is reported a few times per second, and its latest state reaches the peers', async t => {
 	for (const limitOf of [(index: number) => 100 + (index / 1000), (index: number) => index % 2 === 0 ? 100 : undefined]) {
 		const {clock, answered, perS, told} = makeLimits();
 		for (let index = 0; index < 1000; index++) {
@@ -176,7 +176,7 @@
 			clock.advance(1);
 		}
 
-		t.ok(told.length <= 5, `${told.length} in a second`);
+		t.ok(told.length <= 5, `${told.length} reports in a second`);
 		clock.advance(500);
 		answered(named(7));
 		t.equal(perS(), 7);
@@ -186,6 +186,6 @@
 		answered(none);
 		clock.advance(500);
 		answered(none);
-		t.not(told.at(-1)!.endedAgoMs, undefined, 'the end as well');
+		t.not(told.at(-1)!.endedAgoMs, undefined, 'the end is reported as well');
 	}
 });
--- a/src/deployment/common/server-notices.test.ts
+++ b/src/deployment/common/server-notices.test.ts
@@ -9,7 +9,7 @@
 	serverId: 's', instanceId: 's', startedMs: 0, pool: 'p', address: '127.0.0.1', port: 1, hall: 'a', slots: 1, isLeaving: false,
 };
 
-t.test('each part of a notice goes to the one that heeds it, with the server that was meant', async t => {
+t.test('each part of a notice is passed to the part that acts on it, with the server that the call was intended for', async t => {
 	const limits: LimitReading[] = [];
 	const rests: RestReading[] = [];
 	const leaving: string[] = [];
@@ -40,5 +40,5 @@
 	notices.answered(server, {limit: {kind: 'named', perS: 2}, isLeaving: true, rest: {kind: 'asked', forMs: 300}}, 1, 2);
 	t.same([limits, rests, leaving, counted], [[{kind: 'named', perS: 2}], [{kind: 'asked', forMs: 300}], ['s'], ['leaving.said']]);
 	notices.answered(server, silentNotice, 3, 4);
-	t.same([leaving, counted], [['s'], ['leaving.said']], 'another server\'s answer says nothing');
+	t.same([leaving, counted], [['s'], ['leaving.said']], 'an empty notice reports nothing');
 });
--- a/src/deployment/common/server-registry.test.ts
+++ b/src/deployment/common/server-registry.test.ts
@@ -11,7 +11,7 @@
 	};
 }
 
-/** Takes changes that are all made by one writing. */
+/** Applies changes up to a revision of the store. */
 function change(registry: ServerRegistry, revision: number, changes: {written?: readonly ListedServer[]; droppedIds?: readonly string[]}, nowMs = 0): void {
 	const {written = [], droppedIds = []} = changes;
 	registry.applyChanges({
@@ -27,7 +27,7 @@
 	return registry;
 }
 
-t.test('a server that leaves stays leaving, whatever an older entry says', async t => {
+t.test('a server that is leaving stays so, whatever later entries state', async t => {
 	const registry = withTwo();
 	change(registry, 6, {written: [server('a', 6, true)]});
 	t.same(usable(registry), ['b']);
@@ -37,10 +37,10 @@
 });
 
 /*
-Seen: an upstream that said in its answers that it leaves was used on for ten seconds, as the store's list, which could not be written meanwhile, said
-otherwise.
+Guards against use of a server that has reported in a response that it is leaving: while the store can't be written, its list still shows the server
+as staying, and the server was used for another ten seconds.
 */
-t.test('a server that has said that it leaves gets nothing new, whatever entries and lists say later', async t => {
+t.test('a server that has reported that it is leaving gets no new work, whatever entries and lists state later', async t => {
 	const log = silentLoggers.for('test');
 	const leaving = LeavingServers.create(log);
 	const registry = ServerRegistry.create({log, leavingWithinMs: 2000, leaving});
@@ -59,14 +59,14 @@
 	t.ok(registry.get('a'), 'it still finishes what it has');
 	change(registry, 8, {droppedIds: ['a']});
 	change(registry, 9, {written: [server('a', 9)]});
-	t.same(usable(registry), ['b'], 'also where its entry was away');
+	t.same(usable(registry), ['b'], 'also after its entry was dropped');
 	leaving.hear(['c'], 'peer');
 	change(registry, 10, {written: [server('c', 10)]});
-	t.same(usable(registry), ['b'], 'nor one that a peer told of before it was listed');
+	t.same(usable(registry), ['b'], 'nor does one that a peer reported before it was listed');
 	t.same(changes, ['a leaving', 'a gone', 'a leaving', 'c leaving']);
 });
 
-t.test('a later start of a server that said that it leaves is another server', async t => {
+t.test('a later start of a server that reported that it is leaving is another server', async t => {
 	const log = silentLoggers.for('test');
 	const leaving = LeavingServers.create(log);
 	const registry = ServerRegistry.create({log, leavingWithinMs: 2000, leaving});
@@ -78,14 +78,14 @@
 	t.same(usable(registry), ['a@2']);
 });
 
-t.test('a dropped entry is a server gone', async t => {
+t.test('a server whose entry is dropped is gone', async t => {
 	const registry = withTwo();
 	change(registry, 6, {droppedIds: ['a']});
 	t.same(usable(registry), ['b']);
 	t.equal(registry.get('a'), undefined);
 });
 
-t.test('entries that lapsed while the store was away have a while to come back', async t => {
+t.test('entries that lapsed while the store was unavailable have a grace period to come back', async t => {
 	const registry = withTwo();
 	registry.storeReturned(1000);
 	registry.replaceAll({revision: 9, servers: []}, 1010);
@@ -95,16 +95,16 @@
 	t.same(usable(registry), ['a']);
 });
 
-t.test('while the store does not answer, what a peer\'s list lacks may come back as well', async t => {
+t.test('while the store is unavailable, entries that a peer\'s list lacks may come back as well', async t => {
 	const registry = withTwo();
 	registry.storeLost();
 	registry.replaceAll({revision: 9, servers: []}, 100);
 	t.same(usable(registry), ['a', 'b']);
 	registry.replaceAll({revision: 10, servers: [server('b', 10)]}, 200);
-	t.same(usable(registry), ['b'], 'half of the pool is back and does the work');
+	t.same(usable(registry), ['b'], 'half of the pool is back and gets all work');
 });
 
-t.test('an entry may be missing for less time than a server that left may get work, wherever it is missed', async t => {
+t.test('an entry may be missing for less time than a server that has left may get work, whichever list lacks it', async t => {
 	const registry = withTwo();
 	registry.storeLost();
 	registry.replaceAll({revision: 9, servers: []}, 100);
@@ -114,13 +114,13 @@
 	t.same(usable(registry), []);
 });
 
-t.test('a list older than the one known is not taken', async t => {
+t.test('a list that is older than the current one is ignored', async t => {
 	const registry = withTwo();
 	t.equal(registry.replaceAll({revision: 4, servers: []}, 0), false);
 	t.same(usable(registry), ['a', 'b']);
 });
 
-t.test('a server whose address answers as another one never comes back', async t => {
+t.test('a server whose address responds as another one never comes back', async t => {
 	const registry = withTwo();
 	registry.addressTaken('a');
 	change(registry, 6, {written: [server('a', 6)]});
@@ -128,11 +128,9 @@
 });
 
 /*
-Seen: for two seconds after a host had been cut off, requests reached a server whose entry had gone meanwhile.
-How it came about: only this host had lost the store; servers and store never lost each other. At its next answer it
-took its own lost path for an outage of the store, and went on using what was no longer listed.
-Cause: an entry that is missing after an outage was taken for one that will come back, whoever had been away.
-Proof: the host's log lists the server as missing and then as gone 2.2 s later, with work sent to it in between.
+Guards against sending work to a server that has left while this host alone was cut off from the store. The host can't distinguish
+that from an outage of the store; when every missing entry was expected to come back, it sent requests to the server for 2.2 s,
+until the entry counted as gone.
 */
 t.test('one entry that is missing after an interruption gets no work while others of its pool are listed', async t => {
 	const registry = ServerRegistry.create({log: silentLoggers.for('test'), leavingWithinMs: 2000});
@@ -143,29 +141,26 @@
 });
 
 /*
-Seen: servers that were gone were listed again for two seconds; one had said that it leaves.
-How it came about: a host took a newer list of a peer while its own reading was interrupted, then went on reading the
-store's changes from where it had stopped: the store told it once more of servers that the list no longer had.
-Cause: changes were taken whatever their revision, and what was known of a server went with its entry.
-Proof: this test; the logs show the same servers going twice.
+Guards against removed servers being listed again, even ones that were leaving: a host that takes a newer list from a peer while its own
+reading is interrupted, and then resumes from its old revision, gets changes from the store that are older than the list. When changes
+were applied whatever their revision, and all knowledge of a server was dropped with its entry, such servers were back for two seconds and
+then removed a second time.
 */
-t.test('a change that is older than the list known brings no server back', async t => {
+t.test('a change that is older than the current list restores no server', async t => {
 	const registry = withTwo();
 	registry.replaceAll({revision: 9, servers: [server('b')]}, 0);
 	change(registry, 6, {written: [server('a', 6)]});
 	t.same(usable(registry), ['b']);
 	change(registry, 10, {written: [server('a', 10)]});
-	t.same(usable(registry), ['a', 'b'], 'what was written since then counts');
+	t.same(usable(registry), ['a', 'b'], 'later writes count');
 });
 
 /*
-Seen: after an outage of the store half of all requests were refused for the rest of the day, though all servers lived.
-How it came about: their entries lapsed and were written again; a host read both in one answer, took all writes first and
-all drops after them, and so dropped servers for good that were listed.
-Cause: the order of the writings within one answer was lost.
-Proof: the hosts' logs list the servers as joined and then as gone, and never again.
+Guards against the permanent loss of listed servers after an outage of the store: their entries lapse and are written again, and a host
+reads both in one response. When it applied all writes first and all drops after them, regardless of their order, it dropped servers
+that were listed; half of all requests were rejected for the rest of the day although all servers were running.
 */
-t.test('an entry that was dropped and written again in one answer is listed, whatever the order told', async t => {
+t.test('an entry that was dropped and written again in one response is listed, whatever the order of the changes', async t => {
 	for (const isWrittenLast of [true, false]) {
 		const registry = withTwo();
 		registry.applyChanges({
@@ -176,10 +171,10 @@
 });
 
 /*
-Seen: none yet; found by reading. A host that forgives missing entries told them to peers as listed, under the newest
-revision; a peer that had dropped them took them as new, and no later news would ever drop them there.
+Guards against entries that can never be dropped: if a host that keeps missing entries reported them to peers as listed under the newest
+revision, a peer that had dropped them would accept them as new, and no later update would drop them there.
 */
-t.test('peers are told of listed entries only', async t => {
+t.test('only listed entries are reported to peers', async t => {
 	const registry = withTwo();
 	registry.storeReturned(0);
 	change(registry, 6, {droppedIds: ['a', 'b']}, 10);
@@ -187,14 +182,14 @@
 	t.same(registry.snapshot(), {revision: 6, servers: []});
 });
 
-/** A start of a server that keeps its id over all its starts. */
+/** Creates a start of a server that keeps its `instanceId` across all its starts. */
 function start(instanceId: string, startedMs: number, revision: number, isLeaving = false): ListedServer {
 	return {
 		...server(`${instanceId}@${startedMs}`, revision, isLeaving), instanceId, startedMs,
 	};
 }
 
-/** A registry with one start of a server, and what changed since. */
+/** Creates a registry with one start of a server, and records later changes. */
 function withStart(first: ListedServer) {
 	const registry = ServerRegistry.create({log: silentLoggers.for('test'), leavingWithinMs: 2000});
 	registry.replaceAll({revision: 5, servers: [first, server('b')]}, 0);
@@ -206,36 +201,36 @@
 }
 
 t.test('a server that starts again under its id is another server', async t => {
-	await t.test('a later start under the same id is another server: the one before is gone, and no longer leaving', async t => {
+	await t.test('a later start under the same id is another server: the previous one is gone, and the new one is not leaving', async t => {
 		const {registry, changes} = withStart(start('a', 100, 5, true));
 		t.same(usable(registry), ['b']);
 		change(registry, 6, {written: [start('a', 200, 6)]});
 		t.same(usable(registry), ['a@200', 'b']);
 		t.same(changes, ['a@100 gone', 'a@200 joined']);
-		t.equal(registry.get('a@100'), undefined, 'nothing that was known of it is used on the later one');
+		t.equal(registry.get('a@100'), undefined, 'nothing known about it applies to the later start');
 		change(registry, 7, {droppedIds: ['a']});
-		t.same(usable(registry), ['b'], 'the store drops it by the id of all its starts');
+		t.same(usable(registry), ['b'], 'the store drops it by the id that all its starts share');
 	});
 
-	await t.test('an earlier start that is told of late is passed over, whoever tells it', async t => {
+	await t.test('a late report of an earlier start is ignored, whatever its source', async t => {
 		const {registry} = withStart(start('a', 200, 5));
 		change(registry, 6, {written: [start('a', 100, 6)]});
 		t.same(usable(registry), ['a@200', 'b']);
 		registry.replaceAll({revision: 7, servers: [start('a', 100, 7), server('b')]}, 0, 'peer');
-		t.same(usable(registry), ['a@200', 'b'], 'a list that knows only the earlier start does not say that the later one is gone');
+		t.same(usable(registry), ['a@200', 'b'], 'a list that has only the earlier start does not remove the later one');
 		change(registry, 8, {droppedIds: ['a']});
 		change(registry, 9, {written: [start('a', 100, 9)]});
 		t.same(usable(registry), ['b'], 'also after the later one is gone');
 	});
 
-	await t.test('a later start is taken however old the writing that tells of it seems', async t => {
+	await t.test('a later start is accepted however old its revision', async t => {
 		const {registry} = withStart(start('a', 100, 5));
 		change(registry, 20, {});
 		change(registry, 20, {written: [start('a', 200, 10)]});
 		t.same(usable(registry), ['a@200', 'b']);
 	});
 
-	await t.test('an address that answered as another server excludes the start that was expected there, not the next one', async t => {
+	await t.test('an address that responded as another server excludes the start that was expected there, not the next one', async t => {
 		const {registry} = withStart(start('a', 100, 5));
 		registry.addressTaken('a@100');
 		change(registry, 6, {written: [start('a', 100, 6)]});
@@ -245,7 +240,7 @@
 	});
 });
 
-t.test('an entry that names no server any more ends the one that it named, also while entries may lapse', async t => {
+t.test('an entry that became unreadable removes its server, even while entries may lapse', async t => {
 	const {registry, changes} = withStart(start('a', 100, 5));
 	registry.storeLost();
 	registry.applyChanges({
@@ -254,12 +249,12 @@
 	t.same(usable(registry), ['b']);
 	t.same(changes, ['a@100 gone']);
 	registry.voidEntries([{key: 'b', revision: 1}]);
-	t.same(usable(registry), ['b'], 'an older writing than the one known changes nothing');
+	t.same(usable(registry), ['b'], 'an older revision than the known one changes nothing');
 	change(registry, 7, {written: [start('a', 100, 7)]});
-	t.same(usable(registry), ['a@100', 'b'], 'a good entry that comes later is taken');
+	t.same(usable(registry), ['a@100', 'b'], 'a valid entry that is written later is accepted');
 });
 
-t.test('an entry that does not tell its start speaks of the latest one', async t => {
+t.test('an entry without a start time refers to the latest start', async t => {
 	const {registry} = withStart(start('a', 100, 5));
 	change(registry, 6, {written: [server('a', 6, true)]});
 	t.same(usable(registry), ['b'], 'it is leaving');
@@ -269,9 +264,9 @@
 });
 
 /*
-Found by reading: a peer's word on a server was taken with any address and port, and a call to such a server could not even be made.
+Guards against accepting a server from a peer with an invalid address or port, to which no call can be made.
 */
-t.test('a server that a peer tells with an address that is none is passed over; the others are taken', async t => {
+t.test('a server that a peer reports with an invalid address is ignored; the others are accepted', async t => {
 	const strange = [{address: ''}, {address: 'a b'}, {address: 'example.org'}, {address: '1.2.3.4/'}, {port: 0}, {port: 70_000}, {port: 1.5}, {coldLeftMs: -1}, {coldLeftMs: 1e12}];
 	const {list, unreadableCount} = readToldServers({
 		revision: 9, servers: [...strange.map((change, index) => ({...server(`s${index}`), ...change})), server('sound')],
--- a/src/deployment/common/server-rests.test.ts
+++ b/src/deployment/common/server-rests.test.ts
@@ -6,7 +6,7 @@
 const server = {serverId: 's', pool: 'p'};
 const makeRests = () => ServerRests.create({log: silentLoggers.for('test'), metrics: noMetrics});
 
-t.test('a server rests for as long as it asked; a shorter time asked for later does not end it', async t => {
+t.test('a backoff lasts as long as the server asked; a shorter one asked for later does not end it', async t => {
 	const rests = makeRests();
 	t.equal(rests.leftMs('s', 0), 0);
 	rests.answered(server, {kind: 'asked', forMs: 3000}, 1000);
@@ -14,12 +14,12 @@
 	rests.answered(server, {kind: 'none'}, 1200);
 	t.equal(rests.leftMs('s', 2000), 2000);
 	rests.answered(server, {kind: 'asked', forMs: 3000}, 2000);
-	t.equal(rests.leftMs('s', 4000), 1000, 'a longer one goes on');
+	t.equal(rests.leftMs('s', 4000), 1000, 'a longer one extends it');
 	t.equal(rests.leftMs('s', 5000), 0);
 	t.equal(rests.leftMs('other', 1000), 0);
 });
 
-t.test('no time is no rest, what can\'t be read neither, and one without end is bounded', async t => {
+t.test('a backoff of zero and one that can\'t be parsed are ignored, and an infinite one is bounded', async t => {
 	const rests = makeRests();
 	rests.answered(server, {kind: 'asked', forMs: 0}, 0);
 	rests.answered(server, {kind: 'unreadable', text: 'abc'}, 0);
@@ -30,7 +30,7 @@
 	t.equal(rests.leftMs('s', 0), 0, 'its next start is another server');
 });
 
-t.test('what is remembered is bounded', async t => {
+t.test('the number of remembered servers is bounded', async t => {
 	const rests = makeRests();
 	for (let index = 0; index <= 2000; index++) {
 		rests.answered({serverId: `s${index}`, pool: 'p'}, {kind: 'asked', forMs: 1000}, 0);
--- a/src/deployment/common/server-starts.test.ts
+++ b/src/deployment/common/server-starts.test.ts
@@ -6,7 +6,7 @@
 	serverId: `${instanceId}@${startedMs}`, instanceId, startedMs, pool: 'p', address: '127.0.0.1', port: 1, hall: 'a', slots: 1, isLeaving: false,
 });
 
-t.test('starts that are gone are forgotten one day, listed ones never', async t => {
+t.test('starts that are gone are evicted beyond a bound, listed ones never', async t => {
 	const starts = ServerStarts.create(serverId => serverId === 'listed@1');
 	starts.remember(startOf('listed', 1));
 	starts.remember(startOf('gone', 1));
--- a/src/deployment/node/feed-follower.test.ts
+++ b/src/deployment/node/feed-follower.test.ts
@@ -10,16 +10,16 @@
 import type {FeedCall, FeedChanges, FeedFailure} from '../common/feed.js';
 import {FeedFollower, type FeedFollowerOptions} from './feed-follower.js';
 
-/** A call that the store holds for longer than the test lasts. */
+/** A promise for a call that the store holds for longer than the test lasts. */
 function neverEnding(): {readonly promise: Promise<never>} {
 	return {
 		promise: new Promise(() => {
-			// It ends with the test.
+			// Never settles.
 		}),
 	};
 }
 
-/** A follower of a source, with what a test needs otherwise. */
+/** Creates a follower of a source, with defaults for the other options. */
 function makeFollower(options: Pick<FeedFollowerOptions<string>, 'source' | 'clock'> & Partial<FeedFollowerOptions<string>>): FeedFollower<string> {
 	return FeedFollower.create<string>({
 		name: 'test',
@@ -36,7 +36,7 @@
 	});
 }
 
-t.test('a follower rests once it has read everything, and reads everything again when it must', async t => {
+t.test('a follower goes on standby after a full read, and makes a full read again when it must read itself', async t => {
 	const clock = ManualClock.create();
 	const calls: string[] = [];
 	let isResting = true;
@@ -61,10 +61,10 @@
 	await turn();
 	t.same(calls, ['all']);
 	t.equal(follower.isResting, true);
-	t.equal(follower.ageMs, undefined, 'others must not rely on a host that rests');
+	t.equal(follower.ageMs, undefined, 'other hosts must not rely on a host on standby');
 	clock.advance(1000);
 	await turn();
-	t.same(calls, ['all'], 'nothing is asked meanwhile');
+	t.same(calls, ['all'], 'no call is made meanwhile');
 	isResting = false;
 	clock.advance(1000);
 	await turn();
@@ -74,7 +74,7 @@
 	follower.dispose();
 });
 
-/** Follows a source whose calls are answered by hand; tells what was asked and what was made of it. */
+/** Follows a source whose calls the test answers; records the calls and the callbacks of the follower. */
 function followByHand(clock: ManualClock) {
 	const events: string[] = [];
 	const answers: Array<(answer: Outcome<FeedChanges<string>, FeedFailure>) => void> = [];
@@ -119,13 +119,12 @@
 });
 
 /*
-Seen: a host that had been cut off for three seconds knew only two seconds after the cut's end that the store was there
-again, and for how long missing entries may come back was counted from then on: beyond what a leaving server may get.
-Cause: the first call after the cut was held by the store like any other, until something changed.
-Proof: the host's log lists the store's return at the moment of the first change, 0.9 s after the cut, and of the other
-feed, where nothing changed, 4.4 s after it.
+Guards against late detection that the store is available again: if the store holds the first call after a network partition
+like any other, the host notices the recovery only at the next change. After a partition of three seconds a host noticed it
+two seconds late; the log showed 0.9 s on one feed, at its first change, and 4.4 s on the other, which had none. The grace
+period of missing entries then starts late and exceeds the time for which a leaving server may get work.
 */
-t.test('the store does not hold the call that asks whether it is back', async t => {
+t.test('the store does not hold the call that checks whether it is available again', async t => {
 	const {follower, events, answer} = followByHand(ManualClock.create());
 	await turn();
 	await answer(noAnswer);
@@ -137,19 +136,18 @@
 });
 
 /*
-Seen: open connections fell silent while new ones worked; hosts took that for an outage of the store, and what was no
-longer listed for entries that lapsed in it.
-Cause: one call without an answer counted as the store's absence, though its connection may be all that was lost.
-Proof: this test; in the logs the call after it is answered within milliseconds.
+Guards against a lost connection being treated as an outage of the store: if open connections fall silent while new ones work,
+one call without a response shows only that its connection is lost, and a retry succeeds within milliseconds. Counted as an
+outage, it would make the host treat entries that are no longer listed as lapsed.
 */
-t.test('one call without an answer is made again at once, and is no outage of the store', async t => {
+t.test('one call without a response is retried immediately, and is not treated as an outage of the store', async t => {
 	const clock = ManualClock.create();
 	const {follower, events, answer} = followByHand(clock);
 	await turn();
 	await answer(noAnswer, 0);
 	t.equal(events.length, 2);
 	t.equal(events.includes('lost'), false);
-	t.equal(follower.isCurrent, false, 'meanwhile peers may know more');
+	t.equal(follower.isCurrent, false, 'peers may be more up to date meanwhile');
 	await answer(nothingNew);
 	t.equal(events.includes('returned'), false);
 	t.equal(follower.isCurrent, true);
@@ -160,16 +158,14 @@
 });
 
 /*
-Seen: requests and steps reached servers seconds after the store had told that these leave.
-How it came about: all open connections of a host fell silent, and the call that the store held on one of them got no
-answer. The host never made another: it learned of no server any more, until it was started again.
-Cause: the call's time limit was a timeout signal that only a combined signal knew. The runtime drops such a signal with
-the next garbage collection, and the limit with it.
-Proof: with a collection during the held call the limit never comes; without one it does.
+Guards against the loss of a call's time limit by garbage collection: a timeout signal that is referenced only by a combined
+signal is collected, and its limit never fires. If the open connections of a host fall silent during a held call, the host
+then waits for the response until it is restarted, learns of no server changes, and sends requests and steps to servers
+seconds after the store has reported that these are leaving. The limit was lost only if a collection ran during the call.
 */
-t.test('a held call without an answer is given up, also after garbage was collected', async t => {
+t.test('a held call without a response times out, even after a garbage collection', async t => {
 	setFlagsFromString('--expose-gc');
-	/** Many times the limit of the call: without it the test would never end. */
+	/** Waits for many times the limit of the call; without this bound a failing test would never end. */
 	const mostTurns = 2000;
 	const collectGarbage = runInNewContext('gc') as () => void;
 	const held: AbortSignal[] = [];
@@ -209,13 +205,11 @@
 });
 
 /*
-Seen: hosts with thin links gave up their reading of a large declaration again and again, and logged for 12 s that the
-store did not answer, though it did.
-How it came about: 1.4 MB take 1.6 s on 7 Mbit/s; the host gave the whole answer 0.7 s, and began anew each time.
-Cause: the limit was over the whole transfer; only silence tells that nothing will come.
-Proof: the readings of hosts with roomy links were answered in 0.16 s at the same time.
+Guards against a time limit on the whole transfer instead of on silence: 1.4 MB take 1.6 s at 7 Mbit/s, so a limit of 0.7 s
+for the complete response aborts every full read of a large declaration. Hosts on slow links then logged for 12 s that the
+store was unavailable, while hosts on fast links got the response in 0.16 s.
 */
-t.test('an answer that comes in parts is not given up while they come', async t => {
+t.test('a response that arrives in parts does not time out while parts arrive', async t => {
 	const clock = ManualClock.create();
 	const changes = ok<FeedChanges<string>>({
 		changed: [], dropped: [], unreadable: [], revision: 7,
@@ -247,14 +241,14 @@
 		call!.heard();
 	}
 
-	t.equal(call!.signal.aborted, false, '2.4 s after the call began');
+	t.equal(call!.signal.aborted, false, '2.4 s after the start of the call');
 	end(changes);
 	await turn();
 	t.same(taken, [7]);
 	follower.dispose();
 });
 
-t.test('an answer that stops in its midst is given up', async t => {
+t.test('a response that stops partway times out', async t => {
 	const clock = ManualClock.create();
 	let call: FeedCall | undefined;
 	const follower = makeFollower({
@@ -278,10 +272,10 @@
 });
 
 /*
-Found by reading, in looking for what else fills thin links: a host that starts reads all of the declaration, 1.4 MB for 4,249
-routes, 1.6 s of a link of 7 Mbit/s, though peers tell it in 62 KB a moment later and read for it from then on.
+Guards against needless load on slow links: a host that starts makes a full read of the declaration, 1.4 MB for 4,249 routes
+or 1.6 s at 7 Mbit/s, although peers report it in 62 KB a moment later and read on behalf of the host from then on.
 */
-t.test('a reading of everything is ended once peers have told it and read for this host', async t => {
+t.test('a full read is cancelled once peers have reported the content and read on behalf of this host', async t => {
 	const clock = ManualClock.create();
 	const calls: FeedCall[] = [];
 	const events: string[] = [];
@@ -308,7 +302,7 @@
 		},
 	});
 	follower.start();
-	/** Parts come all the while: it is not for silence that the reading ends. */
+	/** Parts keep arriving, so that the read is not cancelled because of silence. */
 	const pass = async (durationMs: number) => {
 		for (let passedMs = 0; passedMs < durationMs; passedMs += 100) {
 			clock.advance(100);
@@ -318,17 +312,17 @@
 	};
 
 	await pass(500);
-	t.equal(calls[0].signal.aborted, false, 'nobody has told anything yet');
+	t.equal(calls[0].signal.aborted, false, 'no peer has reported anything yet');
 	isTold = true;
 	await pass(500);
 	t.equal(calls[0].signal.aborted, true);
 	t.equal(follower.isResting, true);
 	t.equal(calls.length, 1);
-	t.same(events, [], 'the store is not taken for away');
+	t.same(events, [], 'the store is not considered unavailable');
 	follower.dispose();
 });
 
-t.test('a host that wakes asks the store anew at once: its connections may have died while it slept', async t => {
+t.test('a host that resumes calls the store again immediately: its connections may have been lost during the suspend', async t => {
 	const clock = ManualClock.create();
 	const calls: string[] = [];
 	const follower = makeFollower({
@@ -354,7 +348,7 @@
 	t.same(calls, ['held for 1000']);
 	clock.sleep(300);
 	await turn();
-	t.same(calls, ['held for 1000', 'held for 0'], 'also after a sleep shorter than a call is held');
+	t.same(calls, ['held for 1000', 'held for 0'], 'even after a suspend that is shorter than the hold time of a call');
 	t.notOk(follower.isCurrent);
 	follower.dispose();
 });
--- a/src/deployment/node/lane.test.ts
+++ b/src/deployment/node/lane.test.ts
@@ -1,7 +1,8 @@
 /**
-Seen: of 60 callers that gave their requests up, each took along one that came in the same moment and may run only once: it ended as unknown, though
-nothing of it was sent. The second try of a stream that had fallen silent ended after 6 ms in the same way. Cause: a connection was free as soon as its call had ended, in whichever way, and the one that rested last is taken first; the client closes
-it a turn later, with the call that was on it by then. Proof: 20 of 20 such calls, and 20 of 20 that came as an upstream closed its connection behind an answer.
+Guards against the reuse of a connection that is about to be closed. The client closes a connection one turn of the event loop after its call is aborted,
+or after the upstream closes it behind a response. If the connection counts as free as soon as its call has ended, the next call gets it, since the
+most recently used one is taken first, and is lost with it although nothing of it was sent. Each of 60 cancelled requests made another one that may run
+at most once end with an unknown outcome, and the retry of a stalled stream failed after 6 ms; in the tests 20 of 20 calls failed in each of both cases.
 */
 import {createServer, type ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -15,7 +16,7 @@
 
 const mostLanes = 8;
 
-/** How a call is answered: `/whole/…`, `/close/…` with the connection's end, `/never/…`, `/reset/…` in the middle. */
+/** Responds according to the path: `/whole/…` normally, `/close/…` closes the connection afterwards, `/never/…` sends nothing, `/reset/…` resets the connection partway. */
 function answer(path: string, response: ServerResponse): void {
 	const [, how] = path.split('/');
 	switch (how) {
@@ -42,7 +43,7 @@
 	}
 }
 
-/** An upstream on loopback, and connections to it. */
+/** Starts an upstream on the loopback interface, and a pool of connections to it. */
 async function makeUpstream(t: Test) {
 	const seen = new Set<string>();
 	let connections = 0;
@@ -78,7 +79,7 @@
 
 type Upstream = Awaited<ReturnType<typeof makeUpstream>>;
 
-/** Gives a call up once it has reached the upstream, and tells what becomes of the one that comes at once. */
+/** Cancels a call once it has reached the upstream, and returns the result of the call that follows immediately. */
 async function callAfterCut({seen, call}: Upstream, name: string) {
 	const controller = new AbortController();
 	const path = `/never/${name}`;
@@ -94,9 +95,9 @@
 }
 
 /*
-Found by reading: what a server said of itself in the head of an answer to a call of steps was lost where the rest of the answer was.
+Guards against losing what a server reports about itself in the head of the response to a step's call if the body of the response is lost.
 */
-t.test('the head of an answer is told as soon as it has come, whatever becomes of the rest', async t => {
+t.test('the head of a response is reported as soon as it arrives, even if the body fails', async t => {
 	const {lanes} = await makeUpstream(t);
 	const heads: number[] = [];
 	const answer = await collectAnswer(lanes.acquire(true)!, {method: 'POST', path: '/reset/1', body: 'x'}, new AbortController().signal, ({status}) => {
@@ -106,15 +107,15 @@
 	t.same(heads, [200]);
 });
 
-t.test('a connection whose call was cut is not handed on', async t => {
-	t.test('a call that comes as another one is given up is served', async t => {
+t.test('a connection whose call was aborted is not reused', async t => {
+	t.test('a call that starts while another one is cancelled succeeds', async t => {
 		const upstream = await makeUpstream(t);
 		for (let index = 0; index < 20; index++) {
 			t.equal((await callAfterCut(upstream, String(index)))?.ok, true);
 		}
 	});
 
-	t.test('nor is one that its upstream closes behind the answer', async t => {
+	t.test('a call that starts while the upstream closes a connection after its response succeeds', async t => {
 		const {call} = await makeUpstream(t);
 		for (let index = 0; index < 20; index++) {
 			t.equal((await call(`/close/${index}`))?.ok, true);
@@ -122,7 +123,7 @@
 		}
 	});
 
-	t.test('one whose call came to its end is used again', async t => {
+	t.test('a connection whose call ended normally is reused', async t => {
 		const {call, connectionCount} = await makeUpstream(t);
 		for (let index = 0; index < 20; index++) {
 			t.equal((await call(`/whole/${index}`))?.ok, true);
@@ -131,7 +132,7 @@
 		t.equal(connectionCount(), 1);
 	});
 
-	t.test('no call counts as written that was not, whatever becomes of others', async t => {
+	t.test('no call counts as sent that was not, whatever happens to others', async t => {
 		const upstream = await makeUpstream(t);
 		const random = SeededRandom.create(1);
 		const failures = new Map<string, NoAnswer>();
@@ -163,7 +164,7 @@
 
 		const unwritten = [...failures].filter(([path, {wasWritten}]) => wasWritten && !upstream.seen.has(path));
 		t.same(unwritten, []);
-		t.same([...failures.keys()].filter(path => !path.startsWith('/reset/')), [], 'calls that failed though nothing was wrong with them');
-		t.ok(upstream.connectionCount() <= cutCount + mostLanes, `${upstream.connectionCount()} connections for ${cutCount} calls that were cut`);
+		t.same([...failures.keys()].filter(path => !path.startsWith('/reset/')), [], 'calls that failed without a cause of their own');
+		t.ok(upstream.connectionCount() <= cutCount + mostLanes, `${upstream.connectionCount()} connections for ${cutCount} aborted calls`);
 	});
 });
