--- a/src/deployment/common/deployment-tracker.ts
+++ b/src/deployment/common/deployment-tracker.ts
@@ -17,7 +17,7 @@
 /** Where a version was received from. */
 export type DeploymentSource = 'store' | 'peer';
 
-export const deploymentTrackerToken: InjectionToken<DeploymentTracker> = Symbol('DeploymentBoard');
+export const deploymentTrackerToken: InjectionToken<DeploymentTracker> = Symbol('DeploymentTracker');
 
 /** Holds the newest declaration that this host has received. */
 export class DeploymentTracker {
--- a/src/deployment/common/server-backoffs.ts
+++ b/src/deployment/common/server-backoffs.ts
@@ -21,7 +21,7 @@
 const maxBackoffMs = 3_600_000;
 const maxLoggedChars = 80;
 
-export const serverBackoffsToken: InjectionToken<ServerBackoffs> = Symbol('ServerRests');
+export const serverBackoffsToken: InjectionToken<ServerBackoffs> = Symbol('ServerBackoffs');
 
 /** Options of `ServerBackoffs`. */
 export type ServerBackoffsOptions = {
--- a/src/deployment/node/collect-response.ts
+++ b/src/deployment/node/collect-response.ts
@@ -35,7 +35,9 @@
 @param onHead - called as soon as the head has arrived: what it says about its server is valid even if the body fails.
 @returns the response, or why there is none.
 */
-export async function collectResponse(connection: PooledConnection, options: Dispatcher.DispatchOptions, signal: AbortSignal, onHead?: (head: ResponseHead) => void): Promise<Outcome<CompleteResponse, ResponseFailure>> {
+export async function collectResponse(
+	connection: PooledConnection, options: Dispatcher.DispatchOptions, signal: AbortSignal, onHead?: (head: ResponseHead) => void,
+): Promise<Outcome<CompleteResponse, ResponseFailure>> {
 	return new Promise(resolve => {
 		let controller: Dispatcher.DispatchController | undefined;
 		let status = 0;
