--- a/src/deployment/node/collect-response.ts
+++ b/src/deployment/node/collect-response.ts
@@ -36,7 +36,10 @@
 @returns the response, or why there is none.
 */
 export async function collectResponse(
-	connection: PooledConnection, options: Dispatcher.DispatchOptions, signal: AbortSignal, onHead?: (head: ResponseHead) => void,
+	connection: PooledConnection,
+	options: Dispatcher.DispatchOptions,
+	signal: AbortSignal,
+	onHead?: (head: ResponseHead) => void,
 ): Promise<Outcome<CompleteResponse, ResponseFailure>> {
 	return new Promise(resolve => {
 		let controller: Dispatcher.DispatchController | undefined;
