--- a/src/deployment/common/leaving-servers.test.ts
+++ b/src/deployment/common/leaving-servers.test.ts
@@ -6,7 +6,7 @@
 	const leaving = LeavingServers.create(silentLoggers.for('test'));
 	const reported: string[] = [];
 	const learned: string[] = [];
-	leaving.onDidSay(serverId => {
+	leaving.onDidServerReport(serverId => {
 		reported.push(serverId);
 	});
 	leaving.onDidLearn(serverId => {
@@ -17,10 +17,10 @@
 
 t.test('a server is recorded once; only a report that it made to this host first is passed on to peers', async t => {
 	const {leaving, reported, learned} = makeLeaving();
-	leaving.said({serverId: 'a', pool: 'p'});
-	leaving.said({serverId: 'a', pool: 'p'});
-	leaving.hear(['a', 'b'], 'peer');
-	leaving.said({serverId: 'b', pool: 'p'});
+	leaving.handleServerReport({serverId: 'a', pool: 'p'});
+	leaving.handleServerReport({serverId: 'a', pool: 'p'});
+	leaving.handlePeerReport(['a', 'b'], 'peer');
+	leaving.handleServerReport({serverId: 'b', pool: 'p'});
 	t.same(reported, ['a']);
 	t.same(learned, ['a', 'b']);
 	t.ok(leaving.has('b'));
@@ -29,7 +29,7 @@
 
 t.test('the number of remembered servers is bounded; the oldest is evicted', async t => {
 	const {leaving} = makeLeaving();
-	leaving.hear(Array.from({length: 2001}, (_, index) => `s${index}`), 'peer');
+	leaving.handlePeerReport(Array.from({length: 2001}, (_, index) => `s${index}`), 'peer');
 	t.equal(leaving.all.length, 2000);
 	t.notOk(leaving.has('s0'));
 	t.ok(leaving.has('s2000'));
--- a/src/deployment/common/leaving-servers.ts
+++ b/src/deployment/common/leaving-servers.ts
@@ -26,7 +26,7 @@
 	private constructor(private readonly log: Logger) {}
 
 	/** Fires with the `serverId` of a server whose report reached this host in a response before any peer passed it on. */
-	get onDidSay() {
+	get onDidServerReport() {
 		return this.didServerReport.event;
 	}
 
@@ -52,7 +52,7 @@
 	Handles a report that a server made in a response to this host.
 	@param server - the server.
 	*/
-	said({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>): void {
+	handleServerReport({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>): void {
 		if (this.add(serverId)) {
 			this.log.info('A server reported in a response that it is leaving.', {server: serverId, pool});
 			this.didServerReport.fire(serverId);
@@ -64,7 +64,7 @@
 	@param serverIds - the servers that are leaving.
 	@param peer - its name, for logs.
 	*/
-	hear(serverIds: readonly string[], peer: string): void {
+	handlePeerReport(serverIds: readonly string[], peer: string): void {
 		for (const serverId of serverIds) {
 			if (this.add(serverId)) {
 				this.log.info('A peer reported that a server is leaving.', {server: serverId, peer});
--- a/src/deployment/common/server-backoffs.ts
+++ b/src/deployment/common/server-backoffs.ts
@@ -48,7 +48,7 @@
 	@param nowMs - current time.
 	@returns the remaining time of the backoff; 0 if there is none.
 	*/
-	leftMs(serverId: string, nowMs: number): number {
+	remainingMs(serverId: string, nowMs: number): number {
 		const untilMs = this.untilMs.get(serverId);
 		if (untilMs === undefined) {
 			return 0;
@@ -69,7 +69,7 @@
 	@param reading - what the response says about a backoff.
 	@param nowMs - current time.
 	*/
-	answered({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: BackoffReading, nowMs: number): void {
+	handleResponse({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: BackoffReading, nowMs: number): void {
 		if (reading.kind === 'asked' && reading.forMs > 0) {
 			this.options.metrics.increment('rests.asked', 1, {pool});
 			this.startBackoff(serverId, pool, Math.min(maxBackoffMs, reading.forMs), nowMs);
@@ -88,7 +88,7 @@
 	}
 
 	private startBackoff(serverId: string, pool: string, durationMs: number, nowMs: number): void {
-		if (this.leftMs(serverId, nowMs) === 0) {
+		if (this.remainingMs(serverId, nowMs) === 0) {
 			this.options.log.info('An upstream asked for a backoff; it gets no requests from this host until it ends.', {server: serverId, pool, restMs: Math.round(durationMs)});
 		}
 
--- a/src/deployment/common/server-limits.test.ts
+++ b/src/deployment/common/server-limits.test.ts
@@ -24,11 +24,11 @@
 		limits,
 		reported,
 		answered(reading: LimitReading, sentAgoMs = 0) {
-			limits.answered(server, reading, clock.nowMs() - sentAgoMs, clock.nowMs());
+			limits.handleResponse(server, reading, clock.nowMs() - sentAgoMs, clock.nowMs());
 		},
 		perS: () => limits.limitOf(server.serverId, clock.nowMs())?.perS,
 		hear(update: Partial<LimitUpdate>) {
-			limits.hear([{
+			limits.handlePeerReport([{
 				serverId: server.serverId, perS: 1, namedAgoMs: 0, ...update,
 			}], 'peer', clock.nowMs());
 		},
@@ -156,8 +156,8 @@
 	clock.advance(maxEndDelayMs * 5);
 	t.equal(perS(), 1);
 	for (let index = 0; index < 5000; index++) {
-		limits.hear([{serverId: `t${index}`, perS: 1, namedAgoMs: 0}], 'peer', clock.nowMs());
-		limits.answered({serverId: `u${index}`, pool: 'p'}, {kind: 'unreadable', text: '-'}, 0, clock.nowMs());
+		limits.handlePeerReport([{serverId: `t${index}`, perS: 1, namedAgoMs: 0}], 'peer', clock.nowMs());
+		limits.handleResponse({serverId: `u${index}`, pool: 'p'}, {kind: 'unreadable', text: '-'}, 0, clock.nowMs());
 	}
 
 	t.equal(limits.all(clock.nowMs()).length, 2000);
--- a/src/deployment/common/server-limits.ts
+++ b/src/deployment/common/server-limits.ts
@@ -123,7 +123,7 @@
 	@param sentMs - when the call was sent.
 	@param nowMs - current time.
 	*/
-	answered({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: LimitReading, sentMs: number, nowMs: number): void {
+	handleResponse({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: LimitReading, sentMs: number, nowMs: number): void {
 		switch (reading.kind) {
 			case 'named': {
 				this.options.metrics.increment('limits.named', 1, {pool});
@@ -153,7 +153,7 @@
 	@param peer - its name, for logs.
 	@param nowMs - current time.
 	*/
-	hear(updates: readonly LimitUpdate[], peer: string, nowMs: number): void {
+	handlePeerReport(updates: readonly LimitUpdate[], peer: string, nowMs: number): void {
 		for (const {serverId, perS, namedAgoMs, endedAgoMs} of updates) {
 			if (endedAgoMs === undefined) {
 				this.handlePeerAnnounced(serverId, perS, nowMs - namedAgoMs, {peer, nowMs});
--- a/src/deployment/common/server-notices.test.ts
+++ b/src/deployment/common/server-notices.test.ts
@@ -16,17 +16,17 @@
 	const counted: string[] = [];
 	const notices = ServerNotices.create({
 		limits: {
-			answered(_, reading) {
+			handleResponse(_, reading) {
 				limits.push(reading);
 			},
 		},
 		leaving: {
-			said({serverId}) {
+			handleServerReport({serverId}) {
 				leaving.push(serverId);
 			},
 		},
 		backoffs: {
-			answered(_, reading) {
+			handleResponse(_, reading) {
 				backoffs.push(reading);
 			},
 		},
@@ -37,8 +37,8 @@
 			},
 		},
 	});
-	notices.answered(server, {limit: {kind: 'named', perS: 2}, isLeaving: true, backoff: {kind: 'asked', forMs: 300}}, 1, 2);
+	notices.handleResponse(server, {limit: {kind: 'named', perS: 2}, isLeaving: true, backoff: {kind: 'asked', forMs: 300}}, 1, 2);
 	t.same([limits, backoffs, leaving, counted], [[{kind: 'named', perS: 2}], [{kind: 'asked', forMs: 300}], ['s'], ['leaving.said']]);
-	notices.answered(server, emptyNotice, 3, 4);
+	notices.handleResponse(server, emptyNotice, 3, 4);
 	t.same([leaving, counted], [['s'], ['leaving.said']], 'an empty notice reports nothing');
 });
--- a/src/deployment/common/server-notices.ts
+++ b/src/deployment/common/server-notices.ts
@@ -19,9 +19,9 @@
 
 /** The parts that act on notices. */
 export type ServerNoticesOptions = {
-	readonly limits: Pick<ServerLimits, 'answered'>;
-	readonly leaving: Pick<LeavingServers, 'said'>;
-	readonly backoffs: Pick<ServerBackoffs, 'answered'>;
+	readonly limits: Pick<ServerLimits, 'handleResponse'>;
+	readonly leaving: Pick<LeavingServers, 'handleServerReport'>;
+	readonly backoffs: Pick<ServerBackoffs, 'handleResponse'>;
 	readonly metrics: Metrics;
 };
 
@@ -42,12 +42,12 @@
 	@param sentMs - when the call was sent.
 	@param nowMs - current time.
 	*/
-	answered(server: UpstreamServer, {limit, isLeaving, backoff}: ServerNotice, sentMs: number, nowMs: number): void {
-		this.options.limits.answered(server, limit, sentMs, nowMs);
-		this.options.backoffs.answered(server, backoff, nowMs);
+	handleResponse(server: UpstreamServer, {limit, isLeaving, backoff}: ServerNotice, sentMs: number, nowMs: number): void {
+		this.options.limits.handleResponse(server, limit, sentMs, nowMs);
+		this.options.backoffs.handleResponse(server, backoff, nowMs);
 		if (isLeaving) {
 			this.options.metrics.increment('leaving.said', 1, {pool: server.pool});
-			this.options.leaving.said(server);
+			this.options.leaving.handleServerReport(server);
 		}
 	}
 }
--- a/src/deployment/common/server-registry.test.ts
+++ b/src/deployment/common/server-registry.test.ts
@@ -49,10 +49,10 @@
 	registry.onDidChange(({server: {serverId}, change}) => {
 		changes.push(`${serverId} ${change}`);
 	});
-	leaving.said(server('a'));
-	leaving.said(server('a'));
+	leaving.handleServerReport(server('a'));
+	leaving.handleServerReport(server('a'));
 	t.same(usable(registry), ['b']);
-	t.notOk(registry.takesNew(server('a')));
+	t.notOk(registry.acceptsNewWork(server('a')));
 	change(registry, 6, {written: [server('a', 6)]});
 	registry.replaceAll({revision: 7, servers: [server('a', 7), server('b', 7)]}, 10);
 	t.same(usable(registry), ['b']);
@@ -60,7 +60,7 @@
 	change(registry, 8, {droppedIds: ['a']});
 	change(registry, 9, {written: [server('a', 9)]});
 	t.same(usable(registry), ['b'], 'also after its entry was dropped');
-	leaving.hear(['c'], 'peer');
+	leaving.handlePeerReport(['c'], 'peer');
 	change(registry, 10, {written: [server('c', 10)]});
 	t.same(usable(registry), ['b'], 'nor does one that a peer reported before it was listed');
 	t.same(changes, ['a leaving', 'a gone', 'a leaving', 'c leaving']);
@@ -72,7 +72,7 @@
 	const registry = ServerRegistry.create({log, leavingWithinMs: 2000, leaving});
 	const startOf = (startedMs: number, revision: number) => ({...server(`a@${startedMs}`, revision), instanceId: 'a', startedMs});
 	registry.replaceAll({revision: 5, servers: [startOf(1, 5)]}, 0);
-	leaving.said(startOf(1, 5));
+	leaving.handleServerReport(startOf(1, 5));
 	t.ok(registry.isPoolClosed('p'));
 	change(registry, 6, {written: [startOf(2, 6)]});
 	t.same(usable(registry), ['a@2']);
--- a/src/deployment/common/server-registry.ts
+++ b/src/deployment/common/server-registry.ts
@@ -60,7 +60,7 @@
 	/** Values of `serverId` whose address now responds as another server. */
 	private readonly replacedIds = new Set<string>();
 	private readonly views = PoolViews.create({
-		servers: this.servers, isMissing: serverId => this.missing.has(serverId), acceptsNewWork: server => this.takesNew(server),
+		servers: this.servers, isMissing: serverId => this.missing.has(serverId), acceptsNewWork: server => this.acceptsNewWork(server),
 	});
 
 	private listRevision = 0;
@@ -111,7 +111,7 @@
 	Returns whether a server may get new work: one that is leaving may not, nor may one in a hall that is being drained.
 	@param server - the server that would get the work.
 	*/
-	takesNew({serverId, hall}: Pick<UpstreamServer, 'serverId' | 'hall'>): boolean {
+	acceptsNewWork({serverId, hall}: Pick<UpstreamServer, 'serverId' | 'hall'>): boolean {
 		return this.servers.get(serverId)?.isLeaving !== true && this.options.drains?.isDrained(hall) !== true;
 	}
 
@@ -124,7 +124,7 @@
 	@param serverId - the server.
 	@param nowMs - current time.
 	*/
-	coldLeftMs(serverId: string, nowMs: number): number {
+	remainingColdMs(serverId: string, nowMs: number): number {
 		return this.coldness.remainingMs(serverId, nowMs);
 	}
 
--- a/src/direct/common/bounded-pool.test.ts
+++ b/src/direct/common/bounded-pool.test.ts
@@ -25,9 +25,9 @@
 	}));
 	return hosts.map(own => {
 		const bounds = SendBounds.create({
-			registry: {coldLeftMs: () => 0, takesNew: () => true, onDidChange: () => ({dispose: () => undefined})},
+			registry: {remainingColdMs: () => 0, acceptsNewWork: () => true, onDidChange: () => ({dispose: () => undefined})},
 			limits: {limitOf: () => ({perS: limitPerS, sinceAnnouncedMs: 0}), forget: () => undefined},
-			rests: {leftMs: () => 0, forget: () => undefined},
+			rests: {remainingMs: () => 0, forget: () => undefined},
 			share: SendShare.create(() => ({own, hosts, isSettled: true})),
 			cold: undefined,
 			bearsPerS: () => 0,
--- a/src/direct/common/direct-router.test.ts
+++ b/src/direct/common/direct-router.test.ts
@@ -49,7 +49,7 @@
 			bounds: SendBounds.create({
 				registry: servers,
 				limits: {limitOf: () => undefined, forget: () => undefined},
-				rests: {leftMs: () => 0, forget: () => undefined},
+				rests: {remainingMs: () => 0, forget: () => undefined},
 				share: SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: true})),
 				cold,
 				bearsPerS: () => 4,
--- a/src/direct/common/refusing-pool.test.ts
+++ b/src/direct/common/refusing-pool.test.ts
@@ -48,7 +48,7 @@
 	const bounds = SendBounds.create({
 		registry,
 		limits: {limitOf: () => undefined, forget: () => undefined},
-		rests: {leftMs: () => 0, forget: () => undefined},
+		rests: {remainingMs: () => 0, forget: () => undefined},
 		share: SendShare.create(() => ({own: 'a', hosts: ['a'], isSettled: true})),
 		cold: undefined,
 		bearsPerS: () => 0,
--- a/src/direct/node/direct-links.ts
+++ b/src/direct/node/direct-links.ts
@@ -34,7 +34,7 @@
 export type DirectLinksOptions = {
 	readonly registry: ServerRegistry;
 	/** Learns what servers say of themselves. */
-	readonly notices: Pick<ServerNotices, 'answered'>;
+	readonly notices: Pick<ServerNotices, 'handleResponse'>;
 	readonly protocol: UpstreamProtocol;
 	readonly clock: Clock;
 	readonly log: Logger;
@@ -155,7 +155,7 @@
 		const server = this.options.registry.get(serverId);
 		const facts = this.requests.get(message.requestId);
 		const {call: http} = message;
-		if (!server || !facts || http.kind !== 'http' || !this.options.registry.takesNew(server)) {
+		if (!server || !facts || http.kind !== 'http' || !this.options.registry.acceptsNewWork(server)) {
 			return false;
 		}
 
@@ -207,7 +207,7 @@
 			nowMs: () => clock.nowMs(),
 			written: facts.written,
 			answered(head, sentMs) {
-				notices.answered(server, protocol.readNotice(head), sentMs, clock.nowMs());
+				notices.handleResponse(server, protocol.readNotice(head), sentMs, clock.nowMs());
 			},
 			emit: event => {
 				if (event.type === 'end' && event.state === 'completed') {
--- a/src/peers/node/leaving-news.test.ts
+++ b/src/peers/node/leaving-news.test.ts
@@ -14,7 +14,7 @@
 t.test('what a server says to one host is known to all, and is not told on', async t => {
 	const teller = makeHost();
 	const hearer = makeHost();
-	teller.leaving.said({serverId: 's', pool: 'p'});
+	teller.leaving.handleServerReport({serverId: 's', pool: 'p'});
 	t.same(teller.mesh.sent, [{to: 'all', message: {type: 'leavingServers', serverIds: ['s']}}]);
 	hearer.mesh.receive('teller', teller.mesh.sent[0].message);
 	t.ok(hearer.leaving.has('s'));
@@ -24,7 +24,7 @@
 t.test('a host that connects is told all that is known, and nothing where nothing is', async t => {
 	const serverIds = Array.from({length: 1200}, (_, index) => `s${index}`);
 	const some = makeHost();
-	some.leaving.hear(serverIds, 'peer');
+	some.leaving.handlePeerReport(serverIds, 'peer');
 	some.mesh.connect('new');
 	t.same(some.mesh.sent, [{to: 'new', message: {type: 'leavingServers', serverIds: serverIds.slice(200)}}], 'the latest, where they are too many');
 	const nothing = makeHost();
--- a/src/peers/node/leaving-news.ts
+++ b/src/peers/node/leaving-news.ts
@@ -6,7 +6,7 @@
 
 /** What the news are made of. */
 export type LeavingNewsOptions = {
-	readonly leaving: Pick<LeavingServers, 'onDidSay' | 'hear' | 'all'>;
+	readonly leaving: Pick<LeavingServers, 'onDidServerReport' | 'handlePeerReport' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 };
 
@@ -19,12 +19,12 @@
 	private readonly owned = DisposableStore.create();
 
 	private constructor({leaving, mesh}: LeavingNewsOptions) {
-		this.owned.add(leaving.onDidSay(serverId => {
+		this.owned.add(leaving.onDidServerReport(serverId => {
 			mesh.broadcast({type: 'leavingServers', serverIds: [serverId]});
 		}));
 		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
 			if (message.type === 'leavingServers') {
-				leaving.hear(message.serverIds, hostId);
+				leaving.handlePeerReport(message.serverIds, hostId);
 			}
 		}));
 		this.owned.add(mesh.onDidConnect(hostId => {
--- a/src/peers/node/limit-news.test.ts
+++ b/src/peers/node/limit-news.test.ts
@@ -12,7 +12,7 @@
 	LimitNews.create({
 		limits: {
 			onDidLearn: learned.event,
-			hear(news) {
+			handlePeerReport(news) {
 				heard.push(...news);
 			},
 			all: () => known,
--- a/src/peers/node/limit-news.ts
+++ b/src/peers/node/limit-news.ts
@@ -7,7 +7,7 @@
 
 /** What the news are made of. */
 export type LimitNewsOptions = {
-	readonly limits: Pick<ServerLimits, 'onDidLearn' | 'hear' | 'all'>;
+	readonly limits: Pick<ServerLimits, 'onDidLearn' | 'handlePeerReport' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 	readonly clock: Clock;
 };
@@ -26,7 +26,7 @@
 		}));
 		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
 			if (message.type === 'serverLimits') {
-				limits.hear(message.limits, hostId, clock.nowMs());
+				limits.handlePeerReport(message.limits, hostId, clock.nowMs());
 			}
 		}));
 		this.owned.add(mesh.onDidConnect(hostId => {
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -37,7 +37,7 @@
 	readonly board: DeploymentTracker;
 	readonly registry: ServerRegistry;
 	/** Learns what servers say of themselves. */
-	readonly notices: Pick<ServerNotices, 'answered'>;
+	readonly notices: Pick<ServerNotices, 'handleResponse'>;
 	readonly bounds: Pick<SendBounds, 'allowance' | 'sent'>;
 	readonly protocol: BatchProtocol;
 	readonly budget: WindowedBudget;
@@ -176,7 +176,7 @@
 		bounds.sent(server, call.sentMs);
 		const limit = TimeLimit.create(clock, call.limitMs - clock.nowMs(), this.controller.signal);
 		const answer = await collectResponse(lane, optionsOf(protocol.encodeRun(call, clock.nowMs())), limit.signal, head => {
-			notices.answered(server, protocol.readNotice(head), call.sentMs, clock.nowMs());
+			notices.handleResponse(server, protocol.readNotice(head), call.sentMs, clock.nowMs());
 		});
 		const isGivenUp = limit.signal.aborted;
 		limit.dispose();
@@ -244,7 +244,7 @@
 		const sentMs = clock.nowMs();
 		bounds.sent(server, sentMs);
 		const answer = await collectResponse(lane, optionsOf(protocol.encodeRelease(handles, server)), limit.signal, head => {
-			notices.answered(server, protocol.readNotice(head), sentMs, clock.nowMs());
+			notices.handleResponse(server, protocol.readNotice(head), sentMs, clock.nowMs());
 		});
 		limit.dispose();
 		if (answer.ok) {
--- a/src/preparation/node/result-releases.test.ts
+++ b/src/preparation/node/result-releases.test.ts
@@ -13,7 +13,7 @@
 	const sent: string[][] = [];
 	const gone: string[][] = [];
 	const releases = ResultReleases.create({
-		registry: {get: () => state.isListed ? server : undefined, takesNew: () => !state.isDrained},
+		registry: {get: () => state.isListed ? server : undefined, acceptsNewWork: () => !state.isDrained},
 		resultTtlMs: () => 4000,
 		mayGet: () => state.mayGet,
 		async send(_, handles) {
@@ -81,7 +81,7 @@
 	const clock = ManualClock.create();
 	let tries = 0;
 	const releases: ResultReleases = ResultReleases.create({
-		registry: {get: () => server, takesNew: () => true},
+		registry: {get: () => server, acceptsNewWork: () => true},
 		resultTtlMs: () => 4000,
 		mayGet: () => true,
 		async send(_, handles) {
--- a/src/preparation/node/result-releases.ts
+++ b/src/preparation/node/result-releases.ts
@@ -12,7 +12,7 @@
 
 /** What releases are made of. */
 export type ResultReleasesOptions = {
-	readonly registry: Pick<ServerRegistry, 'get' | 'takesNew'>;
+	readonly registry: Pick<ServerRegistry, 'get' | 'acceptsNewWork'>;
 	/** How long upstreams keep results that nobody releases. */
 	readonly resultTtlMs: () => number;
 	/** Whether a release may go to an upstream now. */
@@ -76,14 +76,14 @@
 		const due = [...this.gathered];
 		for (const [serverId, {handles, sinceMs}] of due) {
 			const server = registry.get(serverId);
-			if (server && registry.takesNew(server) && !mayGet(server) && !this.isOver(sinceMs)) {
+			if (server && registry.acceptsNewWork(server) && !mayGet(server) && !this.isOver(sinceMs)) {
 				continue;
 			}
 
 			this.gathered.delete(serverId);
 			if (!server) {
 				gone(serverId, handles);
-			} else if (registry.takesNew(server) && mayGet(server)) {
+			} else if (registry.acceptsNewWork(server) && mayGet(server)) {
 				void send(server, handles);
 			}
 		}
--- a/src/routing/common/send-bounds.test.ts
+++ b/src/routing/common/send-bounds.test.ts
@@ -14,9 +14,9 @@
 	};
 	const changed = Emitter.create<ServerChange>();
 	const bounds = SendBounds.create({
-		registry: {coldLeftMs: () => state.coldLeftMs, takesNew: () => !state.isDrained, onDidChange: changed.event},
+		registry: {remainingColdMs: () => state.coldLeftMs, acceptsNewWork: () => !state.isDrained, onDidChange: changed.event},
 		limits: {limitOf: () => state.limit, forget: () => undefined},
-		rests: {leftMs: () => state.restMs, forget: () => undefined},
+		rests: {remainingMs: () => state.restMs, forget: () => undefined},
 		share: SendShare.create(() => ({own, hosts, isSettled: state.isSettled})),
 		cold: {excess: 1.5, tolerance: 5},
 		bearsPerS: () => 4,
--- a/src/routing/common/send-bounds.ts
+++ b/src/routing/common/send-bounds.ts
@@ -30,10 +30,10 @@
 
 /** What decides. */
 export type SendBoundsOptions = {
-	readonly registry: Pick<ServerRegistry, 'coldLeftMs' | 'takesNew' | 'onDidChange'>;
+	readonly registry: Pick<ServerRegistry, 'remainingColdMs' | 'acceptsNewWork' | 'onDidChange'>;
 	readonly limits: Pick<ServerLimits, 'limitOf' | 'forget'>;
 	/** Servers that want nothing from this host for a while. */
-	readonly rests: Pick<ServerBackoffs, 'leftMs' | 'forget'>;
+	readonly rests: Pick<ServerBackoffs, 'remainingMs' | 'forget'>;
 	/** This host's part of what all may send. */
 	readonly share: SendShare;
 	/** For cold servers, over all hosts together; these are not bounded where absent. */
@@ -81,7 +81,7 @@
 	@param nowMs - the time.
 	*/
 	allowance(server: BoundedServer, work: BoundedWork, nowMs: number): Allowance {
-		if (!this.options.registry.takesNew(server) || this.isResting(server, nowMs)) {
+		if (!this.options.registry.acceptsNewWork(server) || this.isResting(server, nowMs)) {
 			return nothing;
 		}
 
@@ -121,7 +121,7 @@
 	@param nowMs - the time.
 	*/
 	isCold({serverId}: BoundedServer, nowMs: number): boolean {
-		return this.options.cold !== undefined && this.options.registry.coldLeftMs(serverId, nowMs) > 0;
+		return this.options.cold !== undefined && this.options.registry.remainingColdMs(serverId, nowMs) > 0;
 	}
 
 	/**
@@ -139,7 +139,7 @@
 	@param nowMs - the time.
 	*/
 	isResting({serverId}: BoundedServer, nowMs: number): boolean {
-		return this.options.rests.leftMs(serverId, nowMs) > 0;
+		return this.options.rests.remainingMs(serverId, nowMs) > 0;
 	}
 
 	/**
@@ -154,9 +154,9 @@
 
 	/** When a server takes more, about: once it has rested and is warm, or at its next request. */
 	private freeInMs(server: BoundedServer, nowMs: number): number {
-		const restMs = this.options.rests.leftMs(server.serverId, nowMs);
+		const restMs = this.options.rests.remainingMs(server.serverId, nowMs);
 		if (!this.isLimited(server, nowMs)) {
-			return Math.max(restMs, this.options.registry.coldLeftMs(server.serverId, nowMs));
+			return Math.max(restMs, this.options.registry.remainingColdMs(server.serverId, nowMs));
 		}
 
 		const bounds = this.boundsOf(server, nowMs);
--- a/src/routing/common/sleep.test.ts
+++ b/src/routing/common/sleep.test.ts
@@ -58,11 +58,11 @@
 			serverId: 's', instanceId: 's', startedMs: 0, pool: 'p', address: '127.0.0.1', port: 1, hall: 'a', slots: 1, isLeaving: false, coldLeftMs: 3000, revision: 1,
 		}],
 	}, clock.nowMs());
-	t.equal(registry.coldLeftMs('s', clock.nowMs()), 3000);
+	t.equal(registry.remainingColdMs('s', clock.nowMs()), 3000);
 	clock.sleep(2000);
-	t.equal(registry.coldLeftMs('s', clock.nowMs()), 1000);
+	t.equal(registry.remainingColdMs('s', clock.nowMs()), 1000);
 	clock.sleep(2000);
-	t.equal(registry.coldLeftMs('s', clock.nowMs()), 0);
+	t.equal(registry.remainingColdMs('s', clock.nowMs()), 0);
 });
 
 t.test('sends to a cold upstream are as long ago as the world says', async t => {
@@ -111,18 +111,18 @@
 	const limits = ServerLimits.create({random: SeededRandom.create(1), log: silentLoggers.for('test'), metrics: noMetrics});
 	const server = {serverId: 's', pool: 'p', hall: 'a'};
 	const bounds = SendBounds.create({
-		registry: {coldLeftMs: () => 0, takesNew: () => true, onDidChange: () => ({dispose: () => undefined})},
+		registry: {remainingColdMs: () => 0, acceptsNewWork: () => true, onDidChange: () => ({dispose: () => undefined})},
 		limits,
-		rests: {leftMs: () => 0, forget: () => undefined},
+		rests: {remainingMs: () => 0, forget: () => undefined},
 		share: SendShare.create(() => ({own: 'a', hosts: ['a', 'b'], isSettled: false})),
 		cold: undefined,
 		bearsPerS: () => 0,
 	});
-	limits.answered(server, {kind: 'named', perS: 1}, clock.nowMs(), clock.nowMs());
+	limits.handleResponse(server, {kind: 'named', perS: 1}, clock.nowMs(), clock.nowMs());
 	t.notOk(bounds.mayGet(server, directWork, clock.nowMs()));
 	clock.sleep(20_000);
 	t.ok(bounds.mayGet(server, directWork, clock.nowMs()));
-	limits.answered(server, {kind: 'none'}, clock.nowMs(), clock.nowMs());
+	limits.handleResponse(server, {kind: 'none'}, clock.nowMs(), clock.nowMs());
 	clock.sleep(10_000);
 	t.equal(limits.limitOf('s', clock.nowMs()), undefined);
 });
@@ -130,9 +130,9 @@
 t.test('a rest that was asked for before a sleep goes on while the host sleeps, and is over on waking if its time is', async t => {
 	const clock = ManualClock.create();
 	const rests = ServerBackoffs.create({log: silentLoggers.for('test'), metrics: noMetrics});
-	rests.answered({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
+	rests.handleResponse({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
 	clock.sleep(2000);
-	t.equal(rests.leftMs('s', clock.nowMs()), 1000);
+	t.equal(rests.remainingMs('s', clock.nowMs()), 1000);
 	clock.sleep(2000);
-	t.equal(rests.leftMs('s', clock.nowMs()), 0);
+	t.equal(rests.remainingMs('s', clock.nowMs()), 0);
 });
