--- a/src/deployment/common/server-limits.test.ts
+++ b/src/deployment/common/server-limits.test.ts
@@ -23,11 +23,11 @@
 		clock,
 		limits,
 		reported,
-		answered(reading: LimitReading, sentAgoMs = 0) {
+		respond(reading: LimitReading, sentAgoMs = 0) {
 			limits.handleResponse(server, reading, clock.nowMs() - sentAgoMs, clock.nowMs());
 		},
 		perS: () => limits.limitOf(server.serverId, clock.nowMs())?.perS,
-		hear(update: Partial<LimitUpdate>) {
+		receive(update: Partial<LimitUpdate>) {
 			limits.handlePeerReport([{
 				serverId: server.serverId, perS: 1, namedAgoMs: 0, ...update,
 			}], 'peer', clock.nowMs());
@@ -36,32 +36,32 @@
 }
 
 t.test('a limit is in force from its first announcement for as long as it is announced; changes are reported to peers', async t => {
-	const {clock, answered, perS, reported} = makeLimits();
+	const {clock, respond, perS, reported} = makeLimits();
 	t.equal(perS(), undefined);
-	answered(named(2));
+	respond(named(2));
 	t.equal(perS(), 2);
 	clock.advance(100);
-	answered(named(2));
+	respond(named(2));
 	t.equal(reported.length, 1, 'nothing has changed');
 	clock.advance(150);
-	answered(named(0.5));
+	respond(named(0.5));
 	t.equal(perS(), 0.5);
 	t.match(reported.at(-1), {serverId: 's@1', perS: 0.5, namedAgoMs: 0});
 	clock.advance(5000);
-	answered(named(0.5));
+	respond(named(0.5));
 	t.equal(reported.length, 3, 'it is reported at intervals that the limit is still in force');
 	clock.advance(60_000);
 	t.equal(perS(), 0.5, 'no response has ended it');
 });
 
 t.test('a response without a limit ends it only if its call was sent after the last response with one; the end takes effect after a delay', async t => {
-	const {clock, answered, perS, reported} = makeLimits();
-	answered(named(1));
+	const {clock, respond, perS, reported} = makeLimits();
+	respond(named(1));
 	clock.advance(50);
-	answered(none, 80);
+	respond(none, 80);
 	clock.advance(maxEndDelayMs);
 	t.equal(perS(), 1, 'the calls overlapped');
-	answered(none);
+	respond(none);
 	t.match(reported.at(-1), {endedAgoMs: 0, namedAgoMs: maxEndDelayMs + 50});
 	clock.advance(1999);
 	t.equal(perS(), 1);
@@ -70,22 +70,22 @@
 });
 
 t.test('a limit that is announced again before its end takes effect stays in force', async t => {
-	const {clock, answered, perS} = makeLimits();
-	answered(named(1));
+	const {clock, respond, perS} = makeLimits();
+	respond(named(1));
 	clock.advance(10);
-	answered(none);
+	respond(none);
 	clock.advance(500);
-	answered(named(1));
+	respond(named(1));
 	clock.advance(60_000);
 	t.equal(perS(), 1);
 });
 
 t.test('hosts end a limit at different times, and a low limit later', async t => {
 	const endOf = (seed: number, limitPerS: number) => {
-		const {clock, answered, perS} = makeLimits(seed);
-		answered(named(limitPerS));
+		const {clock, respond, perS} = makeLimits(seed);
+		respond(named(limitPerS));
 		clock.advance(10);
-		answered(none);
+		respond(none);
 		const startMs = clock.nowMs();
 		while (perS() !== undefined) {
 			clock.advance(10);
@@ -102,57 +102,57 @@
 });
 
 t.test('reports of peers count by their stated age: an end is ignored if the limit was announced later, and a limit if it ended later', async t => {
-	const {clock, answered, hear, perS, reported} = makeLimits();
-	hear({perS: 3, namedAgoMs: 200});
+	const {clock, respond, receive, perS, reported} = makeLimits();
+	receive({perS: 3, namedAgoMs: 200});
 	t.equal(perS(), 3);
 	t.equal(reported.length, 0, 'it is not passed on');
-	hear({perS: 7, namedAgoMs: 900});
+	receive({perS: 7, namedAgoMs: 900});
 	t.equal(perS(), 3, 'an older report');
-	hear({endedAgoMs: 300});
+	receive({endedAgoMs: 300});
 	clock.advance(maxEndDelayMs);
 	t.equal(perS(), 3, 'announced since');
 	clock.advance(10);
-	answered(none);
-	hear({perS: 3, namedAgoMs: 20});
+	respond(none);
+	receive({perS: 3, namedAgoMs: 20});
 	clock.advance(maxEndDelayMs);
 	t.equal(perS(), undefined, 'announced before it ended');
 });
 
 t.test('an end that a peer reports takes effect unless the limit is announced meanwhile', async t => {
-	const {clock, answered, hear, perS} = makeLimits();
-	answered(named(1));
+	const {clock, respond, receive, perS} = makeLimits();
+	respond(named(1));
 	clock.advance(1000);
-	hear({endedAgoMs: 5});
+	receive({endedAgoMs: 5});
 	clock.advance(100);
-	answered(named(1));
+	respond(named(1));
 	clock.advance(60_000);
 	t.equal(perS(), 1);
-	hear({endedAgoMs: 5});
+	receive({endedAgoMs: 5});
 	clock.advance(maxEndDelayMs);
 	t.equal(perS(), undefined);
 });
 
 t.test('a server that is gone has no limit; a later start of it has its own', async t => {
-	const {clock, limits, answered, perS} = makeLimits();
-	answered(named(1));
+	const {clock, limits, respond, perS} = makeLimits();
+	respond(named(1));
 	limits.forget(server.serverId);
 	t.equal(perS(), undefined);
 	t.same(limits.all(clock.nowMs()), []);
 });
 
 t.test('known limits age while the host is suspended', async t => {
-	const {clock, limits, answered} = makeLimits();
-	answered(named(1));
+	const {clock, limits, respond} = makeLimits();
+	respond(named(1));
 	clock.sleep(9000);
 	t.same(limits.all(clock.nowMs()), [{serverId: 's@1', perS: 1, namedAgoMs: 9000}]);
 });
 
 t.test('limits that can\'t be parsed and those of other servers change nothing; the number of limits is bounded', async t => {
-	const {clock, limits, answered, perS} = makeLimits();
-	answered(named(1));
+	const {clock, limits, respond, perS} = makeLimits();
+	respond(named(1));
 	clock.advance(10);
-	answered({kind: 'unreadable', text: 'x'.repeat(5000)});
-	answered({kind: 'silent'});
+	respond({kind: 'unreadable', text: 'x'.repeat(5000)});
+	respond({kind: 'silent'});
 	clock.advance(maxEndDelayMs * 5);
 	t.equal(perS(), 1);
 	for (let index = 0; index < 5000; index++) {
@@ -169,23 +169,23 @@
 */
 t.test('a limit that changes with each response is reported a few times per second, and its latest state reaches the peers', async t => {
 	for (const limitOf of [(index: number) => 100 + (index / 1000), (index: number) => index % 2 === 0 ? 100 : undefined]) {
-		const {clock, answered, perS, reported} = makeLimits();
+		const {clock, respond, perS, reported} = makeLimits();
 		for (let index = 0; index < 1000; index++) {
 			const limitPerS = limitOf(index);
-			answered(limitPerS === undefined ? none : named(limitPerS));
+			respond(limitPerS === undefined ? none : named(limitPerS));
 			clock.advance(1);
 		}
 
 		t.ok(reported.length <= 5, `${reported.length} reports in a second`);
 		clock.advance(500);
-		answered(named(7));
+		respond(named(7));
 		t.equal(perS(), 7);
 		t.match(reported.at(-1), {perS: 7});
 		t.equal(reported.at(-1)!.endedAgoMs, undefined);
 		clock.advance(10);
-		answered(none);
+		respond(none);
 		clock.advance(500);
-		answered(none);
+		respond(none);
 		t.not(reported.at(-1)!.endedAgoMs, undefined, 'the end is reported as well');
 	}
 });
--- a/src/deployment/node/connection-pool.test.ts
+++ b/src/deployment/node/connection-pool.test.ts
@@ -17,7 +17,7 @@
 const maxConnections = 8;
 
 /** Responds according to the path: `/whole/…` normally, `/close/…` closes the connection afterwards, `/never/…` sends nothing, `/reset/…` resets the connection partway. */
-function answer(path: string, response: ServerResponse): void {
+function respond(path: string, response: ServerResponse): void {
 	const [, how] = path.split('/');
 	switch (how) {
 		case 'never': {
@@ -49,7 +49,7 @@
 	let connections = 0;
 	const server = createServer((request, response) => {
 		seen.add(request.url ?? '');
-		answer(request.url ?? '', response);
+		respond(request.url ?? '', response);
 	});
 	server.on('connection', () => {
 		connections++;
@@ -83,14 +83,14 @@
 async function callAfterAbort({seen, call}: Upstream, name: string) {
 	const controller = new AbortController();
 	const path = `/never/${name}`;
-	const cut = call(path, controller.signal);
+	const aborted = call(path, controller.signal);
 	while (!seen.has(path)) {
 		await sleep(1);
 	}
 
 	controller.abort();
 	const next = call(`/whole/${name}`);
-	await cut;
+	await aborted;
 	return next;
 }
 
@@ -100,10 +100,10 @@
 t.test('the head of a response is reported as soon as it arrives, even if the body fails', async t => {
 	const {pool} = await makeUpstream(t);
 	const heads: number[] = [];
-	const answer = await collectResponse(pool.acquire(true)!, {method: 'POST', path: '/reset/1', body: 'x'}, new AbortController().signal, ({status}) => {
+	const response = await collectResponse(pool.acquire(true)!, {method: 'POST', path: '/reset/1', body: 'x'}, new AbortController().signal, ({status}) => {
 		heads.push(status);
 	});
-	t.equal(answer.ok, false);
+	t.equal(response.ok, false);
 	t.same(heads, [200]);
 });
 
--- a/src/deployment/node/feed-follower.test.ts
+++ b/src/deployment/node/feed-follower.test.ts
@@ -75,9 +75,9 @@
 });
 
 /** Follows a source whose calls the test answers; records the calls and the callbacks of the follower. */
-function followByHand(clock: ManualClock) {
+function followManually(clock: ManualClock) {
 	const events: string[] = [];
-	const answers: Array<(answer: Outcome<FeedChanges<string>, FeedFailure>) => void> = [];
+	const pendingCalls: Array<(outcome: Outcome<FeedChanges<string>, FeedFailure>) => void> = [];
 	const follower = makeFollower({
 		source: {
 			async readAll() {
@@ -88,7 +88,7 @@
 			async readChanges(revision, waitMs) {
 				events.push(`since ${revision} for ${waitMs} ms`);
 				return new Promise(resolve => {
-					answers.push(resolve);
+					pendingCalls.push(resolve);
 				});
 			},
 		},
@@ -104,8 +104,8 @@
 	return {
 		follower,
 		events,
-		async answer(outcome: Outcome<FeedChanges<string>, FeedFailure>, pauseMs = 1000) {
-			answers.shift()!(outcome);
+		async respond(outcome: Outcome<FeedChanges<string>, FeedFailure>, pauseMs = 1000) {
+			pendingCalls.shift()!(outcome);
 			await turn();
 			clock.advance(pauseMs);
 			await turn();
@@ -125,12 +125,12 @@
 period of missing entries then starts late and exceeds the time for which a leaving server may get work.
 */
 t.test('the store does not hold the call that checks whether it is available again', async t => {
-	const {follower, events, answer} = followByHand(ManualClock.create());
+	const {follower, events, respond} = followManually(ManualClock.create());
 	await turn();
-	await answer(noResponse);
-	await answer(noResponse);
+	await respond(noResponse);
+	await respond(noResponse);
 	t.equal(events.at(-1), 'since 7 for 0 ms');
-	await answer(nothingNew);
+	await respond(nothingNew);
 	t.same(events.slice(-2), ['returned', 'since 7 for 1000 ms']);
 	follower.dispose();
 });
@@ -142,17 +142,17 @@
 */
 t.test('one call without a response is retried immediately, and is not treated as an outage of the store', async t => {
 	const clock = ManualClock.create();
-	const {follower, events, answer} = followByHand(clock);
+	const {follower, events, respond} = followManually(clock);
 	await turn();
-	await answer(noResponse, 0);
+	await respond(noResponse, 0);
 	t.equal(events.length, 2);
 	t.equal(events.includes('lost'), false);
 	t.equal(follower.isCurrent, false, 'peers may be more up to date meanwhile');
-	await answer(nothingNew);
+	await respond(nothingNew);
 	t.equal(events.includes('returned'), false);
 	t.equal(follower.isCurrent, true);
-	await answer(noResponse);
-	await answer(noResponse);
+	await respond(noResponse);
+	await respond(noResponse);
 	t.equal(events.filter(event => event === 'lost').length, 1);
 	follower.dispose();
 });
