--- a/src/deployment/node/feed-follower.test.ts
+++ b/src/deployment/node/feed-follower.test.ts
@@ -180,7 +180,7 @@
 				held.push(signal);
 				return new Promise(resolve => {
 					signal.addEventListener('abort', () => {
-						resolve(fail({code: 'away', message: 'cancelled'}));
+						resolve(fail({code: 'away', message: 'the call was cancelled'}));
 					}, {once: true});
 				});
 			},
@@ -286,7 +286,7 @@
 				calls.push(call);
 				return new Promise(resolve => {
 					call.signal.addEventListener('abort', () => {
-						resolve(fail({code: 'away', message: 'cancelled'}));
+						resolve(fail({code: 'away', message: 'the call was cancelled'}));
 					}, {once: true});
 				});
 			},
@@ -336,7 +336,7 @@
 				calls.push(`held for ${waitMs}`);
 				return new Promise(resolve => {
 					signal.addEventListener('abort', () => {
-						resolve(fail({code: 'away', message: 'cancelled'}));
+						resolve(fail({code: 'away', message: 'the call was cancelled'}));
 					});
 				});
 			},
