--- a/src/deployment/common/deployment-patch.test.ts
+++ b/src/deployment/common/deployment-patch.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import {silentLoggers} from '../../base/common/logger.js';
 import type {Deployment, Route} from './declaration.js';
-import {DeploymentBoard} from './deployment-board.js';
+import {DeploymentTracker} from './deployment-tracker.js';
 import {applyDeploymentPatch, deploymentPatchSchema, type DeploymentPatch} from './deployment-patch.js';
 import {applyListPatch, makeListPatch} from './list-patch.js';
 
@@ -23,13 +23,13 @@
 	});
 }
 
-/** As a peer gets it. */
+/** Returns a patch as a peer receives it. */
 function overTheWire(patch: DeploymentPatch | undefined): DeploymentPatch {
 	const text = JSON.stringify(patch);
 	return deploymentPatchSchema.parse(JSON.parse(text));
 }
 
-t.test('a list made from its patch is the list, whatever was added, dropped, moved or doubled', async t => {
+t.test('applying the patch between two lists gives the second, whatever was added, removed, moved or duplicated', async t => {
 	const items = Array.from({length: 8}, (_, index) => ({index}));
 	const lists = fc.array(fc.constantFrom(...items), {maxLength: 12});
 	fc.assert(fc.property(lists, lists, (before, after) => {
@@ -39,30 +39,30 @@
 	}), {seed: 1, numRuns: 300});
 });
 
-t.test('a version made from the patch of any kept version is the version', async t => {
+t.test('applying the patch from any kept version gives the current version', async t => {
 	const names = fc.uniqueArray(fc.constantFrom(...'abcdefgh'), {maxLength: 8});
 	const versions = fc.array(fc.tuple(names, fc.constantFrom(100, 200)), {minLength: 1, maxLength: 6});
 	fc.assert(fc.property(versions, drawn => {
-		const board = DeploymentBoard.create(silentLoggers.for('test'));
+		const tracker = DeploymentTracker.create(silentLoggers.for('test'));
 		const deployments = drawn.map(([routes, targetMs], index) => deploymentOf(index + 1, routes.map(name => routeOf(name, targetMs))));
 		for (const deployment of deployments) {
-			board.offer(deployment, 'store');
+			tracker.offer(deployment, 'store');
 		}
 
 		const newest = deployments.at(-1)!;
 		for (const before of [undefined, ...deployments]) {
-			const made = applyDeploymentPatch(before, overTheWire(board.patchFrom(before?.version ?? 0)));
+			const made = applyDeploymentPatch(before, overTheWire(tracker.patchFrom(before?.version ?? 0)));
 			t.same(made, {ok: true, value: newest});
 		}
 	}), {seed: 1, numRuns: 60});
 });
 
-t.test('what did not change is not told again', async t => {
-	const board = DeploymentBoard.create(silentLoggers.for('test'));
+t.test('a patch leaves out what did not change', async t => {
+	const tracker = DeploymentTracker.create(silentLoggers.for('test'));
 	const routes = Array.from({length: 100}, (_, index) => routeOf(`r${index}`));
-	board.offer(deploymentOf(1, routes), 'store');
-	board.offer(deploymentOf(2, [...routes.slice(0, 40), routeOf('r40', 200), ...routes.slice(41)]), 'store');
-	t.match(board.patchFrom(1), {
+	tracker.offer(deploymentOf(1, routes), 'store');
+	tracker.offer(deploymentOf(2, [...routes.slice(0, 40), routeOf('r40', 200), ...routes.slice(41)]), 'store');
+	t.match(tracker.patchFrom(1), {
 		baseVersion: 1,
 		version: 2,
 		routes: [{from: 0, count: 40}, {items: [{name: 'r40', targetMs: 200}]}, {from: 41, count: 59}],
@@ -70,19 +70,19 @@
 	});
 });
 
-t.test('a peer whose version is not kept gets everything', async t => {
-	const board = DeploymentBoard.create(silentLoggers.for('test'));
-	t.equal(board.patchFrom(0), undefined, 'nothing is known yet');
+t.test('a peer whose version is not kept gets the whole declaration', async t => {
+	const tracker = DeploymentTracker.create(silentLoggers.for('test'));
+	t.equal(tracker.patchFrom(0), undefined, 'no version is known yet');
 	for (let version = 1; version <= 30; version++) {
-		board.offer(deploymentOf(version, [routeOf('a')]), 'store');
+		tracker.offer(deploymentOf(version, [routeOf('a')]), 'store');
 	}
 
-	t.equal(board.patchFrom(1)?.baseVersion, 0);
-	t.equal(board.patchFrom(29)?.baseVersion, 29);
-	t.equal(board.patchFrom(77)?.baseVersion, 0);
+	t.equal(tracker.patchFrom(1)?.baseVersion, 0);
+	t.equal(tracker.patchFrom(29)?.baseVersion, 29);
+	t.equal(tracker.patchFrom(77)?.baseVersion, 0);
 });
 
-t.test('a patch of another version, or one that names what is not there, changes nothing', async t => {
+t.test('a patch for another version, or one that refers to missing items, is rejected', async t => {
 	const patch: DeploymentPatch = {
 		baseVersion: 3, version: 4, routes: [{from: 0, count: 2}], pools: [], limits,
 	};
--- a/src/deployment/common/leaving-servers.test.ts
+++ b/src/deployment/common/leaving-servers.test.ts
@@ -4,32 +4,32 @@
 
 function makeLeaving() {
 	const leaving = LeavingServers.create(silentLoggers.for('test'));
-	const said: string[] = [];
+	const reported: string[] = [];
 	const learned: string[] = [];
-	leaving.onDidSay(serverId => {
-		said.push(serverId);
+	leaving.onDidServerReport(serverId => {
+		reported.push(serverId);
 	});
 	leaving.onDidLearn(serverId => {
 		learned.push(serverId);
 	});
-	return {leaving, said, learned};
+	return {leaving, reported, learned};
 }
 
-t.test('what a server says is learned once; only what it said here is told to peers', async t => {
-	const {leaving, said, learned} = makeLeaving();
-	leaving.said({serverId: 'a', pool: 'p'});
-	leaving.said({serverId: 'a', pool: 'p'});
-	leaving.hear(['a', 'b'], 'peer');
-	leaving.said({serverId: 'b', pool: 'p'});
-	t.same(said, ['a']);
+t.test('a server is recorded once; only a report that it made to this host first is passed on to peers', async t => {
+	const {leaving, reported, learned} = makeLeaving();
+	leaving.handleServerReport({serverId: 'a', pool: 'p'});
+	leaving.handleServerReport({serverId: 'a', pool: 'p'});
+	leaving.handlePeerReport(['a', 'b'], 'peer');
+	leaving.handleServerReport({serverId: 'b', pool: 'p'});
+	t.same(reported, ['a']);
 	t.same(learned, ['a', 'b']);
 	t.ok(leaving.has('b'));
 	t.notOk(leaving.has('c'));
 });
 
-t.test('what is remembered is bounded; the oldest is forgotten', async t => {
+t.test('the number of remembered servers is bounded; the oldest is evicted', async t => {
 	const {leaving} = makeLeaving();
-	leaving.hear(Array.from({length: 2001}, (_, index) => `s${index}`), 'peer');
+	leaving.handlePeerReport(Array.from({length: 2001}, (_, index) => `s${index}`), 'peer');
 	t.equal(leaving.all.length, 2000);
 	t.notOk(leaving.has('s0'));
 	t.ok(leaving.has('s2000'));
--- a/src/deployment/common/pool-views.ts
+++ b/src/deployment/common/pool-views.ts
@@ -1,17 +1,17 @@
-/** The servers of each pool that may get work, kept until something about servers changes: they are asked for with each request. */
+/** Caches the servers of each pool that may get work until something about servers changes: they are looked up for each request. */
 import type {ListedServer, UpstreamServer} from './upstream-server.js';
 
-/** What the views are made of. */
+/** Options of `PoolViews`. */
 export type PoolViewsOptions = {
 	/** All servers that are listed. */
 	readonly servers: ReadonlyMap<string, ListedServer>;
 	/** Whether a server's entry is missing and may still come back. */
 	readonly isMissing: (serverId: string) => boolean;
-	/** Whether a server may get anything new. */
-	readonly takesNew: (server: UpstreamServer) => boolean;
+	/** Whether a server may get new work. */
+	readonly acceptsNewWork: (server: UpstreamServer) => boolean;
 };
 
-/** Gives the servers of pools. */
+/** Provides the servers of pools. */
 export class PoolViews {
 	static create(options: PoolViewsOptions): PoolViews {
 		return new PoolViews(options);
@@ -21,23 +21,23 @@
 
 	private constructor(private readonly options: PoolViewsOptions) {}
 
-	/** Something about servers has changed. */
-	changed(): void {
+	/** Discards the cached views after a change to any server. */
+	invalidate(): void {
 		this.views = new Map();
 	}
 
 	/**
-	Gives the servers of a pool that may get new work.
-	@param pool - the pool's name.
+	Returns the servers of a pool that may get new work. Servers with a missing entry are included only if most of the pool's entries are missing.
+	@param pool - name of the pool.
 	*/
 	usable(pool: string): readonly UpstreamServer[] {
 		let view = this.views.get(pool);
 		if (!view) {
-			const {isMissing, takesNew} = this.options;
-			const staying = this.serversOf(pool).filter(server => takesNew(server));
-			const listed = staying.filter(({serverId}) => !isMissing(serverId));
-			const isMostMissing = staying.length > 2 * listed.length;
-			view = isMostMissing ? staying : listed;
+			const {isMissing, acceptsNewWork} = this.options;
+			const accepting = this.serversOf(pool).filter(server => acceptsNewWork(server));
+			const listed = accepting.filter(({serverId}) => !isMissing(serverId));
+			const isMostMissing = accepting.length > 2 * listed.length;
+			view = isMostMissing ? accepting : listed;
 			this.views.set(pool, view);
 		}
 
@@ -45,8 +45,8 @@
 	}
 
 	/**
-	Tells whether a pool has servers, and none of them may get anything new.
-	@param pool - the pool's name.
+	Returns whether a pool has servers, but none of them may get new work.
+	@param pool - name of the pool.
 	*/
 	isClosed(pool: string): boolean {
 		return this.usable(pool).length === 0 && this.serversOf(pool).length > 0;
--- a/src/deployment/common/server-limits.ts
+++ b/src/deployment/common/server-limits.ts
@@ -1,104 +1,105 @@
 /**
-Which servers name a limit in their answers: the requests a second that they take from all hosts together, for as long as they say so.
-
-Few hosts get the answers of a limited server, so hosts tell each other when a limit begins, changes and ends, and now and then
-that it is still named. Answers cross: one without a limit ends it only if its call was sent after the last answer with
-a limit had come. What a peer tells of an end counts only where nothing later is known here, and an end takes effect
-after a while, on one host after the other, so that a word that came late does no harm: the next answer with a limit
-takes it back. A limit that nobody repeats stays in force; `quietMs` tells whoever may send when to look whether it still holds.
+Tracks which servers announce a rate limit in their responses: the requests per second that they accept from all hosts together, for as long as
+they announce it.
+
+Few hosts receive the responses of a limited server, so hosts report to each other when a limit begins, changes and ends, and at intervals
+that it is still announced. Responses may overlap: one without a limit ends the limit only if its call was sent after the last response with
+a limit had arrived. A peer's report of an end counts only if nothing later is known here. An end takes effect after a delay that differs from
+host to host, so that a late report does no harm: the next response with a limit revokes it. A limit that is not announced again stays
+in force; `sinceAnnouncedMs` shows senders when to probe whether it still applies.
 */
 import type {InjectionToken} from 'tsyringe';
 import {Emitter} from '../../base/common/emitter.js';
 import type {Logger} from '../../base/common/logger.js';
 import type {Metrics} from '../../base/common/metrics.js';
 import type {Random} from '../../base/common/random.js';
-import {ToldOnce} from './told-once.js';
+import {LoggedOnce} from './logged-once.js';
 import type {UpstreamServer} from './upstream-server.js';
 
-/** What an answer says of its server's limit. */
+/** What a response says about the rate limit of its server. */
 export type LimitReading
 	= | {readonly kind: 'named'; readonly perS: number}
 		| {readonly kind: 'none'}
-	/** A limit that makes no sense. */
+	/** A limit that can't be parsed. */
 		| {readonly kind: 'unreadable'; readonly text: string}
-	/** The answer is of another server, or none that would name a limit. */
+	/** The response is from another server, or of a kind that would not announce a limit. */
 		| {readonly kind: 'silent'};
 
-/** A limit as it stands. */
+/** A rate limit that is in force. */
 export type ServerLimit = {
 	readonly perS: number;
-	/** Time since an answer that named it came to any host, as far as is known. */
-	readonly quietMs: number;
+	/** Time since a response that announced it reached any host, as far as is known. */
+	readonly sinceAnnouncedMs: number;
 };
 
-/** What hosts tell each other of a limit. */
-export type LimitNews = {
+/** What hosts report to each other about a limit. */
+export type LimitUpdate = {
 	readonly serverId: string;
 	readonly perS: number;
-	/** Time since an answer named it. */
+	/** Time since a response announced it. */
 	readonly namedAgoMs: number;
-	/** Time since a call was sent whose answer no longer named it; absent while it is in force. */
+	/** Time since a call was sent whose response no longer announced it; absent while it is in force. */
 	readonly endedAgoMs?: number;
 };
 
-/** A limit that is known here. */
-type Known = {
+/** A limit that is known to this host. */
+type KnownLimit = {
 	readonly perS: number;
-	readonly namedMs: number;
-	/** When the peers last heard of it, from whichever host. */
-	readonly toldMs: number;
-	/** Whether what they heard is how it stands. */
-	readonly isTold: boolean;
-	/** The call whose answer no longer named it, and until when it is in force nevertheless. */
+	readonly announcedMs: number;
+	/** When it was last reported to peers, by any host. */
+	readonly reportedMs: number;
+	/** Whether the last report matches the current state. */
+	readonly isReported: boolean;
+	/** When the call was sent whose response no longer announced it, and until when the limit stays in force nevertheless. */
 	readonly end?: {readonly sentMs: number; readonly untilMs: number};
 };
 
-/** Peers are told this often that a limit is still named: far more often than one is taken for quiet. */
-const tellAgainMs = 5000;
-/** Peers are told of changes of one limit no closer together than this: a server may name another one in each answer. */
-const tellChangeMs = 250;
-/** An end takes effect once so many requests more would have been taken, after this long at least. */
-const requestsUntilEnd = 2;
-const shortestEndMs = 2000;
-const longestEndMs = 10_000;
-/** Limits that are remembered, those of servers that are not listed yet included. */
-const mostLimits = 2000;
-const mostLoggedChars = 80;
+/** Interval at which peers get a report that a limit is still announced: much shorter than the time after which a limit is probed. */
+const repeatReportMs = 5000;
+/** Minimum interval between reports of changes to one limit: a server may announce a different one in each response. */
+const minReportIntervalMs = 250;
+/** An end takes effect after the time in which the limit allows this many further requests, within the bounds below. */
+const requestsBeforeEnd = 2;
+const minEndDelayMs = 2000;
+const maxEndDelayMs = 10_000;
+/** Maximum number of limits that are remembered, including those of servers that are not listed yet. */
+const maxLimits = 2000;
+const maxLoggedChars = 80;
 const secondMs = 1000;
 
 export const serverLimitsToken: InjectionToken<ServerLimits> = Symbol('ServerLimits');
 
-/** What the limits are made of. */
+/** Options of `ServerLimits`. */
 export type ServerLimitsOptions = {
-	/** Spreads the ends over the hosts. */
+	/** Varies the time at which a limit ends from host to host. */
 	readonly random: Random;
 	readonly log: Logger;
 	readonly metrics: Metrics;
 };
 
-/** Knows the limits that servers name. */
+/** Keeps the rate limits that servers announce. */
 export class ServerLimits {
 	static create(options: ServerLimitsOptions): ServerLimits {
 		return new ServerLimits(options);
 	}
 
-	private readonly didLearn = Emitter.create<LimitNews>();
-	/** By `serverId`; the one learned longest ago first. */
-	private readonly known = new Map<string, Known>();
-	private readonly strange = ToldOnce.create();
+	private readonly didLearn = Emitter.create<LimitUpdate>();
+	/** By `serverId`, least recently updated first. */
+	private readonly known = new Map<string, KnownLimit>();
+	private readonly loggedMalformed = LoggedOnce.create();
 
 	private constructor(private readonly options: ServerLimitsOptions) {}
 
-	/** Fires with what peers are to be told. */
+	/** Fires with what is to be reported to peers. */
 	get onDidLearn() {
 		return this.didLearn.event;
 	}
 
 	/**
-	Gives the limit of a server.
+	Returns the rate limit of a server.
 	@param serverId - the server.
-	@param nowMs - the time.
-	@returns nothing where it names none.
+	@param nowMs - current time.
+	@returns undefined if the server announces none.
 	*/
 	limitOf(serverId: string, nowMs: number): ServerLimit | undefined {
 		const known = this.known.get(serverId);
@@ -108,35 +109,35 @@
 
 		if (known.end && nowMs >= known.end.untilMs) {
 			this.known.delete(serverId);
-			this.options.log.info('A limit of an upstream is over.', {server: serverId, limitPerS: known.perS});
+			this.options.log.info('The rate limit of an upstream has ended.', {server: serverId, limitPerS: known.perS});
 			return undefined;
 		}
 
-		return {perS: known.perS, quietMs: nowMs - known.namedMs};
+		return {perS: known.perS, sinceAnnouncedMs: nowMs - known.announcedMs};
 	}
 
 	/**
-	A server has answered this host.
-	@param server - which.
-	@param reading - what its answer says of a limit.
+	Handles a response of a server to this host.
+	@param server - the server.
+	@param reading - what the response says about a limit.
 	@param sentMs - when the call was sent.
-	@param nowMs - the time.
+	@param nowMs - current time.
 	*/
-	answered({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: LimitReading, sentMs: number, nowMs: number): void {
+	handleResponse({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: LimitReading, sentMs: number, nowMs: number): void {
 		switch (reading.kind) {
 			case 'named': {
 				this.options.metrics.increment('limits.named', 1, {pool});
-				this.named(serverId, reading.perS, nowMs);
+				this.handleAnnounced(serverId, reading.perS, nowMs);
 				break;
 			}
 
 			case 'none': {
-				this.notNamed(serverId, sentMs, nowMs);
+				this.handleNotAnnounced(serverId, sentMs, nowMs);
 				break;
 			}
 
 			case 'unreadable': {
-				this.tellStrange(serverId, pool, reading.text);
+				this.logMalformed(serverId, pool, reading.text);
 				break;
 			}
 
@@ -147,127 +148,127 @@
 	}
 
 	/**
-	A peer tells of limits.
-	@param news - what it knows.
+	Handles a peer's report of limits.
+	@param updates - what the peer knows.
 	@param peer - its name, for logs.
-	@param nowMs - the time.
+	@param nowMs - current time.
 	*/
-	hear(news: readonly LimitNews[], peer: string, nowMs: number): void {
-		for (const {serverId, perS, namedAgoMs, endedAgoMs} of news) {
+	handlePeerReport(updates: readonly LimitUpdate[], peer: string, nowMs: number): void {
+		for (const {serverId, perS, namedAgoMs, endedAgoMs} of updates) {
 			if (endedAgoMs === undefined) {
-				this.heardNamed(serverId, perS, nowMs - namedAgoMs, {peer, nowMs});
+				this.handlePeerAnnounced(serverId, perS, nowMs - namedAgoMs, {peer, nowMs});
 			} else {
-				this.endedBy(serverId, {sentMs: nowMs - endedAgoMs, isTold: true}, nowMs);
+				this.startEnd(serverId, {sentMs: nowMs - endedAgoMs, isReported: true}, nowMs);
 			}
 		}
 	}
 
 	/**
-	Gives all that is known, for a peer.
-	@param nowMs - the time.
+	Returns all known limits, to be reported to a peer.
+	@param nowMs - current time.
 	*/
-	all(nowMs: number): LimitNews[] {
-		return [...this.known].map(([serverId, known]) => newsOf(serverId, known, nowMs));
+	all(nowMs: number): LimitUpdate[] {
+		return [...this.known].map(([serverId, known]) => updateOf(serverId, known, nowMs));
 	}
 
 	/**
-	A server is gone.
-	@param serverId - which.
+	Removes a server that is gone.
+	@param serverId - the server.
 	*/
 	forget(serverId: string): void {
 		this.known.delete(serverId);
-		this.strange.forget(serverId);
+		this.loggedMalformed.forget(serverId);
 	}
 
-	private named(serverId: string, perS: number, nowMs: number): void {
+	private handleAnnounced(serverId: string, perS: number, nowMs: number): void {
 		const before = this.known.get(serverId);
-		const isTold = before?.isTold === true && isInForce(before, perS);
-		const known: Known = {
-			perS, namedMs: nowMs, toldMs: before?.toldMs ?? -Infinity, isTold,
+		const isReported = before?.isReported === true && isInForce(before, perS);
+		const known: KnownLimit = {
+			perS, announcedMs: nowMs, reportedMs: before?.reportedMs ?? -Infinity, isReported,
 		};
 		this.keep(serverId, known);
-		if (this.tell(serverId, known, nowMs) && !isTold) {
-			this.options.log.info('An upstream names a limit.', {
+		if (this.reportIfDue(serverId, known, nowMs) && !isReported) {
+			this.options.log.info('An upstream announced a rate limit.', {
 				server: serverId, limitPerS: perS, ...(before && {beforePerS: before.perS}),
 			});
 		}
 	}
 
 	/**
-	Tells the peers how a limit stands, unless they know or heard of it a moment ago.
-	@returns whether they were told.
+	Reports the state of a limit to the peers, unless they know it or got a report a short time ago.
+	@returns whether it was reported.
 	*/
-	private tell(serverId: string, known: Known, nowMs: number): boolean {
-		const isDue = nowMs - known.toldMs >= (known.isTold ? tellAgainMs : tellChangeMs);
+	private reportIfDue(serverId: string, known: KnownLimit, nowMs: number): boolean {
+		const isDue = nowMs - known.reportedMs >= (known.isReported ? repeatReportMs : minReportIntervalMs);
 		if (isDue) {
-			this.keep(serverId, {...known, toldMs: nowMs, isTold: true});
-			this.didLearn.fire(newsOf(serverId, known, nowMs));
+			this.keep(serverId, {...known, reportedMs: nowMs, isReported: true});
+			this.didLearn.fire(updateOf(serverId, known, nowMs));
 		}
 
 		return isDue;
 	}
 
-	private heardNamed(serverId: string, perS: number, namedMs: number, {peer, nowMs}: {readonly peer: string; readonly nowMs: number}): void {
+	private handlePeerAnnounced(serverId: string, perS: number, announcedMs: number, {peer, nowMs}: {readonly peer: string; readonly nowMs: number}): void {
 		const before = this.known.get(serverId);
-		if (before && namedMs <= Math.max(before.namedMs, before.end?.sentMs ?? -Infinity)) {
+		if (before && announcedMs <= Math.max(before.announcedMs, before.end?.sentMs ?? -Infinity)) {
 			return;
 		}
 
 		if (!isInForce(before, perS)) {
-			this.options.log.info('A peer tells that an upstream names a limit.', {
-				server: serverId, limitPerS: perS, peer, ageMs: Math.round(nowMs - namedMs),
+			this.options.log.info('A peer reported that an upstream announced a rate limit.', {
+				server: serverId, limitPerS: perS, peer, ageMs: Math.round(nowMs - announcedMs),
 			});
 		}
 
 		this.keep(serverId, {
-			perS, namedMs, toldMs: nowMs, isTold: true,
+			perS, announcedMs, reportedMs: nowMs, isReported: true,
 		});
 	}
 
-	/** An answer of this host named none. */
-	private notNamed(serverId: string, sentMs: number, nowMs: number): void {
-		this.endedBy(serverId, {sentMs, isTold: false}, nowMs);
+	/** Handles a response to this host that announced no limit. */
+	private handleNotAnnounced(serverId: string, sentMs: number, nowMs: number): void {
+		this.startEnd(serverId, {sentMs, isReported: false}, nowMs);
 		const known = this.known.get(serverId);
-		if (known?.end && !known.isTold) {
-			this.tell(serverId, known, nowMs);
+		if (known?.end && !known.isReported) {
+			this.reportIfDue(serverId, known, nowMs);
 		}
 	}
 
-	/** A limit was not named by the answer to a call: it ends because of that, unless it was named since, or ends already. */
-	private endedBy(serverId: string, {sentMs, isTold}: {readonly sentMs: number; readonly isTold: boolean}, nowMs: number): void {
+	/** Starts the end of a limit because a response did not announce it, unless it was announced after the call was sent or is ending already. */
+	private startEnd(serverId: string, {sentMs, isReported}: {readonly sentMs: number; readonly isReported: boolean}, nowMs: number): void {
 		const known = this.known.get(serverId);
-		if (known === undefined || known.end !== undefined || sentMs <= known.namedMs) {
+		if (known === undefined || known.end !== undefined || sentMs <= known.announcedMs) {
 			return;
 		}
 
-		const waitMs = Math.min(longestEndMs, Math.max(shortestEndMs, requestsUntilEnd * secondMs / known.perS));
-		this.keep(serverId, {...known, isTold, end: {sentMs, untilMs: nowMs + (waitMs * (1 + this.options.random.next()))}});
+		const delayMs = Math.min(maxEndDelayMs, Math.max(minEndDelayMs, requestsBeforeEnd * secondMs / known.perS));
+		this.keep(serverId, {...known, isReported, end: {sentMs, untilMs: nowMs + (delayMs * (1 + this.options.random.next()))}});
 	}
 
-	private keep(serverId: string, known: Known): void {
+	private keep(serverId: string, known: KnownLimit): void {
 		this.known.delete(serverId);
 		this.known.set(serverId, known);
-		if (this.known.size > mostLimits) {
+		if (this.known.size > maxLimits) {
 			const [oldest] = this.known.keys();
 			this.known.delete(oldest);
 		}
 	}
 
-	private tellStrange(serverId: string, pool: string, text: string): void {
+	private logMalformed(serverId: string, pool: string, text: string): void {
 		this.options.metrics.increment('limits.unreadable', 1, {pool});
-		if (this.strange.isFirst(serverId)) {
-			this.options.log.warn('An upstream names a limit that can\'t be read; it is passed over.', {server: serverId, pool, limit: text.slice(0, mostLoggedChars)});
+		if (this.loggedMalformed.isFirst(serverId)) {
+			this.options.log.warn('An upstream announced a rate limit that can\'t be parsed; ignoring it.', {server: serverId, pool, limit: text.slice(0, maxLoggedChars)});
 		}
 	}
 }
 
-/** Whether a limit stands as it is named now, with no end in sight. */
-function isInForce(known: Known | undefined, perS: number): boolean {
+/** Returns whether a limit is in force at this rate and is not about to end. */
+function isInForce(known: KnownLimit | undefined, perS: number): boolean {
 	return known?.perS === perS && known.end === undefined;
 }
 
-function newsOf(serverId: string, {perS, namedMs, end}: Known, nowMs: number): LimitNews {
+function updateOf(serverId: string, {perS, announcedMs, end}: KnownLimit, nowMs: number): LimitUpdate {
 	return {
-		serverId, perS, namedAgoMs: Math.max(0, nowMs - namedMs), ...(end && {endedAgoMs: Math.max(0, nowMs - end.sentMs)}),
+		serverId, perS, namedAgoMs: Math.max(0, nowMs - announcedMs), ...(end && {endedAgoMs: Math.max(0, nowMs - end.sentMs)}),
 	};
 }
--- /dev/null
+++ b/src/deployment/node/collect-response.ts
@@ -0,0 +1,105 @@
+/** Makes one call on a pooled connection and reads the complete response. */
+import type {Dispatcher} from 'undici';
+import {joinBytes} from '../../base/common/bytes.js';
+import {messageOf, UnavailableError} from '../../base/common/errors.js';
+import {fail, ok, type Outcome} from '../../base/common/outcome.js';
+import type {Header} from '../../wire/common/messages.js';
+import {headersOf, isFinalStatus} from './response-head.js';
+import type {PooledConnection} from './connection-pool.js';
+
+/** Largest response body that is accepted; the response to a batch names results and is far smaller. */
+const maxResponseBytes = 16 * 1024 * 1024;
+
+/** Status and headers of a response. */
+export type ResponseHead = {
+	readonly status: number;
+	/** Names in lower case. */
+	readonly headers: readonly Header[];
+};
+
+/** A response with its whole body. */
+export type CompleteResponse = ResponseHead & {readonly body: Uint8Array};
+
+/** Why there is no complete response. */
+export type ResponseFailure = {
+	/** Whether the request may have reached the other side. */
+	readonly wasWritten: boolean;
+	readonly message: string;
+};
+
+/**
+Makes a call and reads its response.
+@param connection - one that carries no call; it is released afterwards, or discarded if there is no complete response.
+@param options - what to send.
+@param signal - cancels the call.
+@param onHead - called as soon as the head has arrived: what it says about its server is valid even if the body fails.
+@returns the response, or why there is none.
+*/
+export async function collectResponse(
+	connection: PooledConnection,
+	options: Dispatcher.DispatchOptions,
+	signal: AbortSignal,
+	onHead?: (head: ResponseHead) => void,
+): Promise<Outcome<CompleteResponse, ResponseFailure>> {
+	return new Promise(resolve => {
+		let controller: Dispatcher.DispatchController | undefined;
+		let status = 0;
+		let headers: CompleteResponse['headers'] = [];
+		let sizeBytes = 0;
+		const chunks: Uint8Array[] = [];
+		const abort = () => {
+			if (controller) {
+				controller.abort(new UnavailableError('the call was cancelled'));
+			} else {
+				// Not connected yet: closing the connection ends the call as well.
+				connection.dispose();
+			}
+		};
+
+		const settle = (outcome: Outcome<CompleteResponse, ResponseFailure>) => {
+			signal.removeEventListener('abort', abort);
+			if (outcome.ok) {
+				connection.release();
+			} else {
+				connection.discard();
+			}
+
+			resolve(outcome);
+		};
+
+		signal.addEventListener('abort', abort, {once: true});
+		try {
+			connection.dispatch(options, {
+				onRequestStart(started) {
+					controller = started;
+				},
+				onResponseStart(started, startedStatus) {
+					if (isFinalStatus(startedStatus)) {
+						status = startedStatus;
+						headers = headersOf(started);
+						onHead?.({status, headers});
+					}
+				},
+				onResponseData(reading, bytes) {
+					chunks.push(bytes);
+					sizeBytes += bytes.byteLength;
+					if (sizeBytes > maxResponseBytes) {
+						reading.abort(new UnavailableError('the response body exceeds the size limit'));
+					}
+				},
+				onResponseEnd() {
+					if (connection.mayBeTruncated(headers)) {
+						settle(fail({wasWritten: true, message: 'the connection was lost before the response was complete'}));
+					} else {
+						settle(ok({status, headers, body: joinBytes(chunks)}));
+					}
+				},
+				onResponseError(_controller, error) {
+					settle(fail({wasWritten: controller !== undefined, message: messageOf(error)}));
+				},
+			});
+		} catch (error) {
+			settle(fail({wasWritten: false, message: messageOf(error)}));
+		}
+	});
+}
--- /dev/null
+++ b/src/deployment/node/connection-pool.ts
@@ -0,0 +1,190 @@
+/** Pools keep-alive connections to one upstream: each carries one call at a time and records since when it has been idle. */
+import type {Socket} from 'node:net';
+import {buildConnector, Client, type Dispatcher} from 'undici';
+import type {Clock} from '../../base/common/clock.js';
+import type {Disposable} from '../../base/common/disposable.js';
+import type {Header} from '../../wire/common/messages.js';
+import {isUnframed} from '../common/hop-headers.js';
+import type {UpstreamServer} from '../common/upstream-server.js';
+
+/** Longest time for opening a connection: hosts are a few milliseconds apart, and a lost first packet is resent only after a second. */
+const connectTimeoutMs = 400;
+/** How long an idle connection is kept if the upstream gives no time: upstreams close those within a second. */
+const defaultKeepAliveMs = 500;
+const maxKeepAliveMs = 20_000;
+/** How long before the upstream's own timeout an idle connection is closed. */
+const keepAliveMarginMs = 300;
+/** A call that may run at most once does not use a connection that has been idle for longer: the upstream may have closed it meanwhile. */
+const maxFreshIdleMs = 200;
+
+/** A keep-alive connection that carries one call at a time. */
+export class PooledConnection implements Disposable {
+	static create(server: UpstreamServer, clock: Clock): PooledConnection {
+		return new PooledConnection(server, clock);
+	}
+
+	/** Whether the connection was reset, by the other side or by the network. */
+	wasReset = false;
+
+	/** Whether a call is in progress on this connection. */
+	isBusy = false;
+	/** Whether its call has just ended: the client is then inside a callback and may be about to close the connection. */
+	private isSettling = false;
+	private isDisposed = false;
+	private idleSinceMs = 0;
+	private socket: Socket | undefined;
+	private readonly client: Client;
+
+	private constructor(server: UpstreamServer, private readonly clock: Clock) {
+		const connect = buildConnector({timeout: connectTimeoutMs});
+		this.client = new Client(`http://${server.address}:${server.port}`, {
+			connect: (options, done) => {
+				connect(options, (...result) => {
+					if (result[1]) {
+						this.watchSocket(result[1]);
+					}
+
+					done(...result);
+				});
+			},
+			pipelining: 1,
+			keepAliveTimeout: defaultKeepAliveMs,
+			keepAliveMaxTimeout: maxKeepAliveMs,
+			keepAliveTimeoutThreshold: keepAliveMarginMs,
+			// The request has time limits of its own; a silent upstream is not cut off here.
+			headersTimeout: 0,
+			bodyTimeout: 0,
+		});
+		this.client.on('disconnect', () => {
+			this.dispose();
+		});
+		this.client.on('connectionError', () => {
+			this.dispose();
+		});
+	}
+
+	/** Whether it can carry no more calls. The events of a destroyed socket fire only in a later turn of the event loop, so the socket is checked too. */
+	get isClosed(): boolean {
+		return this.isDisposed || this.socket?.destroyed === true;
+	}
+
+	/** Whether it can be used for a call. */
+	get isFree(): boolean {
+		return !this.isBusy && !this.isSettling && !this.isClosed;
+	}
+
+	/** Whether it has been idle only briefly, so that a call that may run at most once can use it. */
+	get isFresh(): boolean {
+		return this.clock.nowMs() - this.idleSinceMs <= maxFreshIdleMs;
+	}
+
+	/**
+	Returns whether a response that has ended on this connection may be truncated.
+	@param headers - of the response, names in lower case.
+	*/
+	mayBeTruncated(headers: readonly Header[]): boolean {
+		// Undici checks content lengths and chunks; without either, only an orderly close shows that a response is complete.
+		return this.wasReset && isUnframed({headers});
+	}
+
+	/**
+	Sends a call.
+	@param options - what to send.
+	@param handler - receives the response.
+	*/
+	dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
+		this.isBusy = true;
+		this.client.dispatch(options, handler);
+	}
+
+	/** Marks the connection as idle after a call that ended normally; the upstream may still close it after the response. */
+	release(): void {
+		this.isBusy = false;
+		this.isSettling = true;
+		this.idleSinceMs = this.clock.nowMs();
+		queueMicrotask(() => {
+			this.isSettling = false;
+		});
+	}
+
+	/** Closes the connection after a call that was aborted by either side: a later call on it would be lost as well. */
+	discard(): void {
+		this.isBusy = false;
+		this.dispose();
+	}
+
+	dispose(): void {
+		if (!this.isDisposed) {
+			this.isDisposed = true;
+			// Deferred to a later turn of the event loop: undici may be inside one of its own callbacks here.
+			setImmediate(() => {
+				void this.client.destroy();
+			});
+		}
+	}
+
+	private watchSocket(socket: Socket): void {
+		this.socket = socket;
+		socket.setNoDelay(true);
+		// Runs before undici's own listener, which treats the data received so far as the complete response.
+		socket.prependListener('error', () => {
+			this.wasReset = true;
+		});
+	}
+}
+
+/** The keep-alive connections to one upstream. */
+export class ConnectionPool implements Disposable {
+	/**
+	Creates an empty pool.
+	@param server - the upstream.
+	@param clock - measures idle times.
+	@param maxConnections - returns how many connections this host may have to the upstream.
+	*/
+	static create(server: UpstreamServer, clock: Clock, maxConnections: () => number): ConnectionPool {
+		return new ConnectionPool(server, clock, maxConnections);
+	}
+
+	private connections: PooledConnection[] = [];
+
+	private constructor(private readonly server: UpstreamServer, private readonly clock: Clock, private readonly maxConnections: () => number) {}
+
+	/**
+	Returns a connection for one call.
+	@param isAtMostOnce - whether the call may run at most once.
+	@returns undefined if this host has as many busy connections as allowed.
+	*/
+	acquire(isAtMostOnce: boolean): PooledConnection | undefined {
+		this.connections = this.connections.filter(connection => !connection.isClosed);
+		const idle = this.connections.findLast(connection => connection.isFree && (!isAtMostOnce || connection.isFresh));
+		if (idle) {
+			return idle;
+		}
+
+		if (this.connections.length >= this.maxConnections()) {
+			const stale = this.connections.find(connection => connection.isFree);
+			if (!stale) {
+				return undefined;
+			}
+
+			stale.dispose();
+		}
+
+		const connection = PooledConnection.create(this.server, this.clock);
+		this.connections.push(connection);
+		return connection;
+	}
+
+	/** Whether a call is in progress on any connection. */
+	get hasBusy(): boolean {
+		return this.connections.some(connection => connection.isBusy && !connection.isClosed);
+	}
+
+	dispose(): void {
+		for (const connection of this.connections) {
+			connection.dispose();
+		}
+
+		this.connections = [];
+	}
+}
--- a/src/direct/common/bounded-pool.test.ts
+++ b/src/direct/common/bounded-pool.test.ts
@@ -26,9 +26,9 @@
 	}));
 	return hosts.map(own => {
 		const bounds = SendBounds.create({
-			registry: {coldLeftMs: () => 0, takesNew: () => true, onDidChange: () => ({dispose: () => undefined})},
-			limits: {limitOf: () => ({perS: limitPerS, quietMs: 0}), forget: () => undefined},
-			backoffs: {leftMs: () => 0, forget: () => undefined},
+			registry: {remainingColdMs: () => 0, acceptsNewWork: () => true, onDidChange: () => ({dispose: () => undefined})},
+			limits: {limitOf: () => ({perS: limitPerS, sinceAnnouncedMs: 0}), forget: () => undefined},
+			backoffs: {remainingMs: () => 0, forget: () => undefined},
 			share: SendShare.create(() => ({ownName: own, hosts, isSettled: true})),
 			cold: undefined,
 			toleratedPerS: () => 0,
--- a/src/direct/common/direct-router.test.ts
+++ b/src/direct/common/direct-router.test.ts
@@ -49,7 +49,7 @@
 			bounds: SendBounds.create({
 				registry: servers,
 				limits: {limitOf: () => undefined, forget: () => undefined},
-				backoffs: {leftMs: () => 0, forget: () => undefined},
+				backoffs: {remainingMs: () => 0, forget: () => undefined},
 				share: SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: true})),
 				cold,
 				toleratedPerS: () => 4,
--- a/src/direct/common/refusing-pool.test.ts
+++ b/src/direct/common/refusing-pool.test.ts
@@ -50,7 +50,7 @@
 	const bounds = SendBounds.create({
 		registry,
 		limits: {limitOf: () => undefined, forget: () => undefined},
-		backoffs: {leftMs: () => 0, forget: () => undefined},
+		backoffs: {remainingMs: () => 0, forget: () => undefined},
 		share: SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: true})),
 		cold: undefined,
 		toleratedPerS: () => 0,
--- a/src/direct/node/direct-call.ts
+++ b/src/direct/node/direct-call.ts
@@ -2,8 +2,8 @@
 import type {Dispatcher} from 'undici';
 import {messageOf, UnavailableError} from '../../base/common/errors.js';
 import {extendDigest} from '../../base/common/hash.js';
-import {headersOf, isFinal} from '../../deployment/node/answer-head.js';
-import type {Lane} from '../../deployment/node/lane.js';
+import {headersOf, isFinalStatus} from '../../deployment/node/response-head.js';
+import type {PooledConnection} from '../../deployment/node/connection-pool.js';
 import type {HttpResponseHead} from '../../request/common/request-plan.js';
 import {
 	refusalReasons, type DispatchMessage, type Message, type RefusalReason,
@@ -19,7 +19,7 @@
 /** The call, its connection and the callbacks that follow its progress. */
 export type DirectCallOptions = {
 	readonly dispatch: DispatchMessage;
-	readonly connection: Lane;
+	readonly connection: PooledConnection;
 	readonly protocol: UpstreamProtocol;
 	readonly callerRequestId: string;
 	/** Whether the response is an event stream that is forwarded event by event. */
@@ -90,7 +90,7 @@
 
 	/** Called for the head of a response, which shows whether the call runs, was refused, or comes from another server. */
 	onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
-		if (!isFinal(status)) {
+		if (!isFinalStatus(status)) {
 			return;
 		}
 
@@ -146,9 +146,9 @@
 	onResponseEnd(): void {
 		const {connection} = this.options;
 		if (this.isTruncated) {
-			connection.spend();
+			connection.discard();
 		} else {
-			connection.rest();
+			connection.release();
 		}
 
 		if (this.refusal !== undefined) {
@@ -163,7 +163,7 @@
 
 	/** Called when the call failed. One that was never started is refused; the outcome of any other is unknown. */
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-		this.options.connection.spend();
+		this.options.connection.discard();
 		if (this.refusal !== undefined) {
 			// The head alone proves that the call did not run.
 			this.refuse(this.refusal);
@@ -181,7 +181,7 @@
 
 	/** Whether the response ended before it was complete. */
 	private get isTruncated(): boolean {
-		return this.options.connection.isCutShort(this.head?.headers ?? []) || (this.splitter?.hasPartialEvent ?? false);
+		return this.options.connection.mayBeTruncated(this.head?.headers ?? []) || (this.splitter?.hasPartialEvent ?? false);
 	}
 
 	private forward(data: Uint8Array, units: number): void {
--- a/src/direct/node/direct-links.ts
+++ b/src/direct/node/direct-links.ts
@@ -8,7 +8,7 @@
 import type {ServerNotices} from '../../deployment/common/server-notices.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
-import {LanePool, type Lane} from '../../deployment/node/lane.js';
+import {ConnectionPool, type PooledConnection} from '../../deployment/node/connection-pool.js';
 import type {UpstreamTransport, UpstreamMessage} from '../../request/common/upstream-transport.js';
 import type {Quarantine} from '../../quarantine/common/quarantine.js';
 import {contentIdOf} from '../../quarantine/common/request-content.js';
@@ -34,7 +34,7 @@
 export type DirectLinksOptions = {
 	readonly registry: ServerRegistry;
 	/** Receives what servers report about themselves. */
-	readonly notices: Pick<ServerNotices, 'answered'>;
+	readonly notices: Pick<ServerNotices, 'handleResponse'>;
 	readonly protocol: UpstreamProtocol;
 	readonly clock: Clock;
 	readonly log: Logger;
@@ -52,7 +52,7 @@
 	readonly http: HttpCall;
 	readonly server: UpstreamServer;
 	readonly context: RequestContext;
-	readonly connection: Lane;
+	readonly connection: PooledConnection;
 };
 
 /** Manages the calls and connections of one host. */
@@ -65,7 +65,7 @@
 	private readonly didJoin = Emitter.create<string>();
 	private readonly neverFires = Emitter.create<string>();
 	/** Connections by server id. */
-	private readonly connectionPools = new Map<string, LanePool>();
+	private readonly connectionPools = new Map<string, ConnectionPool>();
 	/** Calls that have not ended, by dispatch id. */
 	private readonly calls = new Map<string, DirectCall>();
 	private readonly requests = new Map<string, RequestContext>();
@@ -155,7 +155,7 @@
 		const server = this.options.registry.get(serverId);
 		const context = this.requests.get(message.requestId);
 		const {call: http} = message;
-		if (!server || !context || http.kind !== 'http' || !this.options.registry.takesNew(server)) {
+		if (!server || !context || http.kind !== 'http' || !this.options.registry.acceptsNewWork(server)) {
 			return false;
 		}
 
@@ -207,7 +207,7 @@
 			nowMs: () => clock.nowMs(),
 			onWrite: context.onWrite,
 			onResponseHead(head, sentMs) {
-				notices.answered(server, protocol.readNotice(head), sentMs, clock.nowMs());
+				notices.handleResponse(server, protocol.readNotice(head), sentMs, clock.nowMs());
 			},
 			emit: event => {
 				if (event.type === 'end' && event.state === 'completed') {
@@ -247,7 +247,7 @@
 
 	private receive(server: UpstreamServer, message: Message): void {
 		if (message.type === 'refused' && message.reason === refusalReasons.replaced) {
-			this.options.registry.addressTaken(server.serverId);
+			this.options.registry.handleAddressTaken(server.serverId);
 		}
 
 		if ('dispatchId' in message && !(message.type === 'refused' && message.reason === refusalReasons.unreachable)) {
@@ -257,10 +257,10 @@
 		this.didReceive.fire({upstreamId: server.serverId, message});
 	}
 
-	private connectionPoolOf(server: UpstreamServer): LanePool {
+	private connectionPoolOf(server: UpstreamServer): ConnectionPool {
 		let pool = this.connectionPools.get(server.serverId);
 		if (!pool) {
-			pool = LanePool.create(server, this.options.clock, () => this.options.maxConnections(server.pool));
+			pool = ConnectionPool.create(server, this.options.clock, () => this.options.maxConnections(server.pool));
 			this.connectionPools.set(server.serverId, pool);
 		}
 
--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -10,7 +10,7 @@
 import type {Metrics} from '../../base/common/metrics.js';
 import type {Random} from '../../base/common/random.js';
 import type {CallerLimits} from '../../deployment/common/declaration.js';
-import type {DeploymentBoard} from '../../deployment/common/deployment-board.js';
+import type {DeploymentTracker} from '../../deployment/common/deployment-tracker.js';
 import {admit, type WaitEstimator} from '../../preparation/common/admission.js';
 import type {Preparer, PreparationRequest} from '../../preparation/node/preparer.js';
 import {contentIdOf} from '../../quarantine/common/request-content.js';
@@ -39,7 +39,7 @@
 
 /** Dependencies of the ingress. */
 export type IngressOptions = AdmissionChecks & {
-	readonly board: DeploymentBoard;
+	readonly board: DeploymentTracker;
 	readonly links: DirectLinks;
 	readonly runner: RequestRunner;
 	readonly protocol: CallerProtocol;
--- a/src/peers/node/declaration-propagation.test.ts
+++ b/src/peers/node/declaration-propagation.test.ts
@@ -11,7 +11,7 @@
 import {silentLoggers} from '../../base/common/logger.js';
 import {SeededRandom} from '../../base/common/random.js';
 import type {Deployment, Route} from '../../deployment/common/declaration.js';
-import {DeploymentBoard} from '../../deployment/common/deployment-board.js';
+import {DeploymentTracker} from '../../deployment/common/deployment-tracker.js';
 import {HallDrains} from '../../deployment/common/hall-drains.js';
 import {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {encodeFrame} from '../../wire/common/frame-codec.js';
@@ -40,7 +40,7 @@
 		return new Host(network, hostId, bytesPerMs);
 	}
 
-	readonly tracker = DeploymentBoard.create(silentLoggers.for('test'));
+	readonly tracker = DeploymentTracker.create(silentLoggers.for('test'));
 	readonly received = Emitter.create<PeerMessage>();
 	receivedBytes = 0;
 
--- a/src/peers/node/leaving-server-updates.test.ts
+++ b/src/peers/node/leaving-server-updates.test.ts
@@ -14,7 +14,7 @@
 t.test('what a server announces to one host becomes known to all, and is not forwarded', async t => {
 	const sender = makeHost();
 	const receiver = makeHost();
-	sender.leaving.said({serverId: 's', pool: 'p'});
+	sender.leaving.handleServerReport({serverId: 's', pool: 'p'});
 	t.same(sender.mesh.sent, [{to: 'all', message: {type: 'leavingServers', serverIds: ['s']}}]);
 	receiver.mesh.receive('teller', sender.mesh.sent[0].message);
 	t.ok(receiver.leaving.has('s'));
@@ -24,7 +24,7 @@
 t.test('a host that connects is sent everything that is known, and nothing if nothing is known', async t => {
 	const serverIds = Array.from({length: 1200}, (_, index) => `s${index}`);
 	const informed = makeHost();
-	informed.leaving.hear(serverIds, 'peer');
+	informed.leaving.handlePeerReport(serverIds, 'peer');
 	informed.mesh.connect('new');
 	t.same(informed.mesh.sent, [{to: 'new', message: {type: 'leavingServers', serverIds: serverIds.slice(200)}}], 'the latest ones, if there are too many');
 	const uninformed = makeHost();
--- a/src/peers/node/server-limit-updates.test.ts
+++ b/src/peers/node/server-limit-updates.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
 import {Emitter} from '../../base/common/emitter.js';
-import type {LimitNews as Update} from '../../deployment/common/server-limits.js';
+import type {LimitUpdate as Update} from '../../deployment/common/server-limits.js';
 import {MeshStandin} from '../../../test/mesh-standin.js';
 import {ServerLimitUpdates} from './server-limit-updates.js';
 
@@ -12,7 +12,7 @@
 	ServerLimitUpdates.create({
 		limits: {
 			onDidLearn: learned.event,
-			hear(news) {
+			handlePeerReport(news) {
 				heard.push(...news);
 			},
 			all: () => known,
--- a/src/peers/node/state-exchange.ts
+++ b/src/peers/node/state-exchange.ts
@@ -3,12 +3,12 @@
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import {messageOf} from '../../base/common/errors.js';
 import type {Logger} from '../../base/common/logger.js';
-import type {DeploymentBoard} from '../../deployment/common/deployment-board.js';
+import type {DeploymentTracker} from '../../deployment/common/deployment-tracker.js';
 import {applyDeploymentPatch, deploymentPatchSchema} from '../../deployment/common/deployment-patch.js';
 import type {HallDrains} from '../../deployment/common/hall-drains.js';
 import {listSources} from '../../deployment/common/list-source.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
-import {readToldServers} from '../../deployment/common/upstream-server.js';
+import {parseReportedServers} from '../../deployment/common/upstream-server.js';
 import type {Message, PackedDeployment} from '../../wire/common/messages.js';
 import {PeerRequestPacer} from '../common/peer-request-pacer.js';
 import {unpackJson} from './packed-json.js';
@@ -27,7 +27,7 @@
 /** Dependencies of `StateExchange`. */
 export type StateExchangeOptions = {
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'announce' | 'send'>;
-	readonly tracker: DeploymentBoard;
+	readonly tracker: DeploymentTracker;
 	readonly registry: ServerRegistry;
 	readonly drains: HallDrains;
 	/** Whether this host knows that its own reading of the server list is interrupted. */
@@ -89,7 +89,7 @@
 		switch (message.type) {
 			case 'peerBeat': {
 				const nowMs = clock.nowMs();
-				drains.take(message.hallDrains ?? [], listSources.peer);
+				drains.apply(message.hallDrains ?? [], listSources.peer);
 				this.sendRequest(hostId, {
 					wantsDeployment: message.deploymentVersion > tracker.version && this.deploymentPacer.maySend(nowMs),
 					wantsServers: this.shouldRequestList(message.listRevision) && this.serversPacer.maySend(nowMs),
@@ -186,7 +186,7 @@
 	private applyServers(hostId: string, servers: Uint8Array): void {
 		const {registry, clock, log} = this.options;
 		this.serversPacer.recordReply(hostId, clock.nowMs());
-		const {list, unreadableCount} = readToldServers(unpackJson(servers));
+		const {list, unreadableCount} = parseReportedServers(unpackJson(servers));
 		if (unreadableCount > 0) {
 			log.error('A peer reported servers that can\'t be parsed; the others are used.', {peer: hostId, revision: list.revision, count: unreadableCount});
 		}
--- a/src/peers/node/state-reply-cache.ts
+++ b/src/peers/node/state-reply-cache.ts
@@ -1,13 +1,13 @@
 /** Builds what peers are sent of the declaration and the server list, once for all peers that lack the same. */
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
-import type {DeploymentBoard} from '../../deployment/common/deployment-board.js';
+import type {DeploymentTracker} from '../../deployment/common/deployment-tracker.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {PackedDeployment} from '../../wire/common/messages.js';
 import {packJson} from './packed-json.js';
 
 /** Caches the replies until the state in force changes. */
 export class StateReplyCache implements Disposable {
-	static create(tracker: DeploymentBoard, registry: ServerRegistry): StateReplyCache {
+	static create(tracker: DeploymentTracker, registry: ServerRegistry): StateReplyCache {
 		return new StateReplyCache(tracker, registry);
 	}
 
@@ -16,7 +16,7 @@
 	private readonly patches = new Map<number, PackedDeployment>();
 	private packedList: {readonly revision: number; readonly packed: Uint8Array} | undefined;
 
-	private constructor(private readonly tracker: DeploymentBoard, private readonly registry: ServerRegistry) {
+	private constructor(private readonly tracker: DeploymentTracker, private readonly registry: ServerRegistry) {
 		this.owned.add(tracker.onDidChange(() => {
 			this.patches.clear();
 		}));
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -6,12 +6,12 @@
 import type {Metrics} from '../../base/common/metrics.js';
 import {TimeLimit} from '../../base/common/time-limit.js';
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
-import type {DeploymentBoard} from '../../deployment/common/deployment-board.js';
+import type {DeploymentTracker} from '../../deployment/common/deployment-tracker.js';
 import type {ServerNotices} from '../../deployment/common/server-notices.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
-import {collectAnswer} from '../../deployment/node/collect-answer.js';
-import {LanePool} from '../../deployment/node/lane.js';
+import {collectResponse} from '../../deployment/node/collect-response.js';
+import {ConnectionPool} from '../../deployment/node/connection-pool.js';
 import type {Quarantine} from '../../quarantine/common/quarantine.js';
 import type {SendBounds} from '../../routing/common/send-bounds.js';
 import type {BoundedWork} from '../../routing/common/send-share.js';
@@ -34,10 +34,10 @@
 /** Dependencies and settings. */
 export type BatchPoolOptions = {
 	readonly pool: string;
-	readonly tracker: DeploymentBoard;
+	readonly tracker: DeploymentTracker;
 	readonly registry: ServerRegistry;
 	/** Processes what servers report about themselves. */
-	readonly notices: Pick<ServerNotices, 'answered'>;
+	readonly notices: Pick<ServerNotices, 'handleResponse'>;
 	readonly bounds: Pick<SendBounds, 'allowance' | 'sent'>;
 	readonly protocol: BatchProtocol;
 	readonly budget: WindowedBudget;
@@ -55,7 +55,7 @@
 	}
 
 	private readonly scheduler: BatchScheduler;
-	private readonly connectionPools = new Map<string, LanePool>();
+	private readonly connectionPools = new Map<string, ConnectionPool>();
 	private readonly releases: ResultReleases;
 	private readonly owned = DisposableStore.create();
 	private readonly controller = new AbortController();
@@ -175,8 +175,8 @@
 
 		bounds.sent(server, call.sentMs);
 		const timeLimit = TimeLimit.create(clock, call.deadlineMs - clock.nowMs(), this.controller.signal);
-		const response = await collectAnswer(connection, requestOptionsOf(protocol.encodeRun(call, clock.nowMs())), timeLimit.signal, head => {
-			notices.answered(server, protocol.readNotice(head), call.sentMs, clock.nowMs());
+		const response = await collectResponse(connection, requestOptionsOf(protocol.encodeRun(call, clock.nowMs())), timeLimit.signal, head => {
+			notices.handleResponse(server, protocol.readNotice(head), call.sentMs, clock.nowMs());
 		});
 		const hasTimedOut = timeLimit.signal.aborted;
 		timeLimit.dispose();
@@ -203,7 +203,7 @@
 			});
 			metrics.increment('batch.failed', 1, {pool, reason});
 			if (reason === 'replaced') {
-				registry.addressTaken(server.serverId);
+				registry.handleAddressTaken(server.serverId);
 			}
 
 			this.notifyFinished(this.scheduler.failCall(call, reason, nowMs));
@@ -243,8 +243,8 @@
 		const timeLimit = TimeLimit.create(clock, releaseTimeoutMs, this.controller.signal);
 		const sentMs = clock.nowMs();
 		bounds.sent(server, sentMs);
-		const response = await collectAnswer(connection, requestOptionsOf(protocol.encodeRelease(handles, server)), timeLimit.signal, head => {
-			notices.answered(server, protocol.readNotice(head), sentMs, clock.nowMs());
+		const response = await collectResponse(connection, requestOptionsOf(protocol.encodeRelease(handles, server)), timeLimit.signal, head => {
+			notices.handleResponse(server, protocol.readNotice(head), sentMs, clock.nowMs());
 		});
 		timeLimit.dispose();
 		if (response.ok) {
@@ -269,10 +269,10 @@
 		this.schedule();
 	}
 
-	private connectionPoolOf(server: UpstreamServer): LanePool {
+	private connectionPoolOf(server: UpstreamServer): ConnectionPool {
 		let connectionPool = this.connectionPools.get(server.serverId);
 		if (!connectionPool) {
-			connectionPool = LanePool.create(server, this.options.clock, () => maxConnections);
+			connectionPool = ConnectionPool.create(server, this.options.clock, () => maxConnections);
 			this.connectionPools.set(server.serverId, connectionPool);
 		}
 
--- a/src/preparation/node/preparer.ts
+++ b/src/preparation/node/preparer.ts
@@ -4,7 +4,7 @@
 import type {Logger} from '../../base/common/logger.js';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import type {Route} from '../../deployment/common/declaration.js';
-import type {DeploymentBoard} from '../../deployment/common/deployment-board.js';
+import type {DeploymentTracker} from '../../deployment/common/deployment-tracker.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {failureCodes, type PreparationFailure, type PreparedInputs} from '../../request/common/request-plan.js';
 import {fetchTimeMs} from '../common/fetch-time.js';
@@ -54,7 +54,7 @@
 /** Dependencies and settings. */
 export type PreparerOptions = {
 	readonly handler: WorkHandler;
-	readonly tracker: DeploymentBoard;
+	readonly tracker: DeploymentTracker;
 	readonly registry: ServerRegistry;
 	readonly clock: Clock;
 	readonly log: Logger;
--- a/src/preparation/node/result-releases.test.ts
+++ b/src/preparation/node/result-releases.test.ts
@@ -13,7 +13,7 @@
 	const sent: string[][] = [];
 	const gone: string[][] = [];
 	const releases = ResultReleases.create({
-		registry: {get: () => state.isListed ? server : undefined, takesNew: () => !state.isDrained},
+		registry: {get: () => state.isListed ? server : undefined, acceptsNewWork: () => !state.isDrained},
 		resultTtlMs: () => 4000,
 		maySend: () => state.maySend,
 		async send(_, handles) {
@@ -81,7 +81,7 @@
 	const clock = ManualClock.create();
 	let tries = 0;
 	const releases: ResultReleases = ResultReleases.create({
-		registry: {get: () => server, takesNew: () => true},
+		registry: {get: () => server, acceptsNewWork: () => true},
 		resultTtlMs: () => 4000,
 		maySend: () => true,
 		async send(_, handles) {
--- a/src/preparation/node/result-releases.ts
+++ b/src/preparation/node/result-releases.ts
@@ -12,7 +12,7 @@
 
 /** Dependencies and settings. */
 export type ResultReleasesOptions = {
-	readonly registry: Pick<ServerRegistry, 'get' | 'takesNew'>;
+	readonly registry: Pick<ServerRegistry, 'get' | 'acceptsNewWork'>;
 	/** Returns how long upstreams store results that are not released. */
 	readonly resultTtlMs: () => number;
 	/** Whether a release may be sent to an upstream now. */
@@ -76,14 +76,14 @@
 		const due = [...this.pending];
 		for (const [serverId, {handles, sinceMs}] of due) {
 			const server = registry.get(serverId);
-			if (server && registry.takesNew(server) && !maySend(server) && !this.isExpired(sinceMs)) {
+			if (server && registry.acceptsNewWork(server) && !maySend(server) && !this.isExpired(sinceMs)) {
 				continue;
 			}
 
 			this.pending.delete(serverId);
 			if (!server) {
 				onUpstreamGone(serverId, handles);
-			} else if (registry.takesNew(server) && maySend(server)) {
+			} else if (registry.acceptsNewWork(server) && maySend(server)) {
 				void send(server, handles);
 			}
 		}
--- a/src/routing/common/send-bounds.test.ts
+++ b/src/routing/common/send-bounds.test.ts
@@ -14,9 +14,9 @@
 	};
 	const changed = Emitter.create<ServerChange>();
 	const bounds = SendBounds.create({
-		registry: {coldLeftMs: () => state.coldLeftMs, takesNew: () => !state.isDrained, onDidChange: changed.event},
+		registry: {remainingColdMs: () => state.coldLeftMs, acceptsNewWork: () => !state.isDrained, onDidChange: changed.event},
 		limits: {limitOf: () => state.limit, forget: () => undefined},
-		backoffs: {leftMs: () => state.backoffMs, forget: () => undefined},
+		backoffs: {remainingMs: () => state.backoffMs, forget: () => undefined},
 		share: SendShare.create(() => ({ownName: own, hosts, isSettled: state.isSettled})),
 		cold: {excess: 1.5, tolerance: 5},
 		toleratedPerS: () => 4,
@@ -39,7 +39,7 @@
 	bounds.sent(server, 0);
 	state.coldLeftMs = 900;
 	t.equal(left(0), 5, 'half of the bound of a cold server');
-	state.limit = {perS: 1, quietMs: 0};
+	state.limit = {perS: 1, sinceAnnouncedMs: 0};
 	t.equal(left(0), 1, 'one per second');
 	t.equal(bounds.allowance(server, anyWork, 0).perS, 1);
 	sendAll(0);
@@ -55,7 +55,7 @@
 	state.backoffMs = 700;
 	t.equal(left(0), 0);
 	t.equal(bounds.retryAfterMs([server], 0), 700);
-	state.limit = {perS: 1, quietMs: 60_000};
+	state.limit = {perS: 1, sinceAnnouncedMs: 60_000};
 	t.equal(left(60_000), 0);
 	t.equal(bounds.allowance(server, {isSoleSender: true}, 60_000).left, 0);
 	state.backoffMs = 0;
@@ -68,7 +68,7 @@
 	sendAll(0);
 	t.equal(bounds.retryAfterMs([server], 0), 900);
 	const limited = makeBounds();
-	limited.state.limit = {perS: 1, quietMs: 0};
+	limited.state.limit = {perS: 1, sinceAnnouncedMs: 0};
 	limited.sendAll(0);
 	t.equal(limited.bounds.retryAfterMs([server], 400), 600);
 	t.equal(limited.bounds.retryAfterMs([server], 990), 300, 'not below the minimum delay');
@@ -83,7 +83,7 @@
 		let quietMs = 0;
 		do {
 			quietMs += 100;
-			state.limit = {perS: 1, quietMs};
+			state.limit = {perS: 1, sinceAnnouncedMs: quietMs};
 		} while (left(quietMs) === 0);
 
 		return quietMs;
@@ -94,7 +94,7 @@
 t.test('an unanswered trial is not repeated immediately', async t => {
 	const {state, bounds, left} = makeBounds();
 	state.isSettled = false;
-	state.limit = {perS: 1, quietMs: 20_000};
+	state.limit = {perS: 1, sinceAnnouncedMs: 20_000};
 	t.equal(left(20_000), 1);
 	bounds.sent(server, 20_000);
 	t.equal(left(20_000), 0);
--- a/src/routing/common/send-bounds.ts
+++ b/src/routing/common/send-bounds.ts
@@ -6,7 +6,7 @@
 */
 import type {InjectionToken} from 'tsyringe';
 import type {ServerLimits} from '../../deployment/common/server-limits.js';
-import type {ServerRests} from '../../deployment/common/server-rests.js';
+import type {ServerBackoffs} from '../../deployment/common/server-backoffs.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
 import type {UpstreamServer} from '../../deployment/common/upstream-server.js';
 import {
@@ -30,10 +30,10 @@
 
 /** Sources of the bounds. */
 export type SendBoundsOptions = {
-	readonly registry: Pick<ServerRegistry, 'coldLeftMs' | 'takesNew' | 'onDidChange'>;
+	readonly registry: Pick<ServerRegistry, 'remainingColdMs' | 'acceptsNewWork' | 'onDidChange'>;
 	readonly limits: Pick<ServerLimits, 'limitOf' | 'forget'>;
 	/** Servers that have asked this host to send nothing for a while. */
-	readonly backoffs: Pick<ServerRests, 'leftMs' | 'forget'>;
+	readonly backoffs: Pick<ServerBackoffs, 'remainingMs' | 'forget'>;
 	/** This host's share of the bounds on all hosts together. */
 	readonly share: SendShare;
 	/** Bounds on all hosts together for cold servers; if undefined, cold servers are not bounded. */
@@ -81,7 +81,7 @@
 	@param nowMs - the current time.
 	*/
 	allowance(server: BoundedServer, work: BoundedWork, nowMs: number): Allowance {
-		if (!this.options.registry.takesNew(server) || this.isInBackoff(server, nowMs)) {
+		if (!this.options.registry.acceptsNewWork(server) || this.isInBackoff(server, nowMs)) {
 			return noAllowance;
 		}
 
@@ -121,7 +121,7 @@
 	@param nowMs - the current time.
 	*/
 	isCold({serverId}: BoundedServer, nowMs: number): boolean {
-		return this.options.cold !== undefined && this.options.registry.coldLeftMs(serverId, nowMs) > 0;
+		return this.options.cold !== undefined && this.options.registry.remainingColdMs(serverId, nowMs) > 0;
 	}
 
 	/**
@@ -139,7 +139,7 @@
 	@param nowMs - the current time.
 	*/
 	isInBackoff({serverId}: BoundedServer, nowMs: number): boolean {
-		return this.options.backoffs.leftMs(serverId, nowMs) > 0;
+		return this.options.backoffs.remainingMs(serverId, nowMs) > 0;
 	}
 
 	/**
@@ -155,9 +155,9 @@
 
 	/** Estimates when a server may be sent to again: after its backoff, and once it is warm or its limit allows the next request. */
 	private availableInMs(server: BoundedServer, nowMs: number): number {
-		const backoffMs = this.options.backoffs.leftMs(server.serverId, nowMs);
+		const backoffMs = this.options.backoffs.remainingMs(server.serverId, nowMs);
 		if (!this.isLimited(server, nowMs)) {
-			return Math.max(backoffMs, this.options.registry.coldLeftMs(server.serverId, nowMs));
+			return Math.max(backoffMs, this.options.registry.remainingColdMs(server.serverId, nowMs));
 		}
 
 		const bounds = this.boundsOf(server, nowMs);
@@ -189,6 +189,6 @@
 
 		const {share} = this.options;
 		const afterMs = Math.max(limitTrialAfterMs, limitTrialAfterWindows * limitBound(limit.perS).windowMs) + (share.rankOf(server.serverId, nowMs) * trialStaggerMs);
-		return limit.quietMs >= afterMs && share.sinceLastSendMs(server.serverId, nowMs) >= afterMs;
+		return limit.sinceAnnouncedMs >= afterMs && share.sinceLastSendMs(server.serverId, nowMs) >= afterMs;
 	}
 }
--- a/src/routing/common/suspend.test.ts
+++ b/src/routing/common/suspend.test.ts
@@ -7,7 +7,7 @@
 import {silentLoggers} from '../../base/common/logger.js';
 import {noMetrics} from '../../base/common/metrics.js';
 import {SeededRandom} from '../../base/common/random.js';
-import {ServerRests} from '../../deployment/common/server-rests.js';
+import {ServerBackoffs} from '../../deployment/common/server-backoffs.js';
 import {ServerLimits} from '../../deployment/common/server-limits.js';
 import {ServerRegistry} from '../../deployment/common/server-registry.js';
 import {FirstTryEstimator} from '../../direct/common/first-try-estimator.js';
@@ -58,11 +58,11 @@
 			serverId: 's', instanceId: 's', startedMs: 0, pool: 'p', address: '127.0.0.1', port: 1, hall: 'a', slots: 1, isLeaving: false, coldLeftMs: 3000, revision: 1,
 		}],
 	}, clock.nowMs());
-	t.equal(registry.coldLeftMs('s', clock.nowMs()), 3000);
+	t.equal(registry.remainingColdMs('s', clock.nowMs()), 3000);
 	clock.sleep(2000);
-	t.equal(registry.coldLeftMs('s', clock.nowMs()), 1000);
+	t.equal(registry.remainingColdMs('s', clock.nowMs()), 1000);
 	clock.sleep(2000);
-	t.equal(registry.coldLeftMs('s', clock.nowMs()), 0);
+	t.equal(registry.remainingColdMs('s', clock.nowMs()), 0);
 });
 
 t.test('sends to a cold upstream expire during a suspend', async t => {
@@ -111,28 +111,28 @@
 	const limits = ServerLimits.create({random: SeededRandom.create(1), log: silentLoggers.for('test'), metrics: noMetrics});
 	const server = {serverId: 's', pool: 'p', hall: 'a'};
 	const bounds = SendBounds.create({
-		registry: {coldLeftMs: () => 0, takesNew: () => true, onDidChange: () => ({dispose: () => undefined})},
+		registry: {remainingColdMs: () => 0, acceptsNewWork: () => true, onDidChange: () => ({dispose: () => undefined})},
 		limits,
-		backoffs: {leftMs: () => 0, forget: () => undefined},
+		backoffs: {remainingMs: () => 0, forget: () => undefined},
 		share: SendShare.create(() => ({ownName: 'a', hosts: ['a', 'b'], isSettled: false})),
 		cold: undefined,
 		toleratedPerS: () => 0,
 	});
-	limits.answered(server, {kind: 'named', perS: 1}, clock.nowMs(), clock.nowMs());
+	limits.handleResponse(server, {kind: 'named', perS: 1}, clock.nowMs(), clock.nowMs());
 	t.notOk(bounds.maySend(server, directWork, clock.nowMs()));
 	clock.sleep(20_000);
 	t.ok(bounds.maySend(server, directWork, clock.nowMs()));
-	limits.answered(server, {kind: 'none'}, clock.nowMs(), clock.nowMs());
+	limits.handleResponse(server, {kind: 'none'}, clock.nowMs(), clock.nowMs());
 	clock.sleep(10_000);
 	t.equal(limits.limitOf('s', clock.nowMs()), undefined);
 });
 
 t.test('a backoff continues during a suspend, and is over on resume if its time has passed', async t => {
 	const clock = ManualClock.create();
-	const rests = ServerRests.create({log: silentLoggers.for('test'), metrics: noMetrics});
-	rests.answered({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
+	const rests = ServerBackoffs.create({log: silentLoggers.for('test'), metrics: noMetrics});
+	rests.handleResponse({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
 	clock.sleep(2000);
-	t.equal(rests.leftMs('s', clock.nowMs()), 1000);
+	t.equal(rests.remainingMs('s', clock.nowMs()), 1000);
 	clock.sleep(2000);
-	t.equal(rests.leftMs('s', clock.nowMs()), 0);
+	t.equal(rests.remainingMs('s', clock.nowMs()), 0);
 });
