--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -317,7 +317,7 @@
 			targetMs: receivedMs + route.targetMs - sinceFirstTryMs,
 			deadlineMs,
 			hall,
-			firstTokenMs: firstTokenMs,
+			firstTokenMs,
 		});
 	}
 
