--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -18,7 +18,7 @@
 
 /** Slower engines than the quickstart's, so that one process carries engines, agents, entries and load. */
 const benchPace = {
-	slots: 4, stepMs: 20, batchShare: 0.05, prefillSteps: 4,
+	slots: 4, stepMs: 20, slowdownPerSequence: 0.05, prefillSteps: 4,
 };
 
 function pathOf(file: string): string {
--- a/examples/local-fleet.ts
+++ b/examples/local-fleet.ts
@@ -7,7 +7,7 @@
 import type {HostSecrets} from '../src/daemon/node/load-host-settings.js';
 import type {ListedHost} from '../src/store/common/host-list.js';
 import type {LoadedModel} from '../src/wire/common/messages.js';
-import {defaultPace, type EnginePace} from '../src/standins/common/engine-state.js';
+import {defaultSpeed, type EngineSpeed} from '../src/standins/common/engine-state.js';
 import {EngineServer} from '../src/standins/node/engine-server.js';
 import {PlatformServer} from '../src/standins/node/platform-server.js';
 import {ServiceServer} from '../src/standins/node/service-server.js';
@@ -30,7 +30,7 @@
 	readonly entries: number;
 	readonly pools: readonly PoolSpec[];
 	readonly models: readonly LoadedModel[];
-	readonly pace?: EnginePace;
+	readonly pace?: EngineSpeed;
 	readonly logLevel?: 'debug' | 'info' | 'warn' | 'error';
 	readonly stopGraceMs?: number;
 	/** Registers other parts in each daemon before it starts. */
@@ -185,7 +185,7 @@
 	private async startUpstream(spec: PoolSpec, index: number): Promise<void> {
 		const upstreamId = `${spec.pool}-${index + 1}`;
 		const standin = spec.kind === 'engine'
-			? {engine: this.owned.add(await EngineServer.create({pace: this.spec.pace ?? defaultPace, models: structuredClone(this.spec.models), weightOrigin: this.platform.origin}))}
+			? {engine: this.owned.add(await EngineServer.create({speed: this.spec.pace ?? defaultSpeed, models: structuredClone(this.spec.models), weightOrigin: this.platform.origin}))}
 			: {service: this.owned.add(await ServiceServer.create(serviceOptionsOf(spec)))};
 		const seed = {
 			upstreamId, pool: spec.pool, hostId: `host-${upstreamId}`, ...standin,
@@ -241,6 +241,6 @@
 		serviceMs: spec.serviceMs ?? 10,
 		slots: spec.slots ?? 8,
 		isReporting: spec.isReporting ?? true,
-		answer: (path: string, body: string) => (spec.kind === 'worker' ? {pool: spec.pool, of: body.slice(0, 400)} : {pool: spec.pool, path, isDone: true}),
+		respond: (path: string, body: string) => (spec.kind === 'worker' ? {pool: spec.pool, of: body.slice(0, 400)} : {pool: spec.pool, path, isDone: true}),
 	};
 }
--- a/src/base/common/bytes.ts
+++ b/src/base/common/bytes.ts
@@ -6,12 +6,12 @@
 @returns all their bytes, in memory of its own.
 */
 export function joinBytes(pieces: readonly Uint8Array[]): Uint8Array<ArrayBuffer> {
-	const whole = new Uint8Array(pieces.reduce((sizeBytes, piece) => sizeBytes + piece.byteLength, 0));
+	const joined = new Uint8Array(pieces.reduce((sizeBytes, piece) => sizeBytes + piece.byteLength, 0));
 	let offset = 0;
 	for (const piece of pieces) {
-		whole.set(piece, offset);
+		joined.set(piece, offset);
 		offset += piece.byteLength;
 	}
 
-	return whole;
+	return joined;
 }
--- a/src/base/common/sleep-watch.ts
+++ b/src/base/common/clock-comparer.ts
@@ -17,10 +17,10 @@
 };
 
 /** What a jump of the time of day was. */
-export type JumpVerdict
+export type ClockJump
 	= | {readonly type: 'none'}
 	/** The machine slept; the time of day may have jumped besides. */
-		| {readonly type: 'slept'; readonly sleptMs: number}
+		| {readonly type: 'slept'; readonly suspendedMs: number}
 	/** Only the time of day jumped. */
 		| {readonly type: 'wallJump'; readonly jumpMs: number}
 	/** It may have slept: there is no boot clock that could tell. */
@@ -29,28 +29,28 @@
 /** Change between two clocks that counts as a jump: far above what they drift between two looks. */
 export const jumpMs = 100;
 /** Two looks at a boot clock of 10 ms steps may differ by this much from the steady clock. */
-const bootSlackMs = 25;
+const bootToleranceMs = 25;
 /** Looks in step with the steady clock, one after the other, after which the boot clock is believed. */
-const looksToBelieve = 5;
+const comparisonsToTrust = 5;
 
 /** Compares the clocks. */
-export class SleepWatch {
+export class ClockComparer {
 	/**
 	Begins with one look.
 	@param reading - of now.
 	*/
-	static create(reading: ClockReading): SleepWatch {
-		return new SleepWatch(reading);
+	static create(reading: ClockReading): ClockComparer {
+		return new ClockComparer(reading);
 	}
 
 	/** Looks in a row at which the boot clock kept step. */
-	private looksInStep = 0;
+	private consistentComparisons = 0;
 
-	private constructor(private last: ClockReading) {}
+	private constructor(private lastReading: ClockReading) {}
 
 	/** Whether the boot clock can tell a sleep from a jump of the time of day. */
-	get isBootBelieved(): boolean {
-		return this.looksInStep >= looksToBelieve;
+	get isBootClockTrusted(): boolean {
+		return this.consistentComparisons >= comparisonsToTrust;
 	}
 
 	/**
@@ -58,8 +58,8 @@
 	@param steadyMs - of the steady clock.
 	@param wallMs - the time of day.
 	*/
-	isJump(steadyMs: number, wallMs: number): boolean {
-		return Math.abs(wallMs - this.last.wallMs - (steadyMs - this.last.steadyMs)) > jumpMs;
+	hasJumped(steadyMs: number, wallMs: number): boolean {
+		return Math.abs(wallMs - this.lastReading.wallMs - (steadyMs - this.lastReading.steadyMs)) > jumpMs;
 	}
 
 	/**
@@ -67,28 +67,28 @@
 	@param reading - of now.
 	@returns what has happened since the last comparison.
 	*/
-	compare(reading: ClockReading): JumpVerdict {
-		const steadyPassedMs = reading.steadyMs - this.last.steadyMs;
-		const wallAheadMs = reading.wallMs - this.last.wallMs - steadyPassedMs;
-		const bootAheadMs = reading.bootMs === undefined || this.last.bootMs === undefined
+	compare(reading: ClockReading): ClockJump {
+		const steadyPassedMs = reading.steadyMs - this.lastReading.steadyMs;
+		const wallAheadMs = reading.wallMs - this.lastReading.wallMs - steadyPassedMs;
+		const bootAheadMs = reading.bootMs === undefined || this.lastReading.bootMs === undefined
 			? undefined
-			: reading.bootMs - this.last.bootMs - steadyPassedMs;
-		const verdict = this.judge(wallAheadMs, bootAheadMs);
-		const isInStep = bootAheadMs !== undefined && Math.abs(bootAheadMs) <= bootSlackMs;
-		this.looksInStep = isInStep || verdict.type === 'slept' ? this.looksInStep + 1 : 0;
-		this.last = reading;
-		return verdict;
+			: reading.bootMs - this.lastReading.bootMs - steadyPassedMs;
+		const jump = this.classify(wallAheadMs, bootAheadMs);
+		const isConsistent = bootAheadMs !== undefined && Math.abs(bootAheadMs) <= bootToleranceMs;
+		this.consistentComparisons = isConsistent || jump.type === 'slept' ? this.consistentComparisons + 1 : 0;
+		this.lastReading = reading;
+		return jump;
 	}
 
-	private judge(wallAheadMs: number, bootAheadMs: number | undefined): JumpVerdict {
+	private classify(wallAheadMs: number, bootAheadMs: number | undefined): ClockJump {
 		if (Math.abs(wallAheadMs) <= jumpMs) {
 			return {type: 'none'};
 		}
 
-		if (bootAheadMs === undefined || !this.isBootBelieved) {
+		if (bootAheadMs === undefined || !this.isBootClockTrusted) {
 			return wallAheadMs > 0 ? {type: 'unclear', jumpMs: wallAheadMs} : {type: 'wallJump', jumpMs: wallAheadMs};
 		}
 
-		return bootAheadMs > jumpMs ? {type: 'slept', sleptMs: bootAheadMs} : {type: 'wallJump', jumpMs: wallAheadMs};
+		return bootAheadMs > jumpMs ? {type: 'slept', suspendedMs: bootAheadMs} : {type: 'wallJump', jumpMs: wallAheadMs};
 	}
 }
--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -4,7 +4,7 @@
 import {Emitter, type Event} from './emitter.js';
 
 /** The machine slept, or may have. */
-export type Sleep = {
+export type Suspension = {
 	readonly forMs: number;
 	/** Whether it is known to have slept, so that `nowMs` has counted it; otherwise only the time of day jumped for sure. */
 	readonly isSure: boolean;
@@ -13,7 +13,7 @@
 /** A source of time and timers. */
 export type Clock = {
 	/** Fires after the machine woke; timers that fell due meanwhile run from then on. */
-	readonly onDidSleep: Event<Sleep>;
+	readonly onDidResume: Event<Suspension>;
 	/** Milliseconds since an arbitrary start; never goes back, and counts the time that the machine slept. */
 	nowMs(): number;
 	/** Milliseconds since the Unix epoch; may jump. */
@@ -61,7 +61,7 @@
 	};
 }
 
-type Pending = {readonly dueMs: number; readonly run: () => void};
+type PendingTimer = {readonly dueMs: number; readonly run: () => void};
 
 /** A clock that moves only when told: for tests, fuzzing and benches. */
 export class ManualClock implements Clock {
@@ -69,8 +69,8 @@
 		return new ManualClock(startMs);
 	}
 
-	private readonly pending = new Set<Pending>();
-	private readonly didSleep = Emitter.create<Sleep>();
+	private readonly pending = new Set<PendingTimer>();
+	private readonly didResume = Emitter.create<Suspension>();
 
 	private currentMs: number;
 
@@ -78,8 +78,8 @@
 		this.currentMs = startMs;
 	}
 
-	get onDidSleep() {
-		return this.didSleep.event;
+	get onDidResume() {
+		return this.didResume.event;
 	}
 
 	nowMs(): number {
@@ -91,7 +91,7 @@
 	}
 
 	setTimer(delayMs: number, run: () => void): Disposable {
-		const item: Pending = {dueMs: this.currentMs + Math.max(0, delayMs), run};
+		const item: PendingTimer = {dueMs: this.currentMs + Math.max(0, delayMs), run};
 		this.pending.add(item);
 		return {
 			dispose: () => {
@@ -124,14 +124,14 @@
 	The machine sleeps: time passes, and no timer runs before it wakes.
 	@param forMs - how long.
 	*/
-	sleep(forMs: number): void {
+	suspend(forMs: number): void {
 		this.currentMs += forMs;
-		this.didSleep.fire({forMs, isSure: true});
+		this.didResume.fire({forMs, isSure: true});
 		this.advance(0);
 	}
 
-	private nextDue(untilMs: number): Pending | undefined {
-		let next: Pending | undefined;
+	private nextDue(untilMs: number): PendingTimer | undefined {
+		let next: PendingTimer | undefined;
 		for (const item of this.pending) {
 			if (item.dueMs <= untilMs && (!next || item.dueMs < next.dueMs)) {
 				next = item;
--- a/src/base/common/errors.ts
+++ b/src/base/common/errors.ts
@@ -32,7 +32,7 @@
 }
 
 /** Where in an input something is wrong. */
-export type Place = {
+export type SourceLocation = {
 	/** The input: a file's name, `body`, `header Deadline-Ms`, a frame's type. */
 	readonly source: string;
 	/** Path to the value in the input, as `/workspaces/a/deadlineMs`. */
@@ -47,7 +47,7 @@
 export type InputProblem = {
 	readonly code: string;
 	readonly message: string;
-	readonly place: Place;
+	readonly place: SourceLocation;
 };
 
 /**
--- a/src/base/common/is-alike.ts
+++ b/src/base/common/is-deep-equal.ts
@@ -5,7 +5,7 @@
 @param left - made of plain objects, lists and simple values.
 @param right - the same.
 */
-export function isAlike(left: unknown, right: unknown): boolean {
+export function isDeepEqual(left: unknown, right: unknown): boolean {
 	if (Object.is(left, right)) {
 		return true;
 	}
@@ -15,7 +15,7 @@
 	}
 
 	const keys = Object.keys(left);
-	return keys.length === Object.keys(right).length && keys.every(key => Object.hasOwn(right, key) && isAlike(left[key], right[key]));
+	return keys.length === Object.keys(right).length && keys.every(key => Object.hasOwn(right, key) && isDeepEqual(left[key], right[key]));
 }
 
 function isComposite(value: unknown): value is Record<string, unknown> {
--- a/src/base/common/jsonc.ts
+++ b/src/base/common/jsonc.ts
@@ -4,7 +4,7 @@
 	type Node, type ParseError,
 } from 'jsonc-parser';
 import type {z} from 'zod';
-import type {InputProblem, Place} from './errors.js';
+import type {InputProblem, SourceLocation} from './errors.js';
 import {fail, ok, type Outcome} from './outcome.js';
 
 const maxDepth = 24;
@@ -19,25 +19,25 @@
 	@param path - keys from the root.
 	@returns the place, or the nearest one above it.
 	*/
-	placeOf(path: ReadonlyArray<string | number>): Place;
+	locationOf(path: ReadonlyArray<string | number>): SourceLocation;
 };
 
 /** Turns offsets into lines and columns. */
 class LineIndex {
-	private readonly starts: number[] = [0];
+	private readonly lineStarts: number[] = [0];
 
 	constructor(private readonly source: string, text: string) {
 		for (let offset = text.indexOf('\n'); offset !== -1; offset = text.indexOf('\n', offset + 1)) {
-			this.starts.push(offset + 1);
+			this.lineStarts.push(offset + 1);
 		}
 	}
 
-	placeAt(offset: number, path: ReadonlyArray<string | number> = []): Place {
+	locationAt(offset: number, path: ReadonlyArray<string | number> = []): SourceLocation {
 		let line = 0;
-		let above = this.starts.length;
+		let above = this.lineStarts.length;
 		while (above - line > 1) {
 			const middle = Math.floor((line + above) / 2);
-			if (this.starts[middle] <= offset) {
+			if (this.lineStarts[middle] <= offset) {
 				line = middle;
 			} else {
 				above = middle;
@@ -45,7 +45,7 @@
 		}
 
 		return {
-			source: this.source, path: path.length === 0 ? undefined : `/${path.join('/')}`, line: line + 1, column: offset - this.starts[line] + 1,
+			source: this.source, path: path.length === 0 ? undefined : `/${path.join('/')}`, line: line + 1, column: offset - this.lineStarts[line] + 1,
 		};
 	}
 }
@@ -68,16 +68,16 @@
 	}
 
 	const lines = new LineIndex(source, text);
-	const deepOffset = findTooDeep(text);
+	const deepOffset = findExcessiveDepth(text);
 	if (deepOffset !== undefined) {
-		return fail([{code: 'tooDeep', message: `nested deeper than ${maxDepth}`, place: lines.placeAt(deepOffset)}]);
+		return fail([{code: 'tooDeep', message: `nested deeper than ${maxDepth}`, place: lines.locationAt(deepOffset)}]);
 	}
 
 	const errors: ParseError[] = [];
 	const root = parseTree(text, errors, {allowTrailingComma: !isStrict, disallowComments: isStrict, allowEmptyContent: false});
 	if (errors.length > 0 || !root) {
 		return fail(errors.map(error => ({
-			code: 'badSyntax', message: spaced(printParseErrorCode(error.error)), place: lines.placeAt(error.offset),
+			code: 'badSyntax', message: toWords(printParseErrorCode(error.error)), place: lines.locationAt(error.offset),
 		})));
 	}
 
@@ -101,11 +101,11 @@
 		const path = issue.path.filter(part => typeof part !== 'symbol');
 		if (issue.code === 'unrecognized_keys') {
 			return issue.keys.map(key => ({
-				code: 'unknownField', message: `unknown field "${key}"`, place: document.placeOf([...path, key]),
+				code: 'unknownField', message: `unknown field "${key}"`, place: document.locationOf([...path, key]),
 			}));
 		}
 
-		return [{code: 'badValue', message: issue.message, place: document.placeOf(path)}];
+		return [{code: 'badValue', message: issue.message, place: document.locationOf(path)}];
 	}));
 }
 
@@ -122,7 +122,7 @@
 }
 
 /** The parser recurses, so depth is checked before it runs. */
-function findTooDeep(text: string): number | undefined {
+function findExcessiveDepth(text: string): number | undefined {
 	const scanner = createScanner(text, true);
 	let depth = 0;
 	for (let kind = scanner.scan(); kind !== SyntaxKind.EOF; kind = scanner.scan()) {
@@ -153,7 +153,7 @@
 		const childPath = [...path, name];
 		const problems = value ? findDuplicateKeys(value, childPath, lines) : [];
 		if (seen.has(name)) {
-			problems.push({code: 'duplicateKey', message: `"${name}" stands twice`, place: lines.placeAt(key.offset, childPath)});
+			problems.push({code: 'duplicateKey', message: `"${name}" stands twice`, place: lines.locationAt(key.offset, childPath)});
 		}
 
 		seen.add(name);
@@ -164,20 +164,20 @@
 function documentOf(root: Node, lines: LineIndex): JsoncDocument {
 	return {
 		value: getNodeValue(root),
-		placeOf(path) {
+		locationOf(path) {
 			for (let {length} = path; length >= 0; length--) {
 				const node = findNodeAtLocation(root, path.slice(0, length));
 				if (node) {
 					const start = node.parent?.type === 'property' ? node.parent : node;
-					return lines.placeAt(start.offset, path);
+					return lines.locationAt(start.offset, path);
 				}
 			}
 
-			return lines.placeAt(0, path);
+			return lines.locationAt(0, path);
 		},
 	};
 }
 
-function spaced(code: string): string {
+function toWords(code: string): string {
 	return code.replaceAll(/(?<lower>[a-z])(?<upper>[A-Z])/gv, '$<lower> $<upper>').toLowerCase();
 }
--- a/src/base/common/lifecycle.ts
+++ b/src/base/common/lifecycle.ts
@@ -30,7 +30,7 @@
 	private readonly willStop = Emitter.create<WillStopEvent>();
 	private readonly didStop = Emitter.create<void>();
 	private stopping: Promise<void> | undefined;
-	private current: LifecyclePhase = lifecyclePhases.running;
+	private currentPhase: LifecyclePhase = lifecyclePhases.running;
 
 	/** Fires at a planned stop, while everything still serves. */
 	get onWillStop() {
@@ -43,16 +43,16 @@
 	}
 
 	get phase(): LifecyclePhase {
-		return this.current;
+		return this.currentPhase;
 	}
 
 	/**
 	Takes ownership of a part.
-	@param part - freed at the stop, last registered first.
+	@param component - freed at the stop, last registered first.
 	@returns the part.
 	*/
-	register<T extends Disposable>(part: T): T {
-		return this.store.add(part);
+	register<T extends Disposable>(component: T): T {
+		return this.store.add(component);
 	}
 
 	/**
@@ -66,22 +66,22 @@
 
 	/** Frees all now, waiting for nothing. */
 	stopNow(): void {
-		if (this.current !== lifecyclePhases.stopped) {
-			this.current = lifecyclePhases.stopped;
+		if (this.currentPhase !== lifecyclePhases.stopped) {
+			this.currentPhase = lifecyclePhases.stopped;
 			this.store.dispose();
 			this.didStop.fire();
 		}
 	}
 
 	private async runStop(): Promise<void> {
-		this.current = lifecyclePhases.stopping;
-		const waits: Array<Promise<void>> = [];
+		this.currentPhase = lifecyclePhases.stopping;
+		const pendingWork: Array<Promise<void>> = [];
 		this.willStop.fire({
 			waitFor(work) {
-				waits.push(work);
+				pendingWork.push(work);
 			},
 		});
-		await Promise.allSettled(waits);
+		await Promise.allSettled(pendingWork);
 		this.stopNow();
 	}
 }
--- a/src/base/common/time-limit.ts
+++ b/src/base/common/time-limit.ts
@@ -24,22 +24,22 @@
 	private readonly owned = DisposableStore.create();
 	private dueMs: number;
 	private timer: Disposable | undefined;
-	private hasEnded = false;
+	private isDisposed = false;
 
 	private constructor(private readonly clock: Clock, limitMs: number, stop: AbortSignal) {
 		this.dueMs = clock.nowMs() + limitMs;
 		if (stop.aborted) {
-			this.giveUp();
+			this.abort();
 			return;
 		}
 
-		const giveUp = () => {
-			this.giveUp();
+		const onStop = () => {
+			this.abort();
 		};
 
-		stop.addEventListener('abort', giveUp, {once: true});
+		stop.addEventListener('abort', onStop, {once: true});
 		this.owned.add(toDisposable(() => {
-			stop.removeEventListener('abort', giveUp);
+			stop.removeEventListener('abort', onStop);
 		}));
 		this.arm();
 	}
@@ -55,21 +55,21 @@
 	*/
 	extend(moreMs: number): void {
 		const dueMs = this.clock.nowMs() + moreMs;
-		if (!this.hasEnded && dueMs > this.dueMs) {
+		if (!this.isDisposed && dueMs > this.dueMs) {
 			this.dueMs = dueMs;
 			this.arm();
 		}
 	}
 
 	/** Gives the call up now. */
-	giveUp(): void {
+	abort(): void {
 		this.dispose();
 		this.controller.abort(new UnavailableError('given up'));
 	}
 
 	/** The call has ended; nothing gives it up any more. */
 	dispose(): void {
-		this.hasEnded = true;
+		this.isDisposed = true;
 		this.timer?.dispose();
 		this.owned.dispose();
 	}
@@ -77,7 +77,7 @@
 	private arm(): void {
 		this.timer?.dispose();
 		this.timer = this.clock.setTimer(this.dueMs - this.clock.nowMs(), () => {
-			this.giveUp();
+			this.abort();
 		});
 	}
 }
--- a/src/base/node/bounded-output.ts
+++ b/src/base/node/bounded-output.ts
@@ -5,12 +5,12 @@
 import type {Writable} from 'node:stream';
 import type {Clock} from '../common/clock.js';
 
-const standardOutput = 1;
+const stdoutFd = 1;
 /** Lines a second: several for each request at the rates one small host serves. */
 const linesPerSecond = 250;
 /** Lines that may come at once above the rate. */
 const burstLines = 500;
-const mostWaitingBytes = 512 * 1024;
+const maxPendingBytes = 512 * 1024;
 
 /** Takes lines; drops and counts what is too much. */
 export class BoundedOutput {
@@ -24,12 +24,12 @@
 	}
 
 	private tokens = burstLines;
-	private filledMs: number;
+	private lastRefillMs: number;
 	/** Lines that were dropped and not yet told of. */
-	private dropped = 0;
+	private droppedLines = 0;
 
 	private constructor(private readonly clock: Clock, private readonly target: Writable) {
-		this.filledMs = clock.nowMs();
+		this.lastRefillMs = clock.nowMs();
 		// A reader that goes away must not end the process; there is nowhere left to say so.
 		target.on('error', () => undefined);
 	}
@@ -40,19 +40,19 @@
 	*/
 	write(line: string): void {
 		const nowMs = this.clock.nowMs();
-		this.tokens = Math.min(burstLines, this.tokens + (((nowMs - this.filledMs) / 1000) * linesPerSecond));
-		this.filledMs = nowMs;
-		if (this.tokens < 1 || this.target.writableLength > mostWaitingBytes) {
-			this.dropped++;
+		this.tokens = Math.min(burstLines, this.tokens + (((nowMs - this.lastRefillMs) / 1000) * linesPerSecond));
+		this.lastRefillMs = nowMs;
+		if (this.tokens < 1 || this.target.writableLength > maxPendingBytes) {
+			this.droppedLines++;
 			return;
 		}
 
 		this.tokens--;
-		if (this.dropped > 0) {
+		if (this.droppedLines > 0) {
 			this.target.write(`${JSON.stringify({
-				level: 'warn', part: 'logs', message: 'Lines were dropped.', count: this.dropped,
+				level: 'warn', part: 'logs', message: 'Lines were dropped.', count: this.droppedLines,
 			})}\n`);
-			this.dropped = 0;
+			this.droppedLines = 0;
 		}
 
 		this.target.write(line);
@@ -61,6 +61,6 @@
 
 /** A pipe is written without blocking; Node.js itself would block on one. */
 function openStandardOutput(): Writable {
-	const stat = fstatSync(standardOutput);
-	return stat.isFIFO() || stat.isSocket() ? new Socket({fd: standardOutput, readable: false}) : process.stdout;
+	const stat = fstatSync(stdoutFd);
+	return stat.isFIFO() || stat.isSocket() ? new Socket({fd: stdoutFd, readable: false}) : process.stdout;
 }
--- a/src/base/node/tell-sleep.ts
+++ b/src/base/node/log-suspensions.ts
@@ -11,8 +11,8 @@
 @param metrics - counts `host.slept` and, where only the time of day is known to have jumped, `host.mayHaveSlept`.
 @returns disposing ends it.
 */
-export function tellSleep(clock: Clock, log: Logger, metrics: Metrics): Disposable {
-	return clock.onDidSleep(({forMs, isSure}) => {
+export function logSuspensions(clock: Clock, log: Logger, metrics: Metrics): Disposable {
+	return clock.onDidResume(({forMs, isSure}) => {
 		const fields = {forMs: Math.round(forMs)};
 		if (isSure) {
 			log.warn('This host slept; that time counts.', fields);
--- a/src/base/node/system-clock.test.ts
+++ b/src/base/node/system-clock.test.ts
@@ -1,23 +1,23 @@
 import {setTimeout as wait} from 'node:timers/promises';
 import t from 'tap';
-import type {Sleep} from '../common/clock.js';
+import type {Suspension} from '../common/clock.js';
 import {SystemClock} from './system-clock.js';
 
 const compareMs = 2;
 
 /** A clock on clocks that stand still but for what a test adds. */
 function makeClock(hasBoot = true) {
-	const added = {sleptMs: 0, jumpedMs: 0};
+	const added = {suspendedMs: 0, jumpedMs: 0};
 	const clock = SystemClock.create({
 		steadyMs: () => 1000,
-		wallMs: () => 1_700_000_000_000 + added.sleptMs + added.jumpedMs,
-		bootMs: () => hasBoot ? 50_000 + added.sleptMs : undefined,
+		wallMs: () => 1_700_000_000_000 + added.suspendedMs + added.jumpedMs,
+		bootMs: () => hasBoot ? 50_000 + added.suspendedMs : undefined,
 	}, compareMs);
-	const told: Sleep[] = [];
-	clock.onDidSleep(item => {
-		told.push(item);
+	const events: Suspension[] = [];
+	clock.onDidResume(item => {
+		events.push(item);
 	});
-	return {clock, added, told};
+	return {clock, added, events};
 }
 
 /** Waits until what was put off to a later turn has run. */
@@ -28,8 +28,8 @@
 }
 
 t.test('what is read after a sleep counts it at once, and timers that fell due meanwhile run', async t => {
-	const {clock, added, told} = makeClock();
-	while (!clock.isBootBelieved) {
+	const {clock, added, events} = makeClock();
+	while (!clock.isBootClockTrusted) {
 		await wait(compareMs);
 	}
 
@@ -43,27 +43,27 @@
 	clock.setTimer(300_000, () => {
 		ran.push('cancelled');
 	}).dispose();
-	added.sleptMs = 500_000;
+	added.suspendedMs = 500_000;
 	t.equal(clock.nowMs(), 501_000);
 	t.same(ran, [], 'whoever asked for the time is in the middle of something');
 	await laterTurns();
 	t.same(ran, ['due while asleep']);
-	t.same(told, [{forMs: 500_000, isSure: true}]);
+	t.same(events, [{forMs: 500_000, isSure: true}]);
 	later.dispose();
 	added.jumpedMs = 3000;
 	t.equal(clock.nowMs(), 501_000, 'a jump of the time of day alone is no time');
 	await laterTurns();
-	t.equal(told.length, 1);
+	t.equal(events.length, 1);
 });
 
 t.test('without a boot clock a jump ahead is told of, and not counted as time', async t => {
-	const {clock, added, told} = makeClock(false);
+	const {clock, added, events} = makeClock(false);
 	added.jumpedMs = 2000;
 	t.equal(clock.nowMs(), 1000);
 	await laterTurns();
-	t.same(told, [{forMs: 2000, isSure: false}]);
+	t.same(events, [{forMs: 2000, isSure: false}]);
 	added.jumpedMs = 0;
 	t.equal(clock.nowMs(), 1000);
 	await laterTurns();
-	t.equal(told.length, 1, 'a jump back is no sleep');
+	t.equal(events.length, 1, 'a jump back is no sleep');
 });
--- a/src/base/node/system-clock.ts
+++ b/src/base/node/system-clock.ts
@@ -1,16 +1,16 @@
 /** The machine's own time: what has passed, whether the machine was awake or not. */
 import {uptime} from 'node:os';
 import {performance} from 'node:perf_hooks';
-import type {Clock, Sleep} from '../common/clock.js';
+import type {Clock, Suspension} from '../common/clock.js';
 import type {Disposable} from '../common/disposable.js';
 import {Emitter} from '../common/emitter.js';
-import {SleepWatch, type ClockReading} from '../common/sleep-watch.js';
+import {ClockComparer, type ClockReading} from '../common/clock-comparer.js';
 
 /** How often the clocks are compared without an occasion: reading the boot clock takes about 7 us. */
-const compareMs = 1000;
+const defaultCompareIntervalMs = 1000;
 
 /** A timer that has not run: by what is due, since the process's own timers do not count sleep. */
-type Pending = {readonly dueMs: number; readonly run: () => void; handle: NodeJS.Timeout};
+type PendingTimer = {readonly dueMs: number; readonly run: () => void; handle: NodeJS.Timeout};
 
 /** The clocks of a machine. */
 export type MachineClocks = {
@@ -20,7 +20,7 @@
 	bootMs(): number | undefined;
 };
 
-const ownClocks: MachineClocks = {steadyMs: () => performance.now(), wallMs: () => Date.now(), bootMs: () => uptime() * 1000};
+const machineClocks: MachineClocks = {steadyMs: () => performance.now(), wallMs: () => Date.now(), bootMs: () => uptime() * 1000};
 
 /**
 Time and timers of the running process. `nowMs` counts the time that the machine slept, from the first call after it woke,
@@ -30,44 +30,44 @@
 	/**
 	Makes a clock.
 	@param clocks - of the machine, unless a test gives others.
-	@param compareEveryMs - how often they are compared without an occasion.
+	@param compareIntervalMs - how often they are compared without an occasion.
 	*/
-	static create(clocks: MachineClocks = ownClocks, compareEveryMs = compareMs): SystemClock {
-		return new SystemClock(clocks, compareEveryMs);
+	static create(clocks: MachineClocks = machineClocks, compareIntervalMs = defaultCompareIntervalMs): SystemClock {
+		return new SystemClock(clocks, compareIntervalMs);
 	}
 
-	private readonly didSleep = Emitter.create<Sleep>();
-	private readonly pending = new Set<Pending>();
-	private readonly watch: SleepWatch;
+	private readonly didResume = Emitter.create<Suspension>();
+	private readonly pending = new Set<PendingTimer>();
+	private readonly clockComparer: ClockComparer;
 	/** Time that the steady clock did not count. */
-	private sleptMs = 0;
-	private readonly comparing: NodeJS.Timeout;
-
-	private constructor(private readonly clocks: MachineClocks, compareEveryMs: number) {
-		this.watch = SleepWatch.create(this.read());
-		this.comparing = setInterval(() => {
-			this.compare();
-		}, compareEveryMs);
+	private suspendedMs = 0;
+	private readonly compareTimer: NodeJS.Timeout;
+
+	private constructor(private readonly clocks: MachineClocks, compareIntervalMs: number) {
+		this.clockComparer = ClockComparer.create(this.readClocks());
+		this.compareTimer = setInterval(() => {
+			this.compareClocks();
+		}, compareIntervalMs);
 		// It ends with the process, and holds it up for nothing.
-		this.comparing.unref();
+		this.compareTimer.unref();
 	}
 
 	/** Whether a sleep can be told from a jump of the time of day. */
-	get isBootBelieved(): boolean {
-		return this.watch.isBootBelieved;
+	get isBootClockTrusted(): boolean {
+		return this.clockComparer.isBootClockTrusted;
 	}
 
-	get onDidSleep() {
-		return this.didSleep.event;
+	get onDidResume() {
+		return this.didResume.event;
 	}
 
 	nowMs(): number {
 		const steadyMs = this.clocks.steadyMs();
-		if (this.watch.isJump(steadyMs, this.clocks.wallMs())) {
-			this.compare();
+		if (this.clockComparer.hasJumped(steadyMs, this.clocks.wallMs())) {
+			this.compareClocks();
 		}
 
-		return steadyMs + this.sleptMs;
+		return steadyMs + this.suspendedMs;
 	}
 
 	wallMs(): number {
@@ -75,7 +75,7 @@
 	}
 
 	setTimer(delayMs: number, run: () => void): Disposable {
-		const item: Pending = {dueMs: this.nowMs() + delayMs, run, handle: this.arm(delayMs, () => item)};
+		const item: PendingTimer = {dueMs: this.nowMs() + delayMs, run, handle: this.arm(delayMs, () => item)};
 		this.pending.add(item);
 		return {
 			dispose: () => {
@@ -85,7 +85,7 @@
 		};
 	}
 
-	private arm(delayMs: number, itemOf: () => Pending): NodeJS.Timeout {
+	private arm(delayMs: number, itemOf: () => PendingTimer): NodeJS.Timeout {
 		return setTimeout(() => {
 			const item = itemOf();
 			this.pending.delete(item);
@@ -93,28 +93,28 @@
 		}, Math.max(0, delayMs));
 	}
 
-	private read(): ClockReading {
+	private readClocks(): ClockReading {
 		const {clocks} = this;
 		return {steadyMs: clocks.steadyMs(), wallMs: clocks.wallMs(), bootMs: clocks.bootMs()};
 	}
 
-	private compare(): void {
-		const verdict = this.watch.compare(this.read());
-		if (verdict.type === 'none' || verdict.type === 'wallJump') {
+	private compareClocks(): void {
+		const jump = this.clockComparer.compare(this.readClocks());
+		if (jump.type === 'none' || jump.type === 'wallJump') {
 			return;
 		}
 
-		const isSure = verdict.type === 'slept';
-		this.sleptMs += isSure ? verdict.sleptMs : 0;
+		const isConfirmed = jump.type === 'slept';
+		this.suspendedMs += isConfirmed ? jump.suspendedMs : 0;
 		// On a later turn: whoever asked for the time is in the middle of something.
 		setImmediate(() => {
-			this.rearm();
-			this.didSleep.fire({forMs: isSure ? verdict.sleptMs : verdict.jumpMs, isSure});
+			this.rearmTimers();
+			this.didResume.fire({forMs: isConfirmed ? jump.suspendedMs : jump.jumpMs, isSure: isConfirmed});
 		});
 	}
 
 	/** Timers go by the steady clock: what fell due during the sleep would come as much too late. */
-	private rearm(): void {
+	private rearmTimers(): void {
 		const nowMs = this.nowMs();
 		for (const item of this.pending) {
 			clearTimeout(item.handle);
--- a/src/base/node/text-metrics.ts
+++ b/src/base/node/text-metrics.ts
@@ -7,7 +7,7 @@
 const prefix = 'pumicehatch_';
 const quantiles = [50, 90, 95, 99, 99.9] as const;
 /** Longest time a histogram tells apart: longer than any request is held. */
-const longestMs = 60_000;
+const maxTrackedMs = 60_000;
 
 /** Keeps measurements in memory and writes them in the Prometheus text format. */
 export class TextMetrics implements Metrics, Disposable {
@@ -33,11 +33,11 @@
 		const key = keyOf(`${name}_ms`, tags);
 		let histogram = this.histograms.get(key);
 		if (!histogram) {
-			histogram = build({highestTrackableValue: longestMs, numberOfSignificantValueDigits: 2, bitBucketSize: 32});
+			histogram = build({highestTrackableValue: maxTrackedMs, numberOfSignificantValueDigits: 2, bitBucketSize: 32});
 			this.histograms.set(key, histogram);
 		}
 
-		histogram.recordValue(Math.min(longestMs, Math.max(0, Math.round(valueMs))));
+		histogram.recordValue(Math.min(maxTrackedMs, Math.max(0, Math.round(valueMs))));
 	}
 
 	/** @returns all measurements as text. */
@@ -62,15 +62,15 @@
 	Serves the measurements over HTTP.
 	@param address - IP number to listen on.
 	@param port - port to listen on.
-	@param failed - told why the figures can't be served; the process goes on without.
+	@param onError - told why the figures can't be served; the process goes on without.
 	*/
-	serve(address: string, port: number, failed: (reason: string) => void): void {
+	serve(address: string, port: number, onError: (reason: string) => void): void {
 		this.server = createServer((_request, response) => {
 			response.setHeader('content-type', 'text/plain; version=0.0.4');
 			response.end(this.render());
 		});
 		this.server.on('error', error => {
-			failed(error.message);
+			onError(error.message);
 		});
 		this.server.listen(port, address);
 	}
--- a/src/daemon/node/compose-common.ts
+++ b/src/daemon/node/compose-common.ts
@@ -12,7 +12,7 @@
 import {newId, newSeed} from '../../base/node/ids.js';
 import {StatsdMetrics} from '../../base/node/statsd-metrics.js';
 import {SystemClock} from '../../base/node/system-clock.js';
-import {tellSleep} from '../../base/node/tell-sleep.js';
+import {logSuspensions} from '../../base/node/log-suspensions.js';
 import {hostListToken} from '../../store/common/host-list.js';
 import {objectStoreToken} from '../../store/common/object-store.js';
 import {SharedHostList} from '../../store/common/shared-host-list.js';
@@ -55,7 +55,7 @@
 	register(metricsToken, () => host.metrics
 		? parts.resolve(lifecycleToken).register(StatsdMetrics.create({...host.metrics, hall: host.hall, hostId: host.hostId}))
 		: noMetrics);
-	parts.resolve(lifecycleToken).register(tellSleep(parts.resolve(clockToken), parts.resolve(loggerFactoryToken).for('clock'), parts.resolve(metricsToken)));
+	parts.resolve(lifecycleToken).register(logSuspensions(parts.resolve(clockToken), parts.resolve(loggerFactoryToken).for('clock'), parts.resolve(metricsToken)));
 	register(identityToken, () => identityOf(loaded));
 	const platform = {origin: host.platform.origin, token: secrets.platformToken, callTimeoutMs: host.platform.callTimeoutMs};
 	register(tableServiceToken, () => HttpTableService.create(platform));
--- a/src/daemon/node/direct-composition.ts
+++ b/src/daemon/node/direct-composition.ts
@@ -9,7 +9,7 @@
 import {BoundedOutput} from '../../base/node/bounded-output.js';
 import {ConsoleLoggers} from '../../base/node/console-logger.js';
 import {newSeed} from '../../base/node/ids.js';
-import {tellSleep} from '../../base/node/tell-sleep.js';
+import {logSuspensions} from '../../base/node/log-suspensions.js';
 import {SystemClock} from '../../base/node/system-clock.js';
 import {TextMetrics} from '../../base/node/text-metrics.js';
 import type {FeedSource} from '../../deployment/common/feed.js';
@@ -74,7 +74,7 @@
 		isLeaving = true;
 	});
 
-	lifecycle.register(tellSleep(clock, loggers.for('clock'), metrics));
+	lifecycle.register(logSuspensions(clock, loggers.for('clock'), metrics));
 	register(lifecycleToken, () => lifecycle);
 	register(clockToken, () => clock);
 	register(randomToken, () => SeededRandom.create(newSeed()));
--- a/src/deployment/common/hall-drains.test.ts
+++ b/src/deployment/common/hall-drains.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import {hallDrainsTold, parseMessage, type HallDrain} from '../../wire/common/messages.js';
+import {maxHallDrains, parseMessage, type HallDrain} from '../../wire/common/messages.js';
 import {HallDrains, mostHalls} from './hall-drains.js';
 import {listSources} from './list-source.js';
 
@@ -86,12 +86,12 @@
 */
 t.test('of more drains than a message may hold the newest are told', async t => {
 	const drains = HallDrains.create();
-	const count = hallDrainsTold + 50;
+	const count = maxHallDrains + 50;
 	for (let index = 1; index <= count; index++) {
 		drains.take([drain(`h${index}`, index)], listSources.store);
 	}
 
-	t.equal(drains.told.length, hallDrainsTold);
+	t.equal(drains.told.length, maxHallDrains);
 	t.equal(drains.told.at(-1)?.hall, `h${count}`);
 	t.equal(drains.told[0].hall, 'h51');
 	t.ok(drains.isDrained('h1'), 'all are in force here');
--- a/src/deployment/common/hall-drains.ts
+++ b/src/deployment/common/hall-drains.ts
@@ -8,7 +8,7 @@
 */
 import type {InjectionToken} from 'tsyringe';
 import {Emitter} from '../../base/common/emitter.js';
-import {hallDrainsTold, type HallDrain} from '../../wire/common/messages.js';
+import {maxHallDrains, type HallDrain} from '../../wire/common/messages.js';
 import {listSources, type ListSource} from './list-source.js';
 
 /** Halls of which anything is remembered; beyond them, those whose drain ended longest ago are forgotten. */
@@ -43,7 +43,7 @@
 
 	/** What peers are told: ends of drains as well, since a peer may have heard of the beginning only; the newest of too many. */
 	get told(): readonly HallDrain[] {
-		return this.all.slice(-hallDrainsTold);
+		return this.all.slice(-maxHallDrains);
 	}
 
 	isDrained(hall: string): boolean {
--- a/src/deployment/common/server-limits.test.ts
+++ b/src/deployment/common/server-limits.test.ts
@@ -143,7 +143,7 @@
 t.test('a sleep ages what is known', async t => {
 	const {clock, limits, answered} = makeLimits();
 	answered(named(1));
-	clock.sleep(9000);
+	clock.suspend(9000);
 	t.same(limits.all(clock.nowMs()), [{serverId: 's@1', perS: 1, namedAgoMs: 9000}]);
 });
 
--- a/src/deployment/common/share-unchanged.ts
+++ b/src/deployment/common/share-unchanged.ts
@@ -1,5 +1,5 @@
 /** Versions that are read one after the other hold mostly the same; sharing it saves memory and tells at once what changed. */
-import {isAlike} from '../../base/common/is-alike.js';
+import {isDeepEqual} from '../../base/common/is-deep-equal.js';
 import type {Deployment} from './declaration.js';
 
 /**
@@ -26,6 +26,6 @@
 	const known = new Map(before.map(item => [item.name, item]));
 	return after.map(item => {
 		const same = known.get(item.name);
-		return same !== undefined && isAlike(same, item) ? same : item;
+		return same !== undefined && isDeepEqual(same, item) ? same : item;
 	});
 }
--- a/src/deployment/common/upstream-server.ts
+++ b/src/deployment/common/upstream-server.ts
@@ -1,6 +1,6 @@
 /** One start of one upstream server, as the platform's list or a peer tells of it. */
 import {z} from 'zod';
-import {addressPattern, mostPort} from '../../wire/common/endpoint.js';
+import {addressPattern, maxPort} from '../../wire/common/endpoint.js';
 
 /** An entry that tells more is not believed: servers are cold for seconds. */
 export const longestColdMs = 3_600_000;
@@ -14,7 +14,7 @@
 	startedMs: z.number().int().nonnegative(),
 	pool: z.string(),
 	address: z.string().regex(addressPattern),
-	port: z.number().int().positive().max(mostPort),
+	port: z.number().int().positive().max(maxPort),
 	hall: z.string(),
 	slots: z.number().int().positive(),
 	/** Whether it finishes what it has and wants nothing new. */
--- a/src/deployment/node/feed-follower.test.ts
+++ b/src/deployment/node/feed-follower.test.ts
@@ -352,7 +352,7 @@
 	follower.start();
 	await turn();
 	t.same(calls, ['held for 1000']);
-	clock.sleep(300);
+	clock.suspend(300);
 	await turn();
 	t.same(calls, ['held for 1000', 'held for 0'], 'also after a sleep shorter than a call is held');
 	t.notOk(follower.isCurrent);
--- a/src/deployment/node/feed-follower.ts
+++ b/src/deployment/node/feed-follower.ts
@@ -132,8 +132,8 @@
 		const waitMs = this.revision === undefined || this.hasFailed ? 0 : holdMs();
 		const limit = TimeLimit.create(clock, waitMs + answerMs, this.controller.signal);
 		// On waking this host knows only what was in force before, and its connection may have died meanwhile.
-		const woke = clock.onDidSleep(() => {
-			limit.giveUp();
+		const woke = clock.onDidResume(() => {
+			limit.abort();
 		});
 		const watch = this.isSynced ? undefined : this.endOnceTold(limit);
 		const call = {
@@ -157,7 +157,7 @@
 	private endOnceTold(limit: TimeLimit): Disposable {
 		return setRepeating(this.options.clock, () => restMs, () => {
 			if (this.mayRest) {
-				limit.giveUp();
+				limit.abort();
 			}
 		});
 	}
--- a/src/peers/node/leaving-news.ts
+++ b/src/peers/node/leaving-news.ts
@@ -1,7 +1,7 @@
 /** Tells peers which servers have said in an answer that they leave, and takes in what they tell. */
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {LeavingServers} from '../../deployment/common/leaving-servers.js';
-import {leavingServersTold} from '../../wire/common/messages.js';
+import {maxLeavingServers} from '../../wire/common/messages.js';
 import type {PeerMesh} from './peer-mesh.js';
 
 /** What the news are made of. */
@@ -30,7 +30,7 @@
 		this.owned.add(mesh.onDidConnect(hostId => {
 			const {all} = leaving;
 			if (all.length > 0) {
-				mesh.send(hostId, {type: 'leavingServers', serverIds: all.slice(-leavingServersTold)});
+				mesh.send(hostId, {type: 'leavingServers', serverIds: all.slice(-maxLeavingServers)});
 			}
 		}));
 	}
--- a/src/peers/node/limit-news.ts
+++ b/src/peers/node/limit-news.ts
@@ -2,7 +2,7 @@
 import type {Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {ServerLimits} from '../../deployment/common/server-limits.js';
-import {limitsTold} from '../../wire/common/messages.js';
+import {maxServerLimits} from '../../wire/common/messages.js';
 import type {PeerMesh} from './peer-mesh.js';
 
 /** What the news are made of. */
@@ -32,7 +32,7 @@
 		this.owned.add(mesh.onDidConnect(hostId => {
 			const all = limits.all(clock.nowMs());
 			if (all.length > 0) {
-				mesh.send(hostId, {type: 'serverLimits', limits: all.slice(-limitsTold)});
+				mesh.send(hostId, {type: 'serverLimits', limits: all.slice(-maxServerLimits)});
 			}
 		}));
 	}
--- a/src/peers/node/peer-mesh.test.ts
+++ b/src/peers/node/peer-mesh.test.ts
@@ -8,7 +8,7 @@
 import {Emitter} from '../../base/common/emitter.js';
 import {silentLoggers} from '../../base/common/logger.js';
 import {SeededRandom} from '../../base/common/random.js';
-import type {Message, PeerBeat} from '../../wire/common/messages.js';
+import type {Message, PeerHeartbeat} from '../../wire/common/messages.js';
 import type {WireConnection} from '../../wire/node/wire-connection.js';
 import {WireClient} from '../../wire/node/wire-client.js';
 import {WireServer, type Endpoint} from '../../wire/node/wire-server.js';
@@ -22,7 +22,7 @@
 	},
 	keys,
 });
-const beat: PeerBeat = {
+const beat: PeerHeartbeat = {
 	type: 'peerBeat', endpoint: '', knownEndpoints: [], deploymentVersion: 0, listRevision: 0, isLeaving: false, room: 1,
 };
 
@@ -191,7 +191,7 @@
 		received,
 		connection: {
 			peer: wireOf('peer').identity,
-			onDidHear: heard.event,
+			onDidReceiveData: heard.event,
 			onDidReceive: received.event,
 			onDidClose: closed.event,
 			send: () => true,
@@ -239,7 +239,7 @@
 	});
 	await meet(pair, {...beat, endpoint: pair.endpoint, storeAgeMs: 100});
 	await pass(pair.clock, 200);
-	pair.clock.sleep(8000);
+	pair.clock.suspend(8000);
 	await turn();
 	t.same(lost, []);
 	t.ok(pair.mesh.storeAgesMs.get('peer')! >= 8100, 'no fresh reader until it says so again');
--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -6,7 +6,7 @@
 import type {Logger} from '../../base/common/logger.js';
 import {encodeFrame} from '../../wire/common/frame-codec.js';
 import {parseEndpoint} from '../../wire/common/endpoint.js';
-import type {Message, PeerBeat} from '../../wire/common/messages.js';
+import type {Message, PeerHeartbeat} from '../../wire/common/messages.js';
 import type {WireClientOptions} from '../../wire/node/wire-client.js';
 import type {WireConnection} from '../../wire/node/wire-connection.js';
 import type {FleetView} from '../../routing/common/fleet-view.js';
@@ -23,7 +23,7 @@
 const ownPauseMs = 400;
 
 /** What a host tells its peers of itself. */
-export type OwnState = Pick<PeerBeat, 'deploymentVersion' | 'listRevision' | 'isLeaving' | 'room' | 'storeAgeMs' | 'hallDrains'>;
+export type OwnState = Pick<PeerHeartbeat, 'deploymentVersion' | 'listRevision' | 'isLeaving' | 'room' | 'storeAgeMs' | 'hallDrains'>;
 
 /** A message of a peer. */
 export type PeerMessage = {readonly hostId: string; readonly message: Message};
@@ -38,7 +38,7 @@
 };
 
 type Way = {readonly connection: WireConnection; readonly beatNeed: BeatNeed; heardMs: number};
-type Peer = {readonly hostId: string; readonly ways: Set<Way>; beat: PeerBeat | undefined; beatHeardMs: number};
+type Peer = {readonly hostId: string; readonly ways: Set<Way>; beat: PeerHeartbeat | undefined; beatHeardMs: number};
 
 export const peerMeshToken: InjectionToken<PeerMesh> = Symbol('PeerMesh');
 
@@ -224,7 +224,7 @@
 		}
 	}
 
-	private makeBeat(knownEndpoints: string[], nextWithinMs: number): PeerBeat {
+	private makeBeat(knownEndpoints: string[], nextWithinMs: number): PeerHeartbeat {
 		return {
 			type: 'peerBeat', endpoint: this.dials.ownEndpoint, knownEndpoints, nextWithinMs, ...this.options.ownState(),
 		};
@@ -269,7 +269,7 @@
 		peer.ways.add(way);
 		this.options.log.info('A peer is connected.', {peer: hostId, hall: identity.hall, ways: peer.ways.size});
 		// A message of thousands of routes takes longer to come, on a thin or a full link, than a lost peer is waited for.
-		connection.onDidHear(() => {
+		connection.onDidReceiveData(() => {
 			way.heardMs = this.options.clock.nowMs();
 		});
 		connection.onDidReceive(message => {
--- a/src/placement/common/lease.test.ts
+++ b/src/placement/common/lease.test.ts
@@ -45,13 +45,13 @@
 			}
 
 			case 'loseAnswer': {
-				table.loseAnswers = 1;
+				table.responsesToLose = 1;
 
 				break;
 			}
 
 			case 'loseRequest': {
-				table.loseRequests = 1;
+				table.requestsToLose = 1;
 
 				break;
 			}
--- a/src/request/common/claim-store.test.ts
+++ b/src/request/common/claim-store.test.ts
@@ -80,7 +80,7 @@
 
 t.test('a claim that landed although its answer was lost is given back when the request was refused', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
-	table.dieAfterWrite = true;
+	table.crashAfterWrite = true;
 	const lost = storeOf('a').claim(claimKey('w', 'k'), claimOf('a', 'r1'));
 	await pass(clock, 100);
 	t.match(await lost, {ok: false, error: {code: 'unavailable'}});
@@ -123,7 +123,7 @@
 	table.isDown = true;
 	const settled = store.settle(granted, 'completed');
 	await pass(clock, 500);
-	clock.sleep(10_000);
+	clock.suspend(10_000);
 	t.notOk(store.isSettled);
 	table.isDown = false;
 	await pass(clock, 500);
@@ -133,11 +133,11 @@
 
 t.test('a claim that landed although its answer was lost is given back by a host that slept meanwhile', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
-	table.dieAfterWrite = true;
+	table.crashAfterWrite = true;
 	const lost = storeOf('a').claim(claimKey('w', 'k'), claimOf('a', 'r1'));
 	await pass(clock, 100);
 	t.match(await lost, {ok: false, error: {code: 'unavailable'}});
-	clock.sleep(10_000);
+	clock.suspend(10_000);
 	table.isDown = false;
 	await pass(clock, 3000);
 	const again = storeOf('b').claim(claimKey('w', 'k'), claimOf('b', 'r2'));
@@ -149,12 +149,12 @@
 	const {clock, table, storeOf, claimOf} = setUp();
 	const store = storeOf('a');
 	const granted = await claimFree(clock, store, claimOf('a', 'r1'));
-	clock.sleep(keptClaimMs + 2000);
+	clock.suspend(keptClaimMs + 2000);
 	const sweeper = ClaimSweeper.create({
 		table: {
 			scan: async range => table.scan(range),
 			async transact(transaction) {
-				clock.sleep(60_000);
+				clock.suspend(60_000);
 				await Promise.all([store.settle(granted, 'completed'), pass(clock, 500)]);
 				return table.transact(transaction);
 			},
--- a/src/request/node/request-runner.test.ts
+++ b/src/request/node/request-runner.test.ts
@@ -85,7 +85,7 @@
 	const {clock, receive, typesSent} = startRequest();
 	receive(chunk(0));
 	clock.advance(500);
-	clock.sleep(3000);
+	clock.suspend(3000);
 	t.same(typesSent(), ['dispatch']);
 	receive(chunk(1));
 	clock.advance(silenceMs - 1);
@@ -97,7 +97,7 @@
 t.test('a request past its deadline is not sent after a sleep', async t => {
 	const {clock, prepare, results, typesSent} = startRequest({needsPreparation: true});
 	clock.advance(100);
-	clock.sleep(9000);
+	clock.suspend(9000);
 	prepare();
 	clock.advance(100);
 	await new Promise(resolve => {
--- a/src/routing/common/sleep.test.ts
+++ b/src/routing/common/sleep.test.ts
@@ -25,7 +25,7 @@
 	budget.countFirst(clock.nowMs(), 1000);
 	t.ok(budget.tryWithdraw(clock.nowMs(), 100));
 	t.notOk(budget.tryWithdraw(clock.nowMs(), 100));
-	clock.sleep(11_000);
+	clock.suspend(11_000);
 	t.notOk(budget.tryWithdraw(clock.nowMs(), 100), 'the first sends are as old as the repeats');
 	t.ok(budget.tryWithdraw(clock.nowMs(), 1));
 });
@@ -35,7 +35,7 @@
 	const signs = ServerSigns.create();
 	signs.unreachable(clock.nowMs(), 400, 4000);
 	t.ok(signs.isAvoided(clock.nowMs()));
-	clock.sleep(500);
+	clock.suspend(500);
 	t.notOk(signs.isAvoided(clock.nowMs()));
 });
 
@@ -46,7 +46,7 @@
 	record.merge({contentId, ends: [{serverId: 'a', ageMs: 0}], cleared: []}, clock.nowMs());
 	const untilMs = record.barredUntilMs(contentId, clock.nowMs());
 	t.ok(untilMs > clock.nowMs());
-	clock.sleep(untilMs - clock.nowMs());
+	clock.suspend(untilMs - clock.nowMs());
 	t.ok(record.barredUntilMs(contentId, clock.nowMs()) <= clock.nowMs());
 });
 
@@ -59,9 +59,9 @@
 		}],
 	}, clock.nowMs());
 	t.equal(registry.coldLeftMs('s', clock.nowMs()), 3000);
-	clock.sleep(2000);
+	clock.suspend(2000);
 	t.equal(registry.coldLeftMs('s', clock.nowMs()), 1000);
-	clock.sleep(2000);
+	clock.suspend(2000);
 	t.equal(registry.coldLeftMs('s', clock.nowMs()), 0);
 });
 
@@ -74,9 +74,9 @@
 		share.sent('s', clock.nowMs());
 	}
 
-	clock.sleep(999);
+	clock.suspend(999);
 	t.equal(left(), 0);
-	clock.sleep(1);
+	clock.suspend(1);
 	t.equal(left(), 5);
 });
 
@@ -84,9 +84,9 @@
 	const clock = ManualClock.create();
 	const memory = FleetMemory.create('10.0.0.1:1', clock.nowMs());
 	memory.seen(['10.0.0.2:1'], clock.nowMs());
-	clock.sleep(60_000);
+	clock.suspend(60_000);
 	t.same(memory.view([], clock.nowMs()).hosts, ['10.0.0.1:1', '10.0.0.2:1']);
-	clock.sleep(600_000);
+	clock.suspend(600_000);
 	t.same(memory.view([], clock.nowMs()).hosts, ['10.0.0.1:1']);
 });
 
@@ -98,7 +98,7 @@
 	}
 
 	t.equal(tries.sinceFirstTryMs('r', 9000, 4000, clock.nowMs()), 5000);
-	clock.sleep(30_000);
+	clock.suspend(30_000);
 	for (let index = 0; index < 10; index++) {
 		tries.sinceFirstTryMs('r', 9000, 4000, clock.nowMs());
 	}
@@ -120,10 +120,10 @@
 	});
 	limits.answered(server, {kind: 'named', perS: 1}, clock.nowMs(), clock.nowMs());
 	t.notOk(bounds.mayGet(server, directWork, clock.nowMs()));
-	clock.sleep(20_000);
+	clock.suspend(20_000);
 	t.ok(bounds.mayGet(server, directWork, clock.nowMs()));
 	limits.answered(server, {kind: 'none'}, clock.nowMs(), clock.nowMs());
-	clock.sleep(10_000);
+	clock.suspend(10_000);
 	t.equal(limits.limitOf('s', clock.nowMs()), undefined);
 });
 
@@ -131,8 +131,8 @@
 	const clock = ManualClock.create();
 	const rests = ServerRests.create({log: silentLoggers.for('test'), metrics: noMetrics});
 	rests.answered({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
-	clock.sleep(2000);
+	clock.suspend(2000);
 	t.equal(rests.leftMs('s', clock.nowMs()), 1000);
-	clock.sleep(2000);
+	clock.suspend(2000);
 	t.equal(rests.leftMs('s', clock.nowMs()), 0);
 });
--- a/src/settings/common/plan.ts
+++ b/src/settings/common/plan.ts
@@ -29,7 +29,7 @@
 	const tree = SettingsTree.create();
 	tree.restore({revision: 1, nodes: [...nodes].map(([path, fields]) => ({path, fields, revision: 1}))});
 	const problems = checkTree(tree).map(problem => ({
-		...problem, place: document.value.placeOf(keysOf(problem.place.path ?? '')),
+		...problem, place: document.value.locationOf(keysOf(problem.place.path ?? '')),
 	}));
 	return problems.length > 0 ? fail(problems) : ok(nodes);
 }
--- a/src/standins/common/engine-state.ts
+++ b/src/standins/common/engine-state.ts
@@ -19,18 +19,18 @@
 };
 
 /** How fast the engine is. */
-export type EnginePace = {
+export type EngineSpeed = {
 	readonly slots: number;
 	/** Time of one step of the batch, alone. */
 	readonly stepMs: number;
 	/** Added to a step by each further sequence of the batch, as a share. */
-	readonly batchShare: number;
+	readonly slowdownPerSequence: number;
 	/** Steps that reading a prompt takes where its prefix is not cached. */
 	readonly prefillSteps: number;
 };
 
-export const defaultPace: EnginePace = {
-	slots: 8, stepMs: 8, batchShare: 0.05, prefillSteps: 6,
+export const defaultSpeed: EngineSpeed = {
+	slots: 8, stepMs: 8, slowdownPerSequence: 0.05, prefillSteps: 6,
 };
 
 /**
@@ -47,13 +47,13 @@
 export type Sequence = {
 	readonly generation: Generation;
 	next: number;
-	prefillLeft: number;
+	remainingPrefillSteps: number;
 };
 
 /** The batch, the cache and the loaded models of one engine. */
 export class EngineState {
-	static create(pace: EnginePace, models: readonly LoadedModel[]): EngineState {
-		return new EngineState(pace, [...models]);
+	static create(speed: EngineSpeed, models: readonly LoadedModel[]): EngineState {
+		return new EngineState(speed, [...models]);
 	}
 
 	/** Highest fence seen; lower ones are refused where the engine checks. */
@@ -64,7 +64,7 @@
 	private readonly waiting: Sequence[] = [];
 	private readonly cache = new Set<string>();
 
-	private constructor(readonly pace: EnginePace, readonly models: LoadedModel[]) {}
+	private constructor(readonly speed: EngineSpeed, readonly models: LoadedModel[]) {}
 
 	get queued(): number {
 		return this.waiting.length;
@@ -72,16 +72,16 @@
 
 	/** Time the next step of the batch takes. */
 	get stepMs(): number {
-		return this.pace.stepMs * (1 + (this.pace.batchShare * Math.max(0, this.batch.size - 1)));
+		return this.speed.stepMs * (1 + (this.speed.slowdownPerSequence * Math.max(0, this.batch.size - 1)));
 	}
 
 	add(generation: Generation): void {
 		const prefix = generation.prompt.slice(0, prefixCharacters);
 		const isCached = this.cache.has(prefix);
 		this.cacheHits += isCached ? 1 : 0;
-		this.keepPrefix(prefix);
+		this.cachePrefix(prefix);
 		this.waiting.push({
-			generation, next: generation.offset, prefillLeft: isCached ? 1 : this.pace.prefillSteps,
+			generation, next: generation.offset, remainingPrefillSteps: isCached ? 1 : this.speed.prefillSteps,
 		});
 		this.waiting.sort((a, b) => b.generation.priority - a.generation.priority);
 		this.fill();
@@ -107,27 +107,27 @@
 
 	/** @returns the sequences that gave a token in this step. */
 	step(): Sequence[] {
-		const given: Sequence[] = [];
+		const advanced: Sequence[] = [];
 		for (const sequence of this.batch.values()) {
-			if (sequence.prefillLeft > 0) {
-				sequence.prefillLeft--;
+			if (sequence.remainingPrefillSteps > 0) {
+				sequence.remainingPrefillSteps--;
 			} else {
 				sequence.next++;
-				given.push(sequence);
+				advanced.push(sequence);
 			}
 		}
 
-		return given;
+		return advanced;
 	}
 
 	private fill(): void {
-		while (this.batch.size < this.pace.slots && this.waiting.length > 0) {
+		while (this.batch.size < this.speed.slots && this.waiting.length > 0) {
 			const sequence = this.waiting.shift()!;
 			this.batch.set(sequence.generation.id, sequence);
 		}
 	}
 
-	private keepPrefix(prefix: string): void {
+	private cachePrefix(prefix: string): void {
 		this.cache.delete(prefix);
 		this.cache.add(prefix);
 		if (this.cache.size > cacheCapacity) {
--- a/src/standins/common/memory-table.ts
+++ b/src/standins/common/memory-table.ts
@@ -4,8 +4,8 @@
 	Row, RowWrite, ScanRange, TableFailure, TableService, Transaction,
 } from '../../store/common/table-service.js';
 
-const down: TableFailure = {code: 'unavailable', message: 'the table service is down', mayHaveTakenEffect: false};
-const lost: TableFailure = {code: 'unavailable', message: 'the answer was lost', mayHaveTakenEffect: true};
+const serviceDown: TableFailure = {code: 'unavailable', message: 'the table service is down', mayHaveTakenEffect: false};
+const outcomeLost: TableFailure = {code: 'unavailable', message: 'the answer was lost', mayHaveTakenEffect: true};
 
 /** Rows in memory. */
 export class MemoryTable implements TableService {
@@ -16,11 +16,11 @@
 	/** No call is served. */
 	isDown = false;
 	/** Answers to this many next transactions are lost after their writes took effect. */
-	loseAnswers = 0;
+	responsesToLose = 0;
 	/** This many next transactions are lost before they take effect; the caller can't tell. */
-	loseRequests = 0;
+	requestsToLose = 0;
 	/** The next transaction takes effect, and the service goes down before it answers. */
-	dieAfterWrite = false;
+	crashAfterWrite = false;
 	/** Calls served so far, for budgets. */
 	readCount = 0;
 	writeCount = 0;
@@ -29,13 +29,13 @@
 
 	async read(keys: readonly string[]): Promise<Outcome<Row[], TableFailure>> {
 		this.readCount++;
-		return this.isDown ? fail(down) : ok(keys.flatMap(key => this.rows.get(key) ?? []));
+		return this.isDown ? fail(serviceDown) : ok(keys.flatMap(key => this.rows.get(key) ?? []));
 	}
 
 	async scan(range: ScanRange): Promise<Outcome<Row[], TableFailure>> {
 		this.readCount++;
 		if (this.isDown) {
-			return fail(down);
+			return fail(serviceDown);
 		}
 
 		const keys = [...this.rows.keys()]
@@ -48,12 +48,12 @@
 	async transact(transaction: Transaction): Promise<Outcome<undefined, TableFailure>> {
 		this.writeCount++;
 		if (this.isDown) {
-			return fail({...down, mayHaveTakenEffect: true});
+			return fail({...serviceDown, mayHaveTakenEffect: true});
 		}
 
-		if (this.loseRequests > 0) {
-			this.loseRequests--;
-			return fail(lost);
+		if (this.requestsToLose > 0) {
+			this.requestsToLose--;
+			return fail(outcomeLost);
 		}
 
 		const keys = transaction.conditions
@@ -65,15 +65,15 @@
 			}
 		}
 
-		if (this.dieAfterWrite) {
-			this.dieAfterWrite = false;
+		if (this.crashAfterWrite) {
+			this.crashAfterWrite = false;
 			this.isDown = true;
-			return fail(lost);
+			return fail(outcomeLost);
 		}
 
-		if (this.loseAnswers > 0) {
-			this.loseAnswers--;
-			return fail(lost);
+		if (this.responsesToLose > 0) {
+			this.responsesToLose--;
+			return fail(outcomeLost);
 		}
 
 		return keys.length > 0 ? fail({code: 'conflict', keys}) : ok(undefined);
--- a/src/standins/node/engine-server.ts
+++ b/src/standins/node/engine-server.ts
@@ -5,7 +5,7 @@
 import type {Disposable} from '../../base/common/disposable.js';
 import type {LoadedModel} from '../../wire/common/messages.js';
 import {
-	defaultPace, EngineState, tokenAt, type EnginePace, type Sequence,
+	defaultSpeed, EngineState, tokenAt, type EngineSpeed, type Sequence,
 } from '../common/engine-state.js';
 import {readJson, sendJson, StandinServer} from './standin-server.js';
 
@@ -31,10 +31,10 @@
 
 /** How a stand-in engine is made. */
 export type EngineOptions = {
-	readonly pace?: EnginePace;
+	readonly speed?: EngineSpeed;
 	readonly models: readonly LoadedModel[];
 	/** Whether orders with a lower fence are refused. */
-	readonly isChecking?: boolean;
+	readonly isFenceChecked?: boolean;
 	/** Where the weight store answers; none loads at once. */
 	readonly weightOrigin?: string;
 };
@@ -63,7 +63,7 @@
 	private nextStepAtMs = 0;
 
 	private constructor(private readonly options: EngineOptions) {
-		this.state = EngineState.create(options.pace ?? defaultPace, options.models);
+		this.state = EngineState.create(options.speed ?? defaultSpeed, options.models);
 	}
 
 	get origin(): string {
@@ -164,7 +164,7 @@
 	private sendState(response: ServerResponse): void {
 		const {state} = this;
 		const body = {
-			slots: state.pace.slots, running: state.batch.size, queued: state.queued, models: state.models, epoch: state.epoch, sequence: state.sequence,
+			slots: state.speed.slots, running: state.batch.size, queued: state.queued, models: state.models, epoch: state.epoch, sequence: state.sequence,
 		};
 		setTimeout(() => {
 			sendJson(response, 200, body);
@@ -173,8 +173,8 @@
 
 	private async order(order: Order, response: ServerResponse): Promise<void> {
 		const {state} = this;
-		const isOld = order.epoch < state.epoch || (order.epoch === state.epoch && order.sequence <= state.sequence);
-		if (this.options.isChecking !== false && isOld) {
+		const isStale = order.epoch < state.epoch || (order.epoch === state.epoch && order.sequence <= state.sequence);
+		if (this.options.isFenceChecked !== false && isStale) {
 			sendJson(response, 409, {message: `fence ${order.epoch}/${order.sequence} is below ${state.epoch}/${state.sequence}`});
 			return;
 		}
--- a/src/standins/node/platform-server.ts
+++ b/src/standins/node/platform-server.ts
@@ -31,21 +31,21 @@
 	/** How old the host list is that callers get. */
 	hostListLagMs = 0;
 	/** Time one fetch from the weight store takes; more than two at once wait. */
-	weightMs = 0;
+	weightFetchMs = 0;
 	weightFetches = 0;
 	/** Added to every answer. */
 	delayMs = 0;
 	private server: StandinServer | undefined;
-	private readonly lists: Array<{readonly atMs: number; readonly hosts: ListedHost[]}> = [{atMs: 0, hosts: []}];
+	private readonly hostListHistory: Array<{readonly atMs: number; readonly hosts: ListedHost[]}> = [{atMs: 0, hosts: []}];
 	private readonly weightQueue: Array<Promise<void>> = Array.from({length: weightSlots}, async () => undefined);
 
 	/** Hosts as they are now; callers get the list as it was. */
 	get hosts(): ListedHost[] {
-		return this.lists.at(-1)!.hosts;
+		return this.hostListHistory.at(-1)!.hosts;
 	}
 
 	set hosts(hosts: ListedHost[]) {
-		this.lists.push({atMs: performance.now(), hosts});
+		this.hostListHistory.push({atMs: performance.now(), hosts});
 	}
 
 	get origin(): string {
@@ -94,9 +94,9 @@
 		}
 	}
 
-	private laggingHosts(): ListedHost[] {
+	private hostsAfterLag(): ListedHost[] {
 		const beforeMs = performance.now() - this.hostListLagMs;
-		return this.lists.findLast(list => list.atMs <= beforeMs)?.hosts ?? [];
+		return this.hostListHistory.findLast(list => list.atMs <= beforeMs)?.hosts ?? [];
 	}
 
 	/** The weight store serves a few fetches at once; the others wait their turn. */
@@ -106,7 +106,7 @@
 		const fetch = (async () => {
 			await turn;
 			await new Promise(resolve => {
-				setTimeout(resolve, this.weightMs);
+				setTimeout(resolve, this.weightFetchMs);
 			});
 		})();
 		this.weightQueue.push(fetch);
@@ -129,7 +129,7 @@
 			}
 
 			case '/v1/hosts/list': {
-				sendJson(response, 200, {hosts: this.laggingHosts()});
+				sendJson(response, 200, {hosts: this.hostsAfterLag()});
 				break;
 			}
 
--- a/src/standins/node/service-server.ts
+++ b/src/standins/node/service-server.ts
@@ -12,11 +12,11 @@
 	/** Whether `GET /v1/state` tells the load. */
 	readonly isReporting: boolean;
 	/** Makes an answer of a body. */
-	readonly answer: (path: string, body: string) => unknown;
+	readonly respond: (path: string, body: string) => unknown;
 };
 
 /** Faults to switch on. */
-export type ServiceFaults = {slowFactor: number; isFailing: boolean; isDroppingAnswers: boolean};
+export type ServiceFaults = {slowFactor: number; isFailing: boolean; isDroppingResponses: boolean};
 
 /** A service on one loopback port that counts what ran. */
 export class ServiceServer implements Disposable {
@@ -26,7 +26,7 @@
 		return service;
 	}
 
-	readonly faults: ServiceFaults = {slowFactor: 1, isFailing: false, isDroppingAnswers: false};
+	readonly faults: ServiceFaults = {slowFactor: 1, isFailing: false, isDroppingResponses: false};
 	/** Bodies of all calls that ran, in order. */
 	readonly ran: string[] = [];
 	private running = 0;
@@ -58,12 +58,12 @@
 			setTimeout(resolve, this.options.serviceMs * this.faults.slowFactor);
 		});
 		this.freeSlot();
-		if (this.faults.isDroppingAnswers) {
+		if (this.faults.isDroppingResponses) {
 			response.destroy();
 		} else if (this.faults.isFailing) {
 			sendJson(response, 500, {message: 'service fault'});
 		} else {
-			sendJson(response, 200, this.options.answer(request.url ?? '/', body));
+			sendJson(response, 200, this.options.respond(request.url ?? '/', body));
 		}
 	}
 
--- a/src/standins/node/standin-server.ts
+++ b/src/standins/node/standin-server.ts
@@ -8,13 +8,13 @@
 import {endpointOf} from '../../wire/node/listen.js';
 
 /** Answers one request. */
-export type Handler = (request: IncomingMessage, response: ServerResponse) => Promise<void> | void;
+export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => Promise<void> | void;
 
 /** An HTTP server on a free loopback port. */
 export class StandinServer implements Disposable {
-	static async create(handler: Handler): Promise<StandinServer> {
+	static async create(handler: RequestHandler): Promise<StandinServer> {
 		const server = createServer((request, response) => {
-			void answer(handler, request, response);
+			void handleRequest(handler, request, response);
 		});
 		server.keepAliveTimeout = 60_000;
 		await new Promise<void>(resolve => {
@@ -35,7 +35,7 @@
 	}
 }
 
-async function answer(handler: Handler, request: IncomingMessage, response: ServerResponse): Promise<void> {
+async function handleRequest(handler: RequestHandler, request: IncomingMessage, response: ServerResponse): Promise<void> {
 	try {
 		await handler(request, response);
 	} catch (error) {
--- a/src/wire/common/frame-codec.test.ts
+++ b/src/wire/common/frame-codec.test.ts
@@ -9,14 +9,14 @@
 };
 
 function joined(...parts: Uint8Array[]): Uint8Array {
-	const whole = new Uint8Array(parts.reduce((sum, part) => sum + part.byteLength, 0));
+	const result = new Uint8Array(parts.reduce((sum, part) => sum + part.byteLength, 0));
 	let offset = 0;
 	for (const part of parts) {
-		whole.set(part, offset);
+		result.set(part, offset);
 		offset += part.byteLength;
 	}
 
-	return whole;
+	return result;
 }
 
 t.test('messages come out as they went in, however the bytes are cut', async t => {
--- a/src/wire/common/messages.ts
+++ b/src/wire/common/messages.ts
@@ -13,7 +13,7 @@
 const count = z.number().int().nonnegative();
 const ms = z.number().nonnegative();
 const bytes = z.custom<Uint8Array>(value => value instanceof Uint8Array, 'expected bytes');
-const header = z.strictObject({name: z.string().max(256), value: z.string().max(16_384)});
+const headerSchema = z.strictObject({name: z.string().max(256), value: z.string().max(16_384)});
 
 /** What a process does. */
 export const roles = {entry: 'entry', agent: 'agent'} as const;
@@ -39,7 +39,7 @@
 export type LoadedModel = z.infer<typeof loadedModelSchema>;
 
 /** What an agent knows of its upstream. */
-const loadSchema = z.strictObject({
+const upstreamLoadSchema = z.strictObject({
 	running: count,
 	queued: count,
 	slots: count,
@@ -47,7 +47,7 @@
 	serviceMs: ms,
 	models: z.array(loadedModelSchema).max(64),
 });
-export type UpstreamLoad = z.infer<typeof loadSchema>;
+export type UpstreamLoad = z.infer<typeof upstreamLoadSchema>;
 
 const generateCallSchema = z.strictObject({
 	kind: z.literal('generate'),
@@ -65,7 +65,7 @@
 	kind: z.literal('http'),
 	method: z.string().regex(/^[A-Z]{1,20}$/v),
 	path: z.string().max(8192),
-	headers: z.array(header).max(200),
+	headers: z.array(headerSchema).max(200),
 	body: bytes,
 	/** Names of results the upstream reads first. */
 	inputs: z.array(z.string().max(256)).max(4096).optional(),
@@ -75,7 +75,7 @@
 const callSchema = z.discriminatedUnion('kind', [generateCallSchema, runCallSchema, httpCallSchema]);
 export type UpstreamCall = z.infer<typeof callSchema>;
 export type HttpCall = z.infer<typeof httpCallSchema>;
-export type Header = z.infer<typeof header>;
+export type Header = z.infer<typeof headerSchema>;
 
 const helloSchema = z.strictObject({
 	type: z.literal('hello'), protocol: count, identity: identitySchema, nonce: id, keyIds: z.array(id).min(1).max(8),
@@ -125,13 +125,13 @@
 export type RefusalReason = typeof refusalReasons[keyof typeof refusalReasons];
 
 const refusedSchema = z.strictObject({
-	type: z.literal('refused'), dispatchId: id, reason: z.enum(refusalReasons), load: loadSchema.optional(),
+	type: z.literal('refused'), dispatchId: id, reason: z.enum(refusalReasons), load: upstreamLoadSchema.optional(),
 });
 const startedSchema = z.strictObject({
 	type: z.literal('started'),
 	dispatchId: id,
 	queueMs: ms,
-	http: z.strictObject({status: count, headers: z.array(header).max(200)}).optional(),
+	http: z.strictObject({status: count, headers: z.array(headerSchema).max(200)}).optional(),
 });
 const chunkSchema = z.strictObject({
 	type: z.literal('chunk'),
@@ -159,16 +159,16 @@
 	/** Time on the upstream. */
 	runMs: ms,
 	reason: z.string().max(500).optional(),
-	load: loadSchema.optional(),
+	load: upstreamLoadSchema.optional(),
 });
 export type EndMessage = z.infer<typeof endSchema>;
 
 const pingSchema = z.strictObject({type: z.literal('ping'), nonce: count, settingsRevision: count});
 const pongSchema = z.strictObject({
-	type: z.literal('pong'), nonce: count, settingsRevision: count, state: z.enum(serveStates), load: loadSchema.optional(),
+	type: z.literal('pong'), nonce: count, settingsRevision: count, state: z.enum(serveStates), load: upstreamLoadSchema.optional(),
 });
 const reportSchema = z.strictObject({
-	type: z.literal('report'), settingsRevision: count, state: z.enum(serveStates), load: loadSchema.optional(),
+	type: z.literal('report'), settingsRevision: count, state: z.enum(serveStates), load: upstreamLoadSchema.optional(),
 });
 export type ReportMessage = z.infer<typeof reportSchema>;
 
@@ -211,7 +211,7 @@
 const drainSchema = z.strictObject({type: z.literal('drain'), incarnation: id});
 
 /** Most drains of halls that one message tells; deployments have a few halls. */
-export const hallDrainsTold = 1000;
+export const maxHallDrains = 1000;
 const hallDrainSchema = z.strictObject({
 	hall: name,
 	isDrained: z.boolean(),
@@ -222,7 +222,7 @@
 export type HallDrain = z.infer<typeof hallDrainSchema>;
 
 /** Sent now and then by each host to its peers: a sign of life, and what it has in force. */
-const peerBeatSchema = z.strictObject({
+const peerHeartbeatSchema = z.strictObject({
 	type: z.literal('peerBeat'),
 	/** Where the sender listens for its peers. */
 	endpoint: name,
@@ -239,9 +239,9 @@
 	/** How long ago the store last answered the sender; absent while the sender does not read it. */
 	storeAgeMs: z.number().nonnegative().optional(),
 	/** Beginnings and ends of drains of data halls that the sender knows; absent where it knows none. */
-	hallDrains: z.array(hallDrainSchema).max(hallDrainsTold).optional(),
+	hallDrains: z.array(hallDrainSchema).max(maxHallDrains).optional(),
 });
-export type PeerBeat = z.infer<typeof peerBeatSchema>;
+export type PeerHeartbeat = z.infer<typeof peerHeartbeatSchema>;
 /** Asks a peer for what it has in force. */
 const stateRequestSchema = z.strictObject({
 	type: z.literal('stateRequest'),
@@ -335,7 +335,7 @@
 export type FatalContents = z.infer<typeof fatalContentsSchema>['contents'];
 
 /** Most limits that one message tells. */
-export const limitsTold = 1000;
+export const maxServerLimits = 1000;
 /** Requests a second that upstreams take from all hosts together, as their answers name them. */
 const serverLimitsSchema = z.strictObject({
 	type: z.literal('serverLimits'),
@@ -346,15 +346,15 @@
 		namedAgoMs: ms,
 		/** Time since a call was sent whose answer no longer named it; absent while it is in force. */
 		endedAgoMs: ms.optional(),
-	})).max(limitsTold),
+	})).max(maxServerLimits),
 });
 
 /** Most servers that one message tells to leave. */
-export const leavingServersTold = 1000;
+export const maxLeavingServers = 1000;
 /** Starts of upstreams that have said in an answer that they leave. */
 const leavingServersSchema = z.strictObject({
 	type: z.literal('leavingServers'),
-	serverIds: z.array(serverId).max(leavingServersTold),
+	serverIds: z.array(serverId).max(maxLeavingServers),
 });
 
 const messageSchema = z.discriminatedUnion('type', [
@@ -377,7 +377,7 @@
 	orderSchema,
 	orderReplySchema,
 	drainSchema,
-	peerBeatSchema,
+	peerHeartbeatSchema,
 	stateRequestSchema,
 	stateReplySchema,
 	promptsSentSchema,
--- a/src/wire/node/handshake.ts
+++ b/src/wire/node/handshake.ts
@@ -15,17 +15,17 @@
 function macOf(side: Side, transcript: Transcript, secret: string): string {
 	const {hello, serverIdentity, serverNonce, keyId} = transcript;
 	const text = JSON.stringify([
-		side, hello.protocol, hello.nonce, serverNonce, keyId, listOf(hello.identity), listOf(serverIdentity),
+		side, hello.protocol, hello.nonce, serverNonce, keyId, identityFields(hello.identity), identityFields(serverIdentity),
 	]);
 	return createHmac('sha256', secret).update(text).digest('base64url');
 }
 
-function listOf(identity: Identity): unknown[] {
+function identityFields(identity: Identity): unknown[] {
 	const {hostId, incarnation, role, hall, upstreamId, pool} = identity;
 	return [hostId, incarnation, role, hall, upstreamId ?? '', pool ?? ''];
 }
 
-function isSame(left: string, right: string): boolean {
+function isEqualTimingSafe(left: string, right: string): boolean {
 	const a = new TextEncoder().encode(left);
 	const b = new TextEncoder().encode(right);
 	return a.byteLength === b.byteLength && timingSafeEqual(a, b);
@@ -85,7 +85,7 @@
 	const transcript = {
 		hello, serverIdentity: welcome.identity, serverNonce: welcome.nonce, keyId: welcome.keyId,
 	};
-	if (!key || welcome.protocol !== protocolVersion || !isSame(macOf('server', transcript, key.secret), welcome.mac)) {
+	if (!key || welcome.protocol !== protocolVersion || !isEqualTimingSafe(macOf('server', transcript, key.secret), welcome.mac)) {
 		return {problem: 'the other side did not prove that it has the key'};
 	}
 
@@ -99,5 +99,5 @@
 @returns whether the caller has the key.
 */
 export function isProofValid(handshake: ServerHandshake, mac: string): boolean {
-	return isSame(handshake.expectedProof, mac);
+	return isEqualTimingSafe(handshake.expectedProof, mac);
 }
--- a/src/wire/node/wire-client.ts
+++ b/src/wire/node/wire-client.ts
@@ -9,7 +9,7 @@
 import type {Endpoint, TlsMaterial} from './wire-server.js';
 
 const firstRetryMs = 50;
-const longestRetryMs = 2000;
+const maxRetryMs = 2000;
 
 /** What a client needs from its process. */
 export type WireClientOptions = WireOptions & {
@@ -65,17 +65,17 @@
 			this.didConnect.fire(connection);
 		});
 		connection.onDidClose(() => {
-			this.openLater();
+			this.scheduleReconnect();
 		});
 	}
 
-	private openLater(): void {
+	private scheduleReconnect(): void {
 		if (this.isDisposed) {
 			return;
 		}
 
 		const delayMs = jitter(this.options.random, this.retryMs);
-		this.retryMs = Math.min(longestRetryMs, this.retryMs * 2);
+		this.retryMs = Math.min(maxRetryMs, this.retryMs * 2);
 		this.retryTimer = this.options.clock.setTimer(delayMs, () => {
 			this.open();
 		});
--- a/src/wire/node/wire-connection.ts
+++ b/src/wire/node/wire-connection.ts
@@ -22,7 +22,7 @@
 
 const defaultMaxBufferedBytes = 64 * 1024 * 1024;
 
-type Handler = (message: Message) => void;
+type MessageHandler = (message: Message) => void;
 
 /** Sends and receives messages; ready once both sides have proved who they are. */
 export class WireConnection implements Disposable {
@@ -41,8 +41,8 @@
 	private readonly didOpen = Emitter.create<Identity>();
 	private readonly didClose = Emitter.create<string>();
 	private readonly didReceive = Emitter.create<Message>();
-	private readonly didHear = Emitter.create<void>();
-	private handler: Handler;
+	private readonly didReceiveData = Emitter.create<void>();
+	private handler: MessageHandler;
 	private peerIdentity: Identity | undefined;
 	private isClosed = false;
 	private closeReason = 'closed by the other side';
@@ -55,7 +55,7 @@
 			this.close('no handshake in time');
 		});
 		socket.on('data', (piece: Uint8Array) => {
-			this.receive(piece);
+			this.handleData(piece);
 		});
 		socket.on('error', error => {
 			this.closeReason = error.message;
@@ -76,8 +76,8 @@
 	}
 
 	/** Fires whenever bytes come, also in the midst of a message: the other side lives, and the way to it carries. */
-	get onDidHear() {
-		return this.didHear.event;
+	get onDidReceiveData() {
+		return this.didReceiveData.event;
 	}
 
 	/** Fires for each message after the handshake. */
@@ -135,7 +135,7 @@
 		this.close('disposed');
 	}
 
-	private startAsClient(): Handler {
+	private startAsClient(): MessageHandler {
 		const hello = makeHello(this.options.identity, this.options.keys());
 		this.socket.once('connect', () => {
 			this.write(hello);
@@ -154,7 +154,7 @@
 		};
 	}
 
-	private startAsServer(): Handler {
+	private startAsServer(): MessageHandler {
 		let handshake: ServerHandshake | undefined;
 		let identity: Identity | undefined;
 		return message => {
@@ -186,8 +186,8 @@
 		this.didOpen.fire(identity);
 	}
 
-	private receive(piece: Uint8Array): void {
-		this.didHear.fire();
+	private handleData(piece: Uint8Array): void {
+		this.didReceiveData.fire();
 		const messages = this.decoder.push(piece);
 		if (!messages.ok) {
 			this.close(formatProblem(messages.error));
@@ -212,7 +212,7 @@
 			this.didOpen.dispose();
 			this.didClose.dispose();
 			this.didReceive.dispose();
-			this.didHear.dispose();
+			this.didReceiveData.dispose();
 		}
 	}
 }
--- a/src/wire/node/wire.test.ts
+++ b/src/wire/node/wire.test.ts
@@ -94,9 +94,9 @@
 	const {endpoint, connected} = await listen(t, [newKey]);
 	const client = await open(t, endpoint, [newKey]);
 	const server = await connected;
-	let heardCount = 0;
-	server.onDidHear(() => {
-		heardCount++;
+	let receivedCount = 0;
+	server.onDidReceiveData(() => {
+		receivedCount++;
 	});
 	const received = new Promise<Message>(resolve => {
 		server.onDidReceive(resolve);
@@ -104,5 +104,5 @@
 	// Sockets give at most 64 KiB at once.
 	client.send({type: 'stateReply', servers: new Uint8Array(1024 * 1024)});
 	t.match(await received, {type: 'stateReply'});
-	t.ok(heardCount >= 16, `${heardCount} times`);
+	t.ok(receivedCount >= 16, `${receivedCount} times`);
 });
--- a/test/daemon-process.test.ts
+++ b/test/daemon-process.test.ts
@@ -59,7 +59,7 @@
 t.test('daemons as processes of their own, killed, frozen and stopped', async t => {
 	const platform = await PlatformServer.create();
 	const service = await ServiceServer.create({
-		serviceMs: 20, slots: 4, isReporting: true, answer: (_path, body) => ({got: body}),
+		serviceMs: 20, slots: 4, isReporting: true, respond: (_path, body) => ({got: body}),
 	});
 	t.teardown(() => {
 		platform.dispose();
--- a/test/fleet-changes.test.ts
+++ b/test/fleet-changes.test.ts
@@ -90,7 +90,7 @@
 	});
 	const post = async (entry: number, body: string) => call(fleet.operatorsOrigin(entry), '/v1/settings/changes', {body, token: 'demo-operator'});
 
-	fleet.platform.table.loseAnswers = 1;
+	fleet.platform.table.responsesToLose = 1;
 	const accepted = await post(0, change('once', 900, 1));
 	t.match(accepted.body, {revision: 2});
 	t.match((await post(1, change('once', 900, 1))).body, {revision: 2, isRepeat: true});
@@ -133,7 +133,7 @@
 	};
 	t.equal((await call(fleet.operatorsOrigin(1), '/v1/settings/changes', {body: JSON.stringify(change), token: 'demo-operator'})).status, 200);
 	const engines = fleet.poolOf('models').map(upstream => upstream.engine!);
-	fleet.platform.weightMs = 50;
+	fleet.platform.weightFetchMs = 50;
 	await until(() => engines.every(engine => engine.state.models.every(model => model.version === 'v4' && model.adapters.join(',') === 'quotes')));
 	for (const engine of engines) {
 		const fences = engine.orders.map(order => order.sequence);
--- a/test/fleet-harness.ts
+++ b/test/fleet-harness.ts
@@ -14,7 +14,7 @@
 	entries: 2,
 	models: [{model: 'sawmill-7b', version: 'v3', adapters: ['quotes', 'tallies']}],
 	pace: {
-		slots: 4, stepMs: 4, batchShare: 0.05, prefillSteps: 3,
+		slots: 4, stepMs: 4, slowdownPerSequence: 0.05, prefillSteps: 3,
 	},
 	logLevel: 'error',
 	stopGraceMs: 50,
--- a/test/fleet-requests.test.ts
+++ b/test/fleet-requests.test.ts
@@ -71,14 +71,14 @@
 		const body = JSON.stringify({reserve: 'lost-answer'});
 		const options = {body, headers: {'idempotency-key': 'lost-1', 'not-repeatable': 'true'}};
 		for (const upstream of fleet.poolOf('stock')) {
-			upstream.service!.faults.isDroppingAnswers = true;
+			upstream.service!.faults.isDroppingResponses = true;
 		}
 
 		const answer = await call(first, 'services/stock/reservations', options);
 		t.equal(answer.body.outcome, 'unknown');
 		t.not(answer.body.notRun, true);
 		for (const upstream of fleet.poolOf('stock')) {
-			upstream.service!.faults.isDroppingAnswers = false;
+			upstream.service!.faults.isDroppingResponses = false;
 		}
 
 		await until(async () => {
@@ -91,12 +91,12 @@
 	await t.test('a post to a service is not retried once it may have run, marked or not', async t => {
 		const body = JSON.stringify({note: 'unmarked'});
 		for (const upstream of fleet.poolOf('stock')) {
-			upstream.service!.faults.isDroppingAnswers = true;
+			upstream.service!.faults.isDroppingResponses = true;
 		}
 
 		const answer = await call(first, 'services/stock/notes', {body});
 		for (const upstream of fleet.poolOf('stock')) {
-			upstream.service!.faults.isDroppingAnswers = false;
+			upstream.service!.faults.isDroppingResponses = false;
 		}
 
 		t.equal(answer.body.outcome, 'unknown');
@@ -117,7 +117,7 @@
 
 	await t.test('a lost answer of the store neither loses nor doubles a reservation', async t => {
 		const body = JSON.stringify({reserve: 'lost-write'});
-		fleet.platform.table.loseAnswers = 1;
+		fleet.platform.table.responsesToLose = 1;
 		const answer = await call(first, 'services/stock/reservations', {body, headers: {'idempotency-key': 'lost-write', 'not-repeatable': 'true'}});
 		t.equal(answer.status, 200);
 		t.equal(stock().filter(item => item === body).length, 1);
--- a/test/request-fuzz.ts
+++ b/test/request-fuzz.ts
@@ -63,13 +63,13 @@
 		world.table.isDown = isDown;
 	}),
 	dieAfterWrite: command('dieAfterWrite', fc.tuple(), world => {
-		world.table.dieAfterWrite = true;
+		world.table.crashAfterWrite = true;
 	}),
 	loseAnswer: command('loseAnswer', fc.tuple(fc.boolean()), (world, isBefore) => {
 		if (isBefore) {
-			world.table.loseRequests++;
+			world.table.requestsToLose++;
 		} else {
-			world.table.loseAnswers++;
+			world.table.responsesToLose++;
 		}
 	}),
 } as const;
--- a/test/request-world.ts
+++ b/test/request-world.ts
@@ -238,9 +238,9 @@
 	/** Lets everything come to its end. */
 	async settle(): Promise<void> {
 		this.table.isDown = false;
-		this.table.dieAfterWrite = false;
-		this.table.loseAnswers = 0;
-		this.table.loseRequests = 0;
+		this.table.crashAfterWrite = false;
+		this.table.responsesToLose = 0;
+		this.table.requestsToLose = 0;
 		for (const index of this.upstreams.keys()) {
 			this.resume(index);
 		}
--- a/test/settings-fuzz.ts
+++ b/test/settings-fuzz.ts
@@ -71,9 +71,9 @@
 
 	async settle(): Promise<void> {
 		this.table.isDown = false;
-		this.table.dieAfterWrite = false;
-		this.table.loseAnswers = 0;
-		this.table.loseRequests = 0;
+		this.table.crashAfterWrite = false;
+		this.table.responsesToLose = 0;
+		this.table.requestsToLose = 0;
 		this.objects.isDown = false;
 		for (const host of this.hosts) {
 			await host.refresh();
@@ -218,16 +218,16 @@
 		world.table.isDown = isDown;
 	}),
 	command('dieAfterWrite', fc.tuple(), world => {
-		world.table.dieAfterWrite = true;
+		world.table.crashAfterWrite = true;
 	}),
 	command('objects', fc.tuple(fc.constantFrom(true, false, false)), (world, isDown) => {
 		world.objects.isDown = isDown;
 	}),
 	command('loseAnswer', fc.tuple(fc.integer({min: 1, max: 3}), fc.boolean()), (world, count, isBefore) => {
 		if (isBefore) {
-			world.table.loseRequests = count;
+			world.table.requestsToLose = count;
 		} else {
-			world.table.loseAnswers = count;
+			world.table.responsesToLose = count;
 		}
 	}),
 ];
