--- a/src/base/common/bytes.ts
+++ b/src/base/common/bytes.ts
@@ -1,9 +1,9 @@
-/** Pieces of bytes that belong together. */
+/** Helpers for byte arrays. */
 
 /**
-Joins pieces into one.
-@param pieces - in order.
-@returns all their bytes, in memory of its own.
+Concatenates byte arrays.
+@param pieces - the arrays, in order.
+@returns a new array with all their bytes; it shares no memory with them.
 */
 export function joinBytes(pieces: readonly Uint8Array[]): Uint8Array<ArrayBuffer> {
 	const joined = new Uint8Array(pieces.reduce((sizeBytes, piece) => sizeBytes + piece.byteLength, 0));
--- a/src/base/common/clock-comparer.test.ts
+++ b/src/base/common/clock-comparer.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import {ClockComparer, type ClockJump} from './clock-comparer.js';
 
-/** A machine's clocks, read once a second; the boot clock in steps of 10 ms. */
+/** Simulates the clocks of a machine; the boot clock has a resolution of 10 ms. */
 class SimulatedMachine {
 	steadyMs = 100;
 	wallMs = 1_700_000_000_000;
@@ -32,7 +32,7 @@
 		return this.comparer.compare(this.reading);
 	}
 
-	/** Looks as often as a boot clock needs to be believed. */
+	/** Compares the clocks, a second apart each, until a consistent boot clock is trusted. */
 	trustBootClock(): this {
 		for (let second = 0; second < 6; second++) {
 			this.run(1000);
@@ -43,7 +43,7 @@
 	}
 }
 
-t.test('a sleep is told by the boot clock, a jump of the time of day alone is none, both together are a sleep', async t => {
+t.test('a suspension is detected by the boot clock, a jump of the wall clock alone is none, both together are a suspension', async t => {
 	const machine = new SimulatedMachine().trustBootClock();
 	machine.run(500);
 	t.notOk(machine.comparer.hasJumped(machine.steadyMs, machine.wallMs));
@@ -62,7 +62,7 @@
 	t.ok(both.type === 'slept' && Math.abs(both.suspendedMs - 5000) <= 20);
 });
 
-t.test('without a boot clock, or with one that is another machine\'s, a jump ahead is unclear and never counted as time', async t => {
+t.test('without a boot clock, or with one of another machine, a jump ahead is unclear and never counted as time', async t => {
 	for (const speed of ['none', 0.04, 0.9, 1.2, 5] as const) {
 		const machine = new SimulatedMachine(speed).trustBootClock();
 		t.notOk(machine.comparer.isBootClockTrusted, String(speed));
@@ -73,7 +73,7 @@
 	}
 });
 
-t.test('whatever the clocks do, only what the boot clock counted beyond the steady one is sleep', async () => {
+t.test('for any sequence of clock readings, exactly the time that the boot clock counted beyond the monotonic clock is a suspension', async () => {
 	const step = fc.record({runMs: fc.nat(2000), suspendMs: fc.oneof(fc.constant(0), fc.integer({min: 300, max: 20_000})), jumpMs: fc.integer({min: -5000, max: 5000})});
 	fc.assert(fc.property(fc.array(step, {maxLength: 40}), steps => {
 		const machine = new SimulatedMachine().trustBootClock();
@@ -82,7 +82,7 @@
 		for (const {runMs, suspendMs, jumpMs} of steps) {
 			machine.run(runMs);
 			machine.suspend(suspendMs);
-			// One that hides the sleep to within the bound of a jump is not told.
+			// A jump back that hides the suspension to within the bound of a jump is not detected.
 			const hidden = Math.abs(suspendMs + jumpMs) <= 150;
 			machine.wallMs += hidden ? 0 : jumpMs;
 			suspendedMs += suspendMs;
--- a/src/base/common/clock-comparer.ts
+++ b/src/base/common/clock-comparer.ts
@@ -1,70 +1,70 @@
 /**
-Finds out that the machine was suspended: the steady clock does not count that time, the boot clock and the time of day do.
+Detects that the machine was suspended: the monotonic clock (`steadyMs`) does not count that time, the boot clock and the wall clock do.
 
-The time of day jumps for other reasons too, so that a jump alone is no sleep: the boot clock decides. It is believed only while
-it keeps step with the steady clock, since what a process can read of it may belong to another machine than its steady clock does,
-as in emulations.
+The wall clock also jumps for other reasons, so a jump alone is no proof of a suspension: the boot clock decides. It is trusted only
+while it advances at the rate of the monotonic clock, because the boot clock that a process can read may belong to another machine
+than its monotonic clock, for example in emulators.
 */
 
-/** What the clocks of a machine tell at one moment. */
+/** Readings of the clocks of a machine, taken at the same time. */
 export type ClockReading = {
-	/** Does not count sleep. */
+	/** Monotonic clock: does not count the time of a suspension. */
 	readonly steadyMs: number;
-	/** Counts sleep, and jumps by itself. */
+	/** Wall clock: counts the time of a suspension, and may also be set. */
 	readonly wallMs: number;
-	/** Counts sleep, in steps of 10 ms; absent where there is none. */
+	/** Boot clock: counts the time of a suspension, with a resolution of 10 ms; undefined where there is none. */
 	readonly bootMs: number | undefined;
 };
 
-/** What a jump of the time of day was. */
+/** Classification of a jump of the wall clock. */
 export type ClockJump
 	= | {readonly type: 'none'}
-	/** The machine slept; the time of day may have jumped besides. */
+	/** The machine was suspended; the wall clock may have been set as well. */
 		| {readonly type: 'slept'; readonly suspendedMs: number}
-	/** Only the time of day jumped. */
+	/** Only the wall clock jumped. */
 		| {readonly type: 'wallJump'; readonly jumpMs: number}
-	/** It may have slept: there is no boot clock that could tell. */
+	/** The machine may have been suspended: no trusted boot clock is available to decide. */
 		| {readonly type: 'unclear'; readonly jumpMs: number};
 
-/** Change between two clocks that counts as a jump: far above what they drift between two looks. */
+/** Smallest deviation between two clocks that counts as a jump: far above their drift between two comparisons. */
 export const jumpMs = 100;
-/** Two looks at a boot clock of 10 ms steps may differ by this much from the steady clock. */
+/** Deviation from the monotonic clock between two readings that the 10 ms resolution of the boot clock explains. */
 const bootToleranceMs = 25;
-/** Looks in step with the steady clock, one after the other, after which the boot clock is believed. */
+/** Consecutive comparisons consistent with the monotonic clock after which the boot clock is trusted. */
 const comparisonsToTrust = 5;
 
-/** Compares the clocks. */
+/** Compares the clocks of a machine to distinguish suspensions from jumps of the wall clock. */
 export class ClockComparer {
 	/**
-	Begins with one look.
-	@param reading - of now.
+	Creates a comparer.
+	@param reading - the current readings, with which the first comparison is made.
 	*/
 	static create(reading: ClockReading): ClockComparer {
 		return new ClockComparer(reading);
 	}
 
-	/** Looks in a row at which the boot clock kept step. */
+	/** Consecutive comparisons at which the boot clock was consistent with the monotonic clock. */
 	private consistentComparisons = 0;
 
 	private constructor(private lastReading: ClockReading) {}
 
-	/** Whether the boot clock can tell a sleep from a jump of the time of day. */
+	/** Whether the boot clock is trusted to distinguish a suspension from a jump of the wall clock. */
 	get isBootClockTrusted(): boolean {
 		return this.consistentComparisons >= comparisonsToTrust;
 	}
 
 	/**
-	Tells, at the cost of a subtraction, whether the clocks must be compared now.
-	@param steadyMs - of the steady clock.
-	@param wallMs - the time of day.
+	Returns whether the clocks must be compared now; cheap enough (a few subtractions) for each reading of the time.
+	@param steadyMs - reading of the monotonic clock.
+	@param wallMs - reading of the wall clock.
 	*/
 	hasJumped(steadyMs: number, wallMs: number): boolean {
 		return Math.abs(wallMs - this.lastReading.wallMs - (steadyMs - this.lastReading.steadyMs)) > jumpMs;
 	}
 
 	/**
-	Compares all clocks: now and then, and whenever the time of day has jumped.
-	@param reading - of now.
+	Compares all clocks; called periodically and whenever the wall clock has jumped.
+	@param reading - the current readings.
 	@returns what has happened since the last comparison.
 	*/
 	compare(reading: ClockReading): ClockJump {
--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -1,28 +1,29 @@
-/** Time from outside, so that decisions can be replayed. */
+/** Time and timers as an injected dependency, so that decisions can be replayed in tests. */
 import type {InjectionToken} from 'tsyringe';
 import type {Disposable} from './disposable.js';
 import {Emitter, type Event} from './emitter.js';
 
-/** The machine slept, or may have. */
+/** The machine was suspended, or may have been. */
 export type Suspension = {
+	/** Duration. */
 	readonly forMs: number;
-	/** Whether it is known to have slept, so that `nowMs` has counted it; otherwise only the time of day jumped for sure. */
+	/** Whether the suspension is confirmed, so that `nowMs` includes it; otherwise it is only certain that the wall clock jumped. */
 	readonly isSure: boolean;
 };
 
 /** A source of time and timers. */
 export type Clock = {
-	/** Fires after the machine woke; timers that fell due meanwhile run from then on. */
+	/** Fires after the machine has resumed; timers that became due during the suspension run from then on. */
 	readonly onDidResume: Event<Suspension>;
-	/** Milliseconds since an arbitrary start; never goes back, and counts the time that the machine slept. */
+	/** Milliseconds since an arbitrary start; monotonic, and includes the time for which the machine was suspended. */
 	nowMs(): number;
-	/** Milliseconds since the Unix epoch; may jump. */
+	/** Wall-clock time in milliseconds since the Unix epoch; may jump. */
 	wallMs(): number;
 	/**
-	Runs a function later, once.
-	@param delayMs - how long to wait.
-	@param run - what to run.
-	@returns disposing cancels it.
+	Runs a function once, after a delay.
+	@param delayMs - the delay.
+	@param run - the function.
+	@returns a disposable that cancels the timer.
 	*/
 	setTimer(delayMs: number, run: () => void): Disposable;
 };
@@ -30,11 +31,11 @@
 export const clockToken: InjectionToken<Clock> = Symbol('Clock');
 
 /**
-Runs a function again and again, waiting after each run.
+Runs a function repeatedly; the wait before the next run begins when the former run has finished.
 @param clock - the time source.
-@param intervalMs - gives the wait before each run.
-@param run - what to run.
-@returns disposing ends the series.
+@param intervalMs - returns the wait before the next run.
+@param run - the function.
+@returns a disposable that stops the repetition.
 */
 export function setRepeating(clock: Clock, intervalMs: () => number, run: () => void | Promise<void>): Disposable {
 	let isStopped = false;
@@ -63,7 +64,7 @@
 
 type PendingTimer = {readonly dueMs: number; readonly run: () => void};
 
-/** A clock that moves only when told: for tests, fuzzing and benches. */
+/** A clock that advances only on request: for tests, fuzzing and benchmarks. */
 export class ManualClock implements Clock {
 	static create(startMs = 0): ManualClock {
 		return new ManualClock(startMs);
@@ -101,8 +102,8 @@
 	}
 
 	/**
-	Moves time on and runs the timers that fall due, in order.
-	@param byMs - how far.
+	Advances the time and runs the timers that become due, in order of their due times.
+	@param byMs - the time to add.
 	*/
 	advance(byMs: number): void {
 		const untilMs = this.currentMs + byMs;
@@ -121,8 +122,8 @@
 	}
 
 	/**
-	The machine sleeps: time passes, and no timer runs before it wakes.
-	@param forMs - how long.
+	Simulates a suspension: time passes, and no timer runs before the machine resumes.
+	@param forMs - duration of the suspension.
 	*/
 	suspend(forMs: number): void {
 		this.currentMs += forMs;
--- a/src/base/common/disposable.ts
+++ b/src/base/common/disposable.ts
@@ -1,12 +1,12 @@
-/** Ownership: whoever makes a resource registers it with an owner at once. */
+/** Ownership of resources: code that creates a resource registers it with an owner at once. */
 
-/** Something that holds a resource until disposed; disposing twice is harmless. */
+/** An object that holds a resource until it is disposed; disposing it twice has no further effect. */
 export type Disposable = {
 	dispose(): void;
 };
 
 /**
-Makes a disposable of a function that runs at most once.
+Creates a disposable from a function, which runs at most once.
 @param release - frees the resource.
 @returns the disposable.
 */
@@ -22,7 +22,7 @@
 	};
 }
 
-/** Owns disposables and frees them in reverse order of registration. */
+/** Owns disposables and disposes them in reverse order of registration. */
 export class DisposableStore implements Disposable {
 	static create(): DisposableStore {
 		return new DisposableStore();
@@ -32,8 +32,8 @@
 	private isDisposed = false;
 
 	/**
-	Takes ownership; an item added after disposal is freed at once.
-	@param item - what to own.
+	Takes ownership of an item; one that is added after the store was disposed is disposed at once.
+	@param item - the item to own.
 	@returns the item.
 	*/
 	add<T extends Disposable>(item: T): T {
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	Frees one item now and gives it up.
+	Disposes one item now and no longer owns it.
 	@param item - an owned item.
 	*/
 	release(item: Disposable): void {
--- a/src/base/common/emitter.ts
+++ b/src/base/common/emitter.ts
@@ -12,7 +12,7 @@
 
 	private readonly entries = new Set<{listener: (value: T) => void}>();
 
-	/** The side handed to listeners. */
+	/** The function with which listeners subscribe. */
 	get event(): Event<T> {
 		return listener => {
 			const entry = {listener};
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	Calls each listener registered at this moment.
-	@param value - what happened.
+	Calls each listener that is registered at the time of the call; later changes to the listeners take effect from the next event.
+	@param value - the event data.
 	*/
 	fire(value: T): void {
 		for (const entry of [...this.entries]) {
--- a/src/base/common/errors.ts
+++ b/src/base/common/errors.ts
@@ -1,19 +1,19 @@
-/** Error classes: thrown only for broken invariants and at the edges of libraries. */
+/** Error classes; errors are thrown only for broken invariants and where libraries are called. */
 import ModernError from 'modern-errors';
 
-/** Root of every error class of this project. */
+/** Base of every error class of this project. */
 export const BaseError = ModernError.subclass('BaseError');
 
-/** The program contradicts itself; the process must stop. */
+/** An invariant of the program is broken; the process must stop. */
 export const InvariantError = BaseError.subclass('InvariantError');
 
-/** An outside system did not answer as its protocol says, or not in time. */
+/** An external system did not respond as its protocol requires, or not in time. */
 export const UnavailableError = BaseError.subclass('UnavailableError');
 
 /**
-Stops the process's current work when something that must hold does not.
-@param condition - what must hold.
-@param message - what it means that it does not.
+Checks an invariant, and stops the current work if it is broken.
+@param condition - the invariant.
+@param message - describes the violation.
 @throws InvariantError when the condition is false.
 */
 export function assertInvariant(condition: boolean, message: string): asserts condition {
@@ -23,7 +23,7 @@
 }
 
 /**
-Gives the message of anything thrown.
+Returns the message of a thrown value of any type.
 @param thrown - the caught value.
 @returns its message.
 */
@@ -31,11 +31,11 @@
 	return BaseError.normalize(thrown).message;
 }
 
-/** Where in an input something is wrong. */
+/** The position of a problem in an input. */
 export type SourceLocation = {
-	/** The input: a file's name, `body`, `header Deadline-Ms`, a frame's type. */
+	/** Name of the input: a file name, `body`, `header Deadline-Ms`, the type of a frame. */
 	readonly source: string;
-	/** Path to the value in the input, as `/workspaces/a/deadlineMs`. */
+	/** Path to the value in the input, such as `/workspaces/a/deadlineMs`. */
 	readonly path?: string;
 	/** Line, counted from 1. */
 	readonly line?: number;
@@ -43,7 +43,7 @@
 	readonly column?: number;
 };
 
-/** One thing that is wrong with an input. */
+/** A problem found in an input. */
 export type InputProblem = {
 	readonly code: string;
 	readonly message: string;
@@ -51,9 +51,9 @@
 };
 
 /**
-Writes a problem on one line, place first.
-@param problem - what is wrong.
-@returns the line, as `fleet.jsonc:3:5 /workspaces/a: unknown field (unknownField)`.
+Formats a problem as one line that begins with its location.
+@param problem - the problem.
+@returns the line, such as `fleet.jsonc:3:5 /workspaces/a: unknown field (unknownField)`.
 */
 export function formatProblem(problem: InputProblem): string {
 	const {source, path, line, column} = problem.place;
--- a/src/base/common/hash.ts
+++ b/src/base/common/hash.ts
@@ -6,28 +6,28 @@
 const digestDigits = 16;
 
 /**
-Hashes a text.
-@param text - what to hash.
-@param seed - starts the hash; equal seeds give equal hashes.
-@returns 32 bits as a whole number.
+Computes the 32-bit hash of a text.
+@param text - the text.
+@param seed - initial state; the same text and seed give the same hash.
+@returns an unsigned 32-bit integer.
 */
 export function hashText(text: string, seed = 0): number {
 	return h32(text, seed);
 }
 
 /**
-Goes on with a digest over the pieces of a stream.
+Extends the 32-bit digest of a stream by its next bytes.
 @param previous - the digest so far; 0 at the start.
-@param bytes - the next piece.
-@returns the digest with the piece.
+@param bytes - the next bytes.
+@returns the digest including these bytes; it depends on how the stream was split.
 */
 export function extendDigest(previous: number, bytes: Uint8Array): number {
 	return h32Raw(bytes, previous);
 }
 
 /**
-Gives the 64-bit digest of a text.
-@param text - what to hash.
+Computes the 64-bit digest of a text.
+@param text - the text.
 @returns 16 hexadecimal digits.
 */
 export function digestOfText(text: string): string {
@@ -35,8 +35,8 @@
 }
 
 /**
-Gives the 64-bit digest of bytes.
-@param bytes - what to hash.
+Computes the 64-bit digest of bytes.
+@param bytes - the bytes.
 @returns 16 hexadecimal digits.
 */
 export function digestOfBytes(bytes: Uint8Array): string {
--- a/src/base/common/is-deep-equal.ts
+++ b/src/base/common/is-deep-equal.ts
@@ -1,9 +1,9 @@
-/** Compares values as JSON would tell them apart. */
+/** Structural equality of values, as JSON distinguishes them. */
 
 /**
-Tells whether two values hold the same, whatever the order of their fields.
-@param left - made of plain objects, lists and simple values.
-@param right - the same.
+Returns whether two values are structurally equal, regardless of the order of their fields.
+@param left - a value of plain objects, arrays and primitives.
+@param right - the value to compare with, of the same kinds.
 */
 export function isDeepEqual(left: unknown, right: unknown): boolean {
 	if (Object.is(left, right)) {
--- a/src/base/common/jsonc.ts
+++ b/src/base/common/jsonc.ts
@@ -1,4 +1,4 @@
-/** JSON with comments, read with the place of every value kept for errors. */
+/** Parser for JSON with comments that keeps the location of every value for error messages. */
 import {
 	createScanner, findNodeAtLocation, getNodeValue, parseTree, printParseErrorCode, SyntaxKind,
 	type Node, type ParseError,
@@ -10,19 +10,19 @@
 const maxDepth = 24;
 const maxSizeBytes = 16 * 1024 * 1024;
 
-/** A read document. */
+/** A parsed document. */
 export type JsoncDocument = {
-	/** The plain value. */
+	/** The value without locations. */
 	readonly value: unknown;
 	/**
-	Finds a value's place.
+	Returns the location of a value.
 	@param path - keys from the root.
-	@returns the place, or the nearest one above it.
+	@returns the location of the value, or of its nearest ancestor that exists.
 	*/
 	locationOf(path: ReadonlyArray<string | number>): SourceLocation;
 };
 
-/** Turns offsets into lines and columns. */
+/** Converts character offsets to lines and columns. */
 class LineIndex {
 	private readonly lineStarts: number[] = [0];
 
@@ -51,11 +51,11 @@
 }
 
 /**
-Reads a document.
+Parses a document.
 @param bytes - the text, as UTF-8 bytes or already decoded.
 @param source - the name of the input, for errors.
-@param isStrict - plain JSON: neither comments nor trailing commas.
-@returns the document, or everything wrong with it.
+@param isStrict - accept only plain JSON, without comments and trailing commas.
+@returns the document, or all problems found.
 */
 export function readJsonc(bytes: Uint8Array | string, source: string, isStrict = false): Outcome<JsoncDocument, InputProblem[]> {
 	const text = decode(bytes);
@@ -86,10 +86,10 @@
 }
 
 /**
-Checks a document against a schema.
-@param document - a read document.
-@param schema - what it must be.
-@returns the typed value, or everything wrong with it, each with its place.
+Validates a document against a schema.
+@param document - a parsed document.
+@param schema - the schema.
+@returns the typed value, or all problems found, each with its location.
 */
 export function checkDocument<T>(document: JsoncDocument, schema: z.ZodType<T>): Outcome<T, InputProblem[]> {
 	const parsed = schema.safeParse(document.value);
@@ -121,7 +121,7 @@
 	}
 }
 
-/** The parser recurses, so depth is checked before it runs. */
+/** Finds the offset at which the text is nested too deeply. The parser is recursive, so the depth is checked before it runs. */
 function findExcessiveDepth(text: string): number | undefined {
 	const scanner = createScanner(text, true);
 	let depth = 0;
--- a/src/base/common/lifecycle.ts
+++ b/src/base/common/lifecycle.ts
@@ -1,8 +1,8 @@
-/** One manager per process owns everything that must be stopped or freed. */
+/** Lifecycle of a process: one manager owns everything that must be stopped or freed. */
 import {DisposableStore, type Disposable} from './disposable.js';
 import {Emitter} from './emitter.js';
 
-/** How far a process's life has come. */
+/** Phases of the lifecycle of a process. */
 export const lifecyclePhases = {
 	running: 'running',
 	stopping: 'stopping',
@@ -11,16 +11,16 @@
 
 export type LifecyclePhase = typeof lifecyclePhases[keyof typeof lifecyclePhases];
 
-/** Lets a part hold a planned stop until its work has ended. */
+/** Lets a component delay a planned stop until its work is done. */
 export type WillStopEvent = {
 	/**
-	Holds the stop.
-	@param work - ends when the part is ready.
+	Delays the stop.
+	@param work - settles when the component is ready to be stopped.
 	*/
 	waitFor(work: Promise<void>): void;
 };
 
-/** Owns the parts of a process and stops them in order. */
+/** Owns the components of a process and stops them in order. */
 export class LifecycleManager {
 	static create(): LifecycleManager {
 		return new LifecycleManager();
@@ -32,12 +32,12 @@
 	private stopping: Promise<void> | undefined;
 	private currentPhase: LifecyclePhase = lifecyclePhases.running;
 
-	/** Fires at a planned stop, while everything still serves. */
+	/** Fires when a planned stop begins, while all components still serve requests. */
 	get onWillStop() {
 		return this.willStop.event;
 	}
 
-	/** Fires once everything is freed. */
+	/** Fires once all components are disposed. */
 	get onDidStop() {
 		return this.didStop.event;
 	}
@@ -47,24 +47,24 @@
 	}
 
 	/**
-	Takes ownership of a part.
-	@param component - freed at the stop, last registered first.
-	@returns the part.
+	Takes ownership of a component.
+	@param component - disposed at the stop, in reverse order of registration.
+	@returns the component.
 	*/
 	register<T extends Disposable>(component: T): T {
 		return this.store.add(component);
 	}
 
 	/**
-	Stops as planned: waits for every part, then frees all.
-	@returns ends when all is freed; repeated calls share one stop.
+	Performs a planned stop: waits until every component is ready, then disposes all of them.
+	@returns resolves when all are disposed; repeated calls share one stop.
 	*/
 	async stop(): Promise<void> {
 		this.stopping ??= this.runStop();
 		return this.stopping;
 	}
 
-	/** Frees all now, waiting for nothing. */
+	/** Disposes all components at once, without waiting for their work. */
 	stopNow(): void {
 		if (this.currentPhase !== lifecyclePhases.stopped) {
 			this.currentPhase = lifecyclePhases.stopped;
--- a/src/base/common/logger.ts
+++ b/src/base/common/logger.ts
@@ -1,10 +1,10 @@
-/** Log lines: short sentences behind a fixed prefix for each part. */
+/** Logging: each line is a short sentence, with a fixed prefix for the component that writes it. */
 import type {InjectionToken} from 'tsyringe';
 
-/** Fields that go with a log line. */
+/** Structured fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes log lines of one part. */
+/** Writes the log lines of one component. */
 export type Logger = {
 	debug(sentence: string, fields?: LogFields): void;
 	info(sentence: string, fields?: LogFields): void;
@@ -12,11 +12,11 @@
 	error(sentence: string, fields?: LogFields): void;
 };
 
-/** Makes the loggers of a process. */
+/** Creates the loggers of a process. */
 export type LoggerFactory = {
 	/**
-	Makes a logger.
-	@param prefix - the part's name.
+	Creates a logger.
+	@param prefix - name of the component.
 	*/
 	for(prefix: string): Logger;
 };
@@ -28,5 +28,5 @@
 	debug: ignore, info: ignore, warn: ignore, error: ignore,
 };
 
-/** Writes nothing: for tests and benches. */
+/** Loggers that discard all lines: for tests and benchmarks. */
 export const silentLoggers: LoggerFactory = {for: () => silent};
--- a/src/base/common/metrics.ts
+++ b/src/base/common/metrics.ts
@@ -1,10 +1,10 @@
 /** Metrics: counters, gauges and timings with tags. */
 import type {InjectionToken} from 'tsyringe';
 
-/** Tags of a measurement. */
+/** Tags of a metric. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Takes measurements. */
+/** Records measurements. */
 export type Metrics = {
 	increment(name: string, by: number, tags?: MetricTags): void;
 	gauge(name: string, value: number, tags?: MetricTags): void;
@@ -15,5 +15,5 @@
 
 const ignore = () => undefined;
 
-/** Takes measurements and drops them: where no collector is set, and for tests. */
+/** Discards all measurements: used where no collector is configured, and in tests. */
 export const noMetrics: Metrics = {increment: ignore, gauge: ignore, timing: ignore};
--- a/src/base/common/outcome.ts
+++ b/src/base/common/outcome.ts
@@ -1,17 +1,17 @@
-/** Outcomes as values: what a call returns when failing is an ordinary result. */
+/** Result type for calls for which a failure is an ordinary result and no exception. */
 
-/** A call that gave its result. */
+/** Result of a call that succeeded. */
 export type Success<T> = {readonly ok: true; readonly value: T};
 
-/** A call that failed, with a typed reason. */
+/** Result of a call that failed, with a typed reason. */
 export type Failure<E> = {readonly ok: false; readonly error: E};
 
-/** Either a result or a typed reason why there is none. */
+/** Either a value or a typed reason why there is none. */
 export type Outcome<T, E> = Success<T> | Failure<E>;
 
 /**
-Wraps a result.
-@param value - what the call gives.
+Creates a success.
+@param value - the value of the call.
 @returns the success.
 */
 export function ok<T>(value: T): Success<T> {
@@ -19,8 +19,8 @@
 }
 
 /**
-Wraps a reason for failing.
-@param error - why there is no result.
+Creates a failure.
+@param error - why there is no value.
 @returns the failure.
 */
 export function fail<E>(error: E): Failure<E> {
--- a/src/base/common/random.ts
+++ b/src/base/common/random.ts
@@ -1,24 +1,24 @@
-/** Chance from outside: a seeded generator (pure-rand) behind a small interface. */
+/** Random numbers as an injected dependency: a seeded generator (pure-rand) behind a small interface. */
 import type {InjectionToken} from 'tsyringe';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 
 const resolution = 0x3F_FF_FF_FF;
 
-/** A source of chance. */
+/** A source of random numbers. */
 export type Random = {
-	/** A number in [0, 1). */
+	/** Returns a number in [0, 1). */
 	next(): number;
 	/**
-	A whole number in [0, limit).
-	@param limit - first number not given.
+	Returns an integer in [0, limit).
+	@param limit - exclusive upper bound.
 	*/
 	int(limit: number): number;
 };
 
 export const randomToken: InjectionToken<Random> = Symbol('Random');
 
-/** A generator whose whole sequence follows from its seed. */
+/** A generator whose sequence is fully determined by its seed. */
 export class SeededRandom implements Random {
 	static create(seed: number): SeededRandom {
 		return new SeededRandom(seed);
@@ -40,11 +40,11 @@
 }
 
 /**
-Spreads a delay, so that hosts that start together do not act together.
-@param random - the source of chance.
-@param baseMs - the middle of the spread.
-@param share - how far to either side, as a share of the middle.
-@returns a delay in milliseconds.
+Adds jitter to a delay, so that hosts that start at the same time do not act at the same time.
+@param random - the source of random numbers.
+@param baseMs - mean delay.
+@param share - largest deviation to either side, as a share of the mean.
+@returns the delay in milliseconds.
 */
 export function jitter(random: Random, baseMs: number, share = 0.3): number {
 	return baseMs * (1 + (share * ((2 * random.next()) - 1)));
--- a/src/base/common/time-limit.test.ts
+++ b/src/base/common/time-limit.test.ts
@@ -2,7 +2,7 @@
 import {ManualClock} from './clock.js';
 import {TimeLimit} from './time-limit.js';
 
-t.test('a call is given up when its time is over, not before', async t => {
+t.test('a call is aborted when its time is over, not before', async t => {
 	const clock = ManualClock.create();
 	const limit = TimeLimit.create(clock, 100, new AbortController().signal);
 	clock.advance(99);
@@ -11,7 +11,7 @@
 	t.equal(limit.signal.aborted, true);
 });
 
-t.test('a call is given up when its maker stops, also one that begins after', async t => {
+t.test('a call is aborted when its owner stops, also one that begins afterwards', async t => {
 	const clock = ManualClock.create();
 	const stop = new AbortController();
 	const limit = TimeLimit.create(clock, 100, stop.signal);
@@ -20,7 +20,7 @@
 	t.equal(TimeLimit.create(clock, 100, stop.signal).signal.aborted, true);
 });
 
-t.test('a call that has ended is not given up', async t => {
+t.test('a call that has ended is not aborted', async t => {
 	const clock = ManualClock.create();
 	const stop = new AbortController();
 	const limit = TimeLimit.create(clock, 100, stop.signal);
@@ -30,12 +30,12 @@
 	t.equal(limit.signal.aborted, false);
 });
 
-t.test('a call that goes on has more time, never less', async t => {
+t.test('extending a limit gives a call more time, never less', async t => {
 	const clock = ManualClock.create();
 	const limit = TimeLimit.create(clock, 100, new AbortController().signal);
 	limit.extend(10);
 	clock.advance(99);
-	t.equal(limit.signal.aborted, false, 'what it had at first it keeps');
+	t.equal(limit.signal.aborted, false, 'an extension does not shorten the initial limit');
 	limit.extend(50);
 	clock.advance(49);
 	t.equal(limit.signal.aborted, false);
--- a/src/base/common/time-limit.ts
+++ b/src/base/common/time-limit.ts
@@ -4,17 +4,17 @@
 import {UnavailableError} from './errors.js';
 
 /**
-Gives a call up after a time, or as soon as its maker stops.
+Aborts a call when its time limit is reached, or as soon as its owner stops.
 
-The timer itself holds the limit. A combined signal (`AbortSignal.any`) does not hold the timeout signals it is made of:
-the runtime drops them with a garbage collection, and a call on a silent connection then never ends.
+The limit is kept alive by its own timer. A combined signal (`AbortSignal.any`) holds no strong reference to the timeout signals that
+it combines: a garbage collection drops them, and a call on a silent connection then never ends.
 */
 export class TimeLimit implements Disposable {
 	/**
-	Begins a limit.
-	@param clock - the time.
-	@param limitMs - how long the call may take.
-	@param stop - gives the call up early.
+	Starts the time limit.
+	@param clock - the time source.
+	@param limitMs - longest duration of the call.
+	@param stop - aborts the call early.
 	*/
 	static create(clock: Clock, limitMs: number, stop: AbortSignal): TimeLimit {
 		return new TimeLimit(clock, limitMs, stop);
@@ -44,14 +44,14 @@
 		this.arm();
 	}
 
-	/** Aborted once the call is given up. */
+	/** Signal that aborts the call. */
 	get signal(): AbortSignal {
 		return this.controller.signal;
 	}
 
 	/**
-	The call goes on: it is not given up before some more time has passed. It never has less time than before.
-	@param moreMs - counted from now.
+	Extends the limit of a call that makes progress. It never shortens the limit.
+	@param moreMs - time for which the call is not aborted, counted from now.
 	*/
 	extend(moreMs: number): void {
 		const dueMs = this.clock.nowMs() + moreMs;
@@ -61,13 +61,13 @@
 		}
 	}
 
-	/** Gives the call up now. */
+	/** Aborts the call now. */
 	abort(): void {
 		this.dispose();
-		this.controller.abort(new UnavailableError('given up'));
+		this.controller.abort(new UnavailableError('the call was aborted: its time limit was reached, or its owner stopped'));
 	}
 
-	/** The call has ended; nothing gives it up any more. */
+	/** Ends the limit; called when the call has finished, which is then no longer aborted. */
 	dispose(): void {
 		this.isDisposed = true;
 		this.timer?.dispose();
--- a/src/base/node/bounded-output.ts
+++ b/src/base/node/bounded-output.ts
@@ -1,4 +1,4 @@
-/** Standard output for log lines: bounded in lines a second and in bytes that wait, so that logs never hold up work. */
+/** Standard output for log lines, limited in lines per second and in buffered bytes, so that logging never blocks work. */
 import {fstatSync} from 'node:fs';
 import {Socket} from 'node:net';
 import process from 'node:process';
@@ -6,18 +6,18 @@
 import type {Clock} from '../common/clock.js';
 
 const stdoutFd = 1;
-/** Lines a second: several for each request at the rates one small host serves. */
+/** Rate limit: allows several lines per request at the request rates that one small host serves. */
 const linesPerSecond = 250;
-/** Lines that may come at once above the rate. */
+/** Burst size: lines that may be written at once above the rate limit. */
 const burstLines = 500;
 const maxPendingBytes = 512 * 1024;
 
-/** Takes lines; drops and counts what is too much. */
+/** Writes lines; drops and counts those above the limits. */
 export class BoundedOutput {
 	/**
-	Makes an output.
-	@param clock - the time.
-	@param target - where lines go; standard output unless given.
+	Creates an output.
+	@param clock - the time source.
+	@param target - the stream to write to; standard output by default.
 	*/
 	static create(clock: Clock, target: Writable = openStandardOutput()): BoundedOutput {
 		return new BoundedOutput(clock, target);
@@ -25,17 +25,17 @@
 
 	private tokens = burstLines;
 	private lastRefillMs: number;
-	/** Lines that were dropped and not yet told of. */
+	/** Lines that were dropped and not yet reported in the output. */
 	private droppedLines = 0;
 
 	private constructor(private readonly clock: Clock, private readonly target: Writable) {
 		this.lastRefillMs = clock.nowMs();
-		// A reader that goes away must not end the process; there is nowhere left to say so.
+		// The process must not crash when the reader goes away; the error can't be logged anywhere.
 		target.on('error', () => undefined);
 	}
 
 	/**
-	Writes a line, or drops it.
+	Writes a line, or drops it if a limit is exceeded.
 	@param line - ends with a newline.
 	*/
 	write(line: string): void {
@@ -59,7 +59,7 @@
 	}
 }
 
-/** A pipe is written without blocking; Node.js itself would block on one. */
+/** Opens standard output. Pipes and sockets are written to without blocking; `process.stdout` would block on a pipe. */
 function openStandardOutput(): Writable {
 	const stat = fstatSync(stdoutFd);
 	return stat.isFIFO() || stat.isSocket() ? new Socket({fd: stdoutFd, readable: false}) : process.stdout;
--- a/src/base/node/console-logger.ts
+++ b/src/base/node/console-logger.ts
@@ -1,9 +1,9 @@
-/** Log lines by `loglevel`, for people or as JSON. */
+/** Logging with `loglevel`, as readable text or as JSON. */
 import process from 'node:process';
 import loglevel from 'loglevel';
 import type {LogFields, Logger, LoggerFactory} from '../common/logger.js';
 
-/** How log lines are written. */
+/** Level, format and destination of log lines; standard error unless `write` is given. */
 export type LogOptions = {readonly level: 'debug' | 'info' | 'warn' | 'error'; readonly format: 'text' | 'json'; readonly hostId: string; readonly write?: (line: string) => void};
 
 type LineWriter = (level: string, prefix: string, sentence: string, fields: LogFields) => string;
@@ -17,7 +17,7 @@
 	time: new Date().toISOString(), level, part: prefix, message: sentence, ...fields,
 });
 
-/** Makes loggers that write to standard error, or where they are told. */
+/** Creates loggers that write to standard error, or with the given function. */
 export class ConsoleLoggers implements LoggerFactory {
 	static create(options: LogOptions): ConsoleLoggers {
 		return new ConsoleLoggers(options);
--- a/src/base/node/ids.ts
+++ b/src/base/node/ids.ts
@@ -1,8 +1,8 @@
-/** Random identities. */
+/** Random identifiers and seeds. */
 import {randomBytes, randomInt} from 'node:crypto';
 
 /**
-Makes an identity that no other process makes.
+Creates an identifier that is unique across processes.
 @returns 16 characters of URL-safe text (96 random bits).
 */
 export function newId(): string {
@@ -10,8 +10,8 @@
 }
 
 /**
-Draws a seed for a random generator.
-@returns a whole number of 31 bits.
+Creates a random seed for a random number generator.
+@returns a non-negative integer of 31 bits.
 */
 export function newSeed(): number {
 	return randomInt(0x7F_FF_FF_FF);
--- a/src/base/node/log-suspensions.ts
+++ b/src/base/node/log-suspensions.ts
@@ -1,15 +1,15 @@
-/** Tells operators that the machine slept. */
+/** Reports suspensions of the machine to operators. */
 import type {Clock} from '../common/clock.js';
 import type {Disposable} from '../common/disposable.js';
 import type {Logger} from '../common/logger.js';
 import type {Metrics} from '../common/metrics.js';
 
 /**
-Writes a log line for each sleep, and counts them.
-@param clock - that notices it.
-@param log - where to.
-@param metrics - counts `host.slept` and, where only the time of day is known to have jumped, `host.mayHaveSlept`.
-@returns disposing ends it.
+Logs and counts suspensions.
+@param clock - detects them.
+@param log - receives a warning for each.
+@param metrics - counts `host.slept` and, where it is only certain that the wall clock jumped, `host.mayHaveSlept`.
+@returns a disposable that stops the reports.
 */
 export function logSuspensions(clock: Clock, log: Logger, metrics: Metrics): Disposable {
 	return clock.onDidResume(({forMs, isSure}) => {
@@ -18,7 +18,7 @@
 			log.warn('This host slept; that time counts.', fields);
 			metrics.increment('host.slept', 1);
 		} else {
-			log.warn('The time of day jumped ahead. Whether this host slept can\'t be told, as no boot clock keeps step with its steady clock.', fields);
+			log.warn('The wall clock jumped ahead. Whether this host was suspended is unknown, because no boot clock is consistent with its monotonic clock.', fields);
 			metrics.increment('host.mayHaveSlept', 1);
 		}
 	});
--- a/src/base/node/statsd-metrics.ts
+++ b/src/base/node/statsd-metrics.ts
@@ -1,12 +1,12 @@
-/** Metrics by `hot-shots` to a StatsD collector over UDP. */
+/** Metrics sent with `hot-shots` to a StatsD collector over UDP. */
 import {StatsD} from 'hot-shots';
 import type {Disposable} from '../common/disposable.js';
 import type {Metrics, MetricTags} from '../common/metrics.js';
 
-/** Where the collector listens, and what is said of this host. */
+/** Address of the collector, and the tags of this host. */
 export type StatsdOptions = {readonly address: string; readonly port: number; readonly hall: string; readonly hostId: string};
 
-/** Sends measurements; a collector that is away does no harm. */
+/** Sends measurements; an unavailable collector is ignored. */
 export class StatsdMetrics implements Metrics, Disposable {
 	static create(options: StatsdOptions): StatsdMetrics {
 		const client = new StatsD({
--- a/src/base/node/system-clock.test.ts
+++ b/src/base/node/system-clock.test.ts
@@ -5,7 +5,7 @@
 
 const compareMs = 2;
 
-/** A clock on clocks that stand still but for what a test adds. */
+/** Creates a clock on machine clocks that stand still except for the time that a test adds. */
 function makeClock(hasBoot = true) {
 	const added = {suspendedMs: 0, jumpedMs: 0};
 	const clock = SystemClock.create({
@@ -20,14 +20,14 @@
 	return {clock, added, events};
 }
 
-/** Waits until what was put off to a later turn has run. */
+/** Waits until work that was deferred to a later turn of the event loop has run. */
 async function laterTurns(): Promise<void> {
 	for (let turn = 0; turn < 5; turn++) {
 		await wait(compareMs);
 	}
 }
 
-t.test('what is read after a sleep counts it at once, and timers that fell due meanwhile run', async t => {
+t.test('the time read after a suspension includes it at once, and timers that became due meanwhile run', async t => {
 	const {clock, added, events} = makeClock();
 	while (!clock.isBootClockTrusted) {
 		await wait(compareMs);
@@ -45,18 +45,18 @@
 	}).dispose();
 	added.suspendedMs = 500_000;
 	t.equal(clock.nowMs(), 501_000);
-	t.same(ran, [], 'whoever asked for the time is in the middle of something');
+	t.same(ran, [], 'no timer runs inside the call that reads the time');
 	await laterTurns();
 	t.same(ran, ['due while asleep']);
 	t.same(events, [{forMs: 500_000, isSure: true}]);
 	later.dispose();
 	added.jumpedMs = 3000;
-	t.equal(clock.nowMs(), 501_000, 'a jump of the time of day alone is no time');
+	t.equal(clock.nowMs(), 501_000, 'a jump of the wall clock alone does not count as time');
 	await laterTurns();
 	t.equal(events.length, 1);
 });
 
-t.test('without a boot clock a jump ahead is told of, and not counted as time', async t => {
+t.test('without a boot clock a jump ahead is reported, and not counted as time', async t => {
 	const {clock, added, events} = makeClock(false);
 	added.jumpedMs = 2000;
 	t.equal(clock.nowMs(), 1000);
@@ -65,5 +65,5 @@
 	added.jumpedMs = 0;
 	t.equal(clock.nowMs(), 1000);
 	await laterTurns();
-	t.equal(events.length, 1, 'a jump back is no sleep');
+	t.equal(events.length, 1, 'a jump back is no suspension');
 });
--- a/src/base/node/system-clock.ts
+++ b/src/base/node/system-clock.ts
@@ -1,4 +1,4 @@
-/** The machine's own time: what has passed, whether the machine was awake or not. */
+/** The clock of the machine, which also counts the time for which the machine was suspended. */
 import {uptime} from 'node:os';
 import {performance} from 'node:perf_hooks';
 import type {Clock, Suspension} from '../common/clock.js';
@@ -6,31 +6,31 @@
 import {Emitter} from '../common/emitter.js';
 import {ClockComparer, type ClockReading} from '../common/clock-comparer.js';
 
-/** How often the clocks are compared without an occasion: reading the boot clock takes about 7 us. */
+/** Interval of the periodic comparison of the clocks: reading the boot clock takes about 7 µs, too long for each reading of the time. */
 const defaultCompareIntervalMs = 1000;
 
-/** A timer that has not run: by what is due, since the process's own timers do not count sleep. */
+/** A timer that has not run. It keeps its due time, because the timers of Node.js do not count the time of a suspension. */
 type PendingTimer = {readonly dueMs: number; readonly run: () => void; handle: NodeJS.Timeout};
 
 /** The clocks of a machine. */
 export type MachineClocks = {
 	steadyMs(): number;
 	wallMs(): number;
-	/** Nothing where there is no boot clock. */
+	/** Undefined where there is no boot clock. */
 	bootMs(): number | undefined;
 };
 
 const machineClocks: MachineClocks = {steadyMs: () => performance.now(), wallMs: () => Date.now(), bootMs: () => uptime() * 1000};
 
 /**
-Time and timers of the running process. `nowMs` counts the time that the machine slept, from the first call after it woke,
-before anything is decided by it; timers that fell due meanwhile run at once.
+Time and timers of the running process. `nowMs` includes the time of a suspension from the first call after the machine resumed,
+so that no decision is based on a stale time; timers that became due during the suspension run at once.
 */
 export class SystemClock implements Clock {
 	/**
-	Makes a clock.
-	@param clocks - of the machine, unless a test gives others.
-	@param compareIntervalMs - how often they are compared without an occasion.
+	Creates a clock.
+	@param clocks - the clocks of the machine; tests pass simulated ones.
+	@param compareIntervalMs - interval of their periodic comparison.
 	*/
 	static create(clocks: MachineClocks = machineClocks, compareIntervalMs = defaultCompareIntervalMs): SystemClock {
 		return new SystemClock(clocks, compareIntervalMs);
@@ -39,7 +39,7 @@
 	private readonly didResume = Emitter.create<Suspension>();
 	private readonly pending = new Set<PendingTimer>();
 	private readonly clockComparer: ClockComparer;
-	/** Time that the steady clock did not count. */
+	/** Time of all confirmed suspensions, which the monotonic clock did not count. */
 	private suspendedMs = 0;
 	private readonly compareTimer: NodeJS.Timeout;
 
@@ -48,11 +48,11 @@
 		this.compareTimer = setInterval(() => {
 			this.compareClocks();
 		}, compareIntervalMs);
-		// It ends with the process, and holds it up for nothing.
+		// The interval must not keep the process alive.
 		this.compareTimer.unref();
 	}
 
-	/** Whether a sleep can be told from a jump of the time of day. */
+	/** Whether a suspension can be distinguished from a jump of the wall clock. */
 	get isBootClockTrusted(): boolean {
 		return this.clockComparer.isBootClockTrusted;
 	}
@@ -106,14 +106,14 @@
 
 		const isConfirmed = jump.type === 'slept';
 		this.suspendedMs += isConfirmed ? jump.suspendedMs : 0;
-		// On a later turn: whoever asked for the time is in the middle of something.
+		// Deferred to a later turn of the event loop: the code that reads the time must not be interrupted by timers and listeners.
 		setImmediate(() => {
 			this.rearmTimers();
 			this.didResume.fire({forMs: isConfirmed ? jump.suspendedMs : jump.jumpMs, isSure: isConfirmed});
 		});
 	}
 
-	/** Timers go by the steady clock: what fell due during the sleep would come as much too late. */
+	/** Schedules all timers anew. Node.js measures them with the monotonic clock, so they would run late by the time of the suspension. */
 	private rearmTimers(): void {
 		const nowMs = this.nowMs();
 		for (const item of this.pending) {
--- a/src/base/node/text-metrics.ts
+++ b/src/base/node/text-metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and latency histograms of one process, served as text. */
+/** Counters, gauges and latency histograms of one process, served as text. */
 import {createServer, type Server} from 'node:http';
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {Disposable} from '../common/disposable.js';
@@ -6,10 +6,10 @@
 
 const prefix = 'pumicehatch_';
 const quantiles = [50, 90, 95, 99, 99.9] as const;
-/** Longest time a histogram tells apart: longer than any request is held. */
+/** Largest value that a histogram distinguishes: longer than any request is held. */
 const maxTrackedMs = 60_000;
 
-/** Keeps measurements in memory and writes them in the Prometheus text format. */
+/** Keeps measurements in memory and renders them in the Prometheus text format. */
 export class TextMetrics implements Metrics, Disposable {
 	static create(): TextMetrics {
 		return new TextMetrics();
@@ -40,7 +40,7 @@
 		histogram.recordValue(Math.min(maxTrackedMs, Math.max(0, Math.round(valueMs))));
 	}
 
-	/** @returns all measurements as text. */
+	/** @returns all measurements in the Prometheus text format. */
 	render(): string {
 		const lines: string[] = [];
 		for (const [key, value] of [...this.counters, ...this.gauges]) {
@@ -60,9 +60,9 @@
 
 	/**
 	Serves the measurements over HTTP.
-	@param address - IP number to listen on.
+	@param address - IP address to listen on.
 	@param port - port to listen on.
-	@param onError - told why the figures can't be served; the process goes on without.
+	@param onError - is called with the reason if the metrics can't be served; the process continues without serving them.
 	*/
 	serve(address: string, port: number, onError: (reason: string) => void): void {
 		this.server = createServer((_request, response) => {
--- a/src/standins/common/engine-state.ts
+++ b/src/standins/common/engine-state.ts
@@ -1,4 +1,4 @@
-/** Stand-in of a model engine: continuous batching, a prefix cache, models, fenced orders. */
+/** State of a simulated model engine: continuous batching, a prefix cache, loaded models, fenced orders. */
 import {hashText} from '../../base/common/hash.js';
 import type {LoadedModel} from '../../wire/common/messages.js';
 
@@ -6,7 +6,7 @@
 const prefixCharacters = 64;
 const cacheCapacity = 64;
 
-/** What an engine is asked to generate. */
+/** A request to generate tokens. */
 export type Generation = {
 	readonly id: string;
 	readonly model: string;
@@ -14,18 +14,18 @@
 	readonly maxTokens: number;
 	readonly seed: number;
 	readonly offset: number;
-	/** Higher goes first where generations wait. */
+	/** Order of waiting generations: higher goes first. */
 	readonly priority: number;
 };
 
-/** How fast the engine is. */
+/** Capacity and speed of an engine. */
 export type EngineSpeed = {
 	readonly slots: number;
-	/** Time of one step of the batch, alone. */
+	/** Duration of a step with one sequence in the batch. */
 	readonly stepMs: number;
-	/** Added to a step by each further sequence of the batch, as a share. */
+	/** Increase of the duration of a step by each further sequence in the batch, as a share of `stepMs`. */
 	readonly slowdownPerSequence: number;
-	/** Steps that reading a prompt takes where its prefix is not cached. */
+	/** Steps that the prefill of a prompt takes if its prefix is not cached. */
 	readonly prefillSteps: number;
 };
 
@@ -34,10 +34,10 @@
 };
 
 /**
-Gives a token that follows from prompt, seed and position alone, so that any engine resumes where another stopped.
-@param generation - what is generated.
-@param index - the token's position.
-@returns its text.
+Returns a token that depends only on prompt, seed and position, so that any engine can resume where another stopped.
+@param generation - the generation.
+@param index - position of the token.
+@returns the text of the token.
 */
 export function tokenAt(generation: Pick<Generation, 'prompt' | 'seed'>, index: number): string {
 	return `${words[hashText(generation.prompt, generation.seed + index) % words.length]} `;
@@ -56,7 +56,7 @@
 		return new EngineState(speed, [...models]);
 	}
 
-	/** Highest fence seen; lower ones are refused where the engine checks. */
+	/** Highest fencing token seen, with `sequence`; an engine that checks fences refuses orders with lower ones. */
 	epoch = 0;
 	sequence = 0;
 	cacheHits = 0;
@@ -70,7 +70,7 @@
 		return this.waiting.length;
 	}
 
-	/** Time the next step of the batch takes. */
+	/** Duration of the next step of the batch. */
 	get stepMs(): number {
 		return this.speed.stepMs * (1 + (this.speed.slowdownPerSequence * Math.max(0, this.batch.size - 1)));
 	}
@@ -105,7 +105,8 @@
 		return [...this.batch.keys(), ...this.waiting.map(sequence => sequence.generation.id)];
 	}
 
-	/** @returns the sequences that gave a token in this step. */
+	/** Executes one step of the batch.
+	@returns the sequences that produced a token in this step. */
 	step(): Sequence[] {
 		const advanced: Sequence[] = [];
 		for (const sequence of this.batch.values()) {
--- a/src/standins/common/memory-objects.ts
+++ b/src/standins/common/memory-objects.ts
@@ -1,8 +1,8 @@
-/** Stand-in of the platform's object store. */
+/** Simulation of the platform's object store. */
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import type {ObjectFailure, ObjectStore} from '../../store/common/object-store.js';
 
-/** Texts in memory. */
+/** Object store in memory, which can be made unavailable with `isDown`. */
 export class MemoryObjects implements ObjectStore {
 	static create(): MemoryObjects {
 		return new MemoryObjects();
--- a/src/standins/common/memory-table.ts
+++ b/src/standins/common/memory-table.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's table service: rows in memory, with its faults to switch on. */
+/** Simulation of the platform's table service: rows in memory, with faults that tests can enable. */
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
 import type {
 	Row, RowWrite, ScanRange, TableFailure, TableService, Transaction,
@@ -7,21 +7,21 @@
 const serviceDown: TableFailure = {code: 'unavailable', message: 'the table service is down', mayHaveTakenEffect: false};
 const outcomeLost: TableFailure = {code: 'unavailable', message: 'the answer was lost', mayHaveTakenEffect: true};
 
-/** Rows in memory. */
+/** Table service in memory. */
 export class MemoryTable implements TableService {
 	static create(): MemoryTable {
 		return new MemoryTable();
 	}
 
-	/** No call is served. */
+	/** Whether the service is unavailable: all calls fail. */
 	isDown = false;
-	/** Answers to this many next transactions are lost after their writes took effect. */
+	/** Number of next transactions whose responses are lost after their writes took effect. */
 	responsesToLose = 0;
-	/** This many next transactions are lost before they take effect; the caller can't tell. */
+	/** Number of next transactions that are lost before they take effect; the caller can't distinguish this from a lost response. */
 	requestsToLose = 0;
-	/** The next transaction takes effect, and the service goes down before it answers. */
+	/** Whether the service becomes unavailable after the next transaction took effect and before it responds. */
 	crashAfterWrite = false;
-	/** Calls served so far, for budgets. */
+	/** Calls received so far, for tests that limit the number of calls. */
 	readCount = 0;
 	writeCount = 0;
 	private readonly rows = new Map<string, Row>();
--- a/src/standins/node/engine-server.ts
+++ b/src/standins/node/engine-server.ts
@@ -1,4 +1,4 @@
-/** Stand-in of a model engine over HTTP; the protocol is in docs/SURROUNDINGS.md. */
+/** Simulated model engine over HTTP; docs/SURROUNDINGS.md describes the protocol. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {request as httpRequest} from 'undici';
 import {z} from 'zod';
@@ -17,29 +17,29 @@
 });
 type Order = z.infer<typeof orderSchema>;
 
-/** Faults to switch on. */
+/** Faults that tests can enable. */
 export type EngineFaults = {
-	/** Steps take this many times as long. */
+	/** Factor by which steps are slower. */
 	slowFactor: number;
-	/** Every generation fails at once. */
+	/** Whether every generation fails at once. */
 	isFailing: boolean;
-	/** Streams are cut after this many tokens, without an end mark. */
+	/** Number of tokens after which streams are closed without an end marker. */
 	cutAfterTokens: number;
-	/** Reported load is this old. */
+	/** Age of the reported load. */
 	reportLagMs: number;
 };
 
-/** How a stand-in engine is made. */
+/** Options of a simulated engine. */
 export type EngineOptions = {
 	readonly speed?: EngineSpeed;
 	readonly models: readonly LoadedModel[];
-	/** Whether orders with a lower fence are refused. */
+	/** Whether orders with a lower fencing token are refused; true by default. */
 	readonly isFenceChecked?: boolean;
-	/** Where the weight store answers; none loads at once. */
+	/** Origin of the weight store; without one, models load at once. */
 	readonly weightOrigin?: string;
 };
 
-/** An engine on one loopback port. */
+/** A simulated engine on one loopback port. */
 export class EngineServer implements Disposable {
 	static async create(options: EngineOptions): Promise<EngineServer> {
 		const engine = new EngineServer(options);
@@ -122,7 +122,7 @@
 
 		const now = performance.now();
 		const stepMs = this.state.stepMs * this.faults.slowFactor;
-		// Steps keep their pace over time, although timers are coarse.
+		// The next step is scheduled from the previous one, so that steps keep their mean rate although timers are coarse.
 		this.nextStepAtMs = Math.max(this.nextStepAtMs, now - stepMs) + stepMs;
 		this.timer = setTimeout(() => {
 			this.timer = undefined;
--- a/src/standins/node/platform-server.ts
+++ b/src/standins/node/platform-server.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform: table service, object store and host list over HTTP. */
+/** Simulated platform: table service, object store, host list and weight store over HTTP. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {z} from 'zod';
 import type {Disposable} from '../../base/common/disposable.js';
@@ -15,10 +15,10 @@
 });
 const objectSchema = z.object({name: z.string(), text: z.string().default('')});
 
-/** Fetches from the weight store at once. */
+/** Maximum number of concurrent fetches from the weight store. */
 const weightSlots = 2;
 
-/** The platform on one loopback port. */
+/** A simulated platform on one loopback port. */
 export class PlatformServer implements Disposable {
 	static async create(): Promise<PlatformServer> {
 		const platform = new PlatformServer();
@@ -28,18 +28,18 @@
 
 	readonly table = MemoryTable.create();
 	readonly objects = MemoryObjects.create();
-	/** How old the host list is that callers get. */
+	/** Age of the host list that callers receive. */
 	hostListLagMs = 0;
-	/** Time one fetch from the weight store takes; more than two at once wait. */
+	/** Duration of one fetch from the weight store; more than two concurrent fetches wait. */
 	weightFetchMs = 0;
 	weightFetches = 0;
-	/** Added to every answer. */
+	/** Delay added to every response. */
 	delayMs = 0;
 	private server: StandinServer | undefined;
 	private readonly hostListHistory: Array<{readonly atMs: number; readonly hosts: ListedHost[]}> = [{atMs: 0, hosts: []}];
 	private readonly weightQueue: Array<Promise<void>> = Array.from({length: weightSlots}, async () => undefined);
 
-	/** Hosts as they are now; callers get the list as it was. */
+	/** The current hosts; callers receive the list of `hostListLagMs` ago. */
 	get hosts(): ListedHost[] {
 		return this.hostListHistory.at(-1)!.hosts;
 	}
@@ -99,7 +99,7 @@
 		return this.hostListHistory.findLast(list => list.atMs <= beforeMs)?.hosts ?? [];
 	}
 
-	/** The weight store serves a few fetches at once; the others wait their turn. */
+	/** Simulates a fetch from the weight store, which serves `weightSlots` fetches concurrently; the others are queued. */
 	private async fetchWeights(): Promise<void> {
 		this.weightFetches++;
 		const turn = this.weightQueue.shift();
--- a/src/standins/node/service-server.ts
+++ b/src/standins/node/service-server.ts
@@ -1,24 +1,24 @@
-/** Stand-ins of workers (encoders, retrievers, rerankers) and of plain services. */
+/** Simulated workers (encoders, retrievers, rerankers) and plain services. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Disposable} from '../../base/common/disposable.js';
 import {readBody, sendJson, StandinServer} from './standin-server.js';
 
-/** How a stand-in service is made. */
+/** Options of a simulated service. */
 export type ServiceOptions = {
-	/** Time of one call. */
+	/** Duration of one call. */
 	readonly serviceMs: number;
-	/** Calls run at once; others wait. */
+	/** Maximum number of concurrent calls; others wait. */
 	readonly slots: number;
-	/** Whether `GET /v1/state` tells the load. */
+	/** Whether `GET /v1/state` reports the load. */
 	readonly isReporting: boolean;
-	/** Makes an answer of a body. */
+	/** Returns the response body for the path and the body of a request. */
 	readonly respond: (path: string, body: string) => unknown;
 };
 
-/** Faults to switch on. */
+/** Faults that tests can enable. */
 export type ServiceFaults = {slowFactor: number; isFailing: boolean; isDroppingResponses: boolean};
 
-/** A service on one loopback port that counts what ran. */
+/** A simulated service on one loopback port that records the calls that ran. */
 export class ServiceServer implements Disposable {
 	static async create(options: ServiceOptions): Promise<ServiceServer> {
 		const service = new ServiceServer(options);
@@ -81,7 +81,7 @@
 	private freeSlot(): void {
 		const next = this.waiting.shift();
 		if (next) {
-			// The slot passes to the next call without becoming free between.
+			// The slot passes directly to the next call and is never free in between.
 			next();
 		} else {
 			this.running--;
--- a/src/standins/node/standin-server.ts
+++ b/src/standins/node/standin-server.ts
@@ -1,4 +1,4 @@
-/** What all stand-in servers share: a small HTTP server on loopback with JSON bodies. */
+/** Base of all simulated servers: a small HTTP server on loopback with JSON bodies. */
 import {Buffer} from 'node:buffer';
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -7,7 +7,7 @@
 import {messageOf} from '../../base/common/errors.js';
 import {endpointOf} from '../../wire/node/listen.js';
 
-/** Answers one request. */
+/** Handles one request. */
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => Promise<void> | void;
 
 /** An HTTP server on a free loopback port. */
@@ -46,7 +46,7 @@
 }
 
 /**
-Reads a body whole.
+Reads the complete body of a request.
 @param request - the request.
 @returns its bytes.
 */
@@ -62,19 +62,19 @@
 }
 
 /**
-Reads a JSON body.
+Reads the body of a request as JSON.
 @param request - the request.
-@returns the value.
+@returns the parsed value.
 */
 export async function readJson(request: IncomingMessage): Promise<unknown> {
 	return JSON.parse(new TextDecoder().decode(await readBody(request)));
 }
 
 /**
-Answers with JSON.
-@param response - where to.
+Sends a JSON response.
+@param response - the response to send.
 @param status - HTTP status.
-@param body - the value.
+@param body - the value to serialize.
 */
 export function sendJson(response: ServerResponse, status: number, body: unknown): void {
 	response.writeHead(status, {'content-type': 'application/json'});
--- a/src/wire/common/frame-codec.test.ts
+++ b/src/wire/common/frame-codec.test.ts
@@ -19,7 +19,7 @@
 	return result;
 }
 
-t.test('messages come out as they went in, however the bytes are cut', async t => {
+t.test('messages are decoded as they were encoded, however the stream is split', async t => {
 	const credit: Message = {type: 'credit', dispatchId: 'd1', chunks: 3};
 	const bytes = joined(encodeFrame(chunk), encodeFrame(credit), encodeFrame(chunk));
 	for (let size = 1; size <= bytes.byteLength; size++) {
@@ -47,7 +47,7 @@
 	t.equal(new TextDecoder().decode(second.data), 'teak plank');
 });
 
-t.test('bad frames give a typed problem', async t => {
+t.test('malformed frames give a typed problem', async t => {
 	const tooLong = new Uint8Array([0x7F, 0xFF, 0xFF, 0xFF]);
 	const notCbor = new Uint8Array([0, 0, 0, 2, 0xFF, 0xFF]);
 	const empty = new Uint8Array([0, 0, 0, 0]);
@@ -63,17 +63,17 @@
 	t.equal(codeOf(encodeFrame(foreign)), 'badMessage');
 	t.equal(codeOf(encodeFrame({...chunk, units: -1})), 'badMessage');
 	t.equal(codeOf(encodeFrame({...chunk, extra: 1} as Message)), 'badMessage');
-	t.equal(codeOf(encodeFrame(chunk).slice(0, 10)), 'none', 'a cut frame waits for its rest');
+	t.equal(codeOf(encodeFrame(chunk).slice(0, 10)), 'none', 'an incomplete frame waits for its remainder');
 	const deep = new Uint8Array(50_004).fill(0x81);
 	new DataView(deep.buffer).setUint32(0, 50_000);
 	const read = FrameDecoder.create().push(deep);
-	t.equal(read.ok ? 'none' : read.error.code, 'badEncoding', 'nested beyond measure');
-	// A map that names "type" twice: the last one counts, and it is not one that is known.
+	t.equal(read.ok ? 'none' : read.error.code, 'badEncoding', 'nested too deeply');
+	// A map with the key "type" twice: the last one applies, and its value is unknown.
 	const twice = new TextEncoder().encode('....\u00A2dtypedpingdtypedxxxx');
 	t.equal(codeOf(new Uint8Array([0, 0, 0, 21, 0xA2, ...twice.slice(6, 26)])), 'badMessage');
 });
 
-/** A frame around a body. */
+/** Returns a frame with a body. */
 function framed(body: Uint8Array): Uint8Array {
 	const frame = new Uint8Array(4 + body.byteLength);
 	new DataView(frame.buffer).setUint32(0, body.byteLength);
@@ -81,7 +81,7 @@
 	return frame;
 }
 
-t.test('whatever bytes come, there are messages or a problem, and nothing is thrown', async t => {
+t.test('any bytes give messages or a problem, and nothing is thrown', async t => {
 	fc.assert(fc.property(fc.array(fc.uint8Array({maxLength: 60}), {maxLength: 4}), pieces => {
 		const decoder = FrameDecoder.create(1024);
 		for (const piece of pieces) {
@@ -91,6 +91,6 @@
 	const types = ['peerBeat', 'batchWork', 'batchEnds', 'batchRelease', 'promptsSent', 'promptsPassedOn', 'fatalContents', 'hello'];
 	fc.assert(fc.property(fc.constantFrom(...types), fc.dictionary(fc.string({maxLength: 12}), fc.jsonValue({maxDepth: 3})), (type, fields) => {
 		const read = FrameDecoder.create().push(framed(encode({...fields, type})));
-		t.notOk(read.ok && read.value.length > 0, 'none of them is a message');
+		t.notOk(read.ok && read.value.length > 0, 'random fields do not form a valid message');
 	}), {seed: 2, numRuns: 500});
 });
--- a/src/wire/common/frame-codec.ts
+++ b/src/wire/common/frame-codec.ts
@@ -1,4 +1,4 @@
-/** Frames: a length of four bytes, big end first, then one CBOR value. */
+/** Framing: each frame is a big-endian length of four bytes, followed by one CBOR value. */
 import {Encoder} from 'cbor-x';
 import type {InputProblem} from '../../base/common/errors.js';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
@@ -6,7 +6,7 @@
 
 const headerBytes = 4;
 
-/** Largest frame accepted where nothing else is said. */
+/** Default upper bound on the size of an accepted frame. */
 export const defaultMaxFrameBytes = 8 * 1024 * 1024;
 
 const codec = new Encoder({useRecords: false, mapsAsObjects: true, tagUint8Array: false});
@@ -16,9 +16,9 @@
 }
 
 /**
-Writes one message as a frame.
-@param message - what to send.
-@returns the frame's bytes, shared with no other frame.
+Encodes a message as a frame.
+@param message - the message.
+@returns the bytes of the frame; they share no memory with other frames.
 */
 export function encodeFrame(message: Message): Uint8Array {
 	const body = codec.encode(message);
@@ -28,7 +28,7 @@
 	return frame;
 }
 
-/** Cuts a stream of bytes into messages. */
+/** Decodes a stream of bytes into messages. */
 export class FrameDecoder {
 	static create(maxFrameBytes = defaultMaxFrameBytes): FrameDecoder {
 		return new FrameDecoder(maxFrameBytes);
@@ -40,9 +40,9 @@
 	private constructor(private readonly maxFrameBytes: number) {}
 
 	/**
-	Takes the next bytes.
-	@param piece - bytes as they came.
-	@returns the messages now whole; after a problem the stream can't be read on.
+	Appends received bytes.
+	@param piece - the bytes, split at any position.
+	@returns the messages that are complete now, or the problem; after a problem decoding can't continue.
 	*/
 	push(piece: Uint8Array): Outcome<Message[], InputProblem> {
 		this.pieces.push(piece);
@@ -79,7 +79,7 @@
 		return new DataView(first.buffer, first.byteOffset, headerBytes).getUint32(0);
 	}
 
-	/** Takes bytes into an array of their own, so that no two messages share memory. */
+	/** Removes bytes from the buffer and copies them to a new array, so that no two messages share memory. */
 	private take(wantedBytes: number): Uint8Array {
 		const taken = new Uint8Array(wantedBytes);
 		let filledBytes = 0;
--- a/src/wire/common/messages.ts
+++ b/src/wire/common/messages.ts
@@ -1,35 +1,35 @@
-/** The messages between this system's own processes. */
+/** Messages between the processes of this system. */
 import {z} from 'zod';
 
-/** Version of the protocol; both sides must name the same. */
+/** Version of the protocol; both sides must use the same. */
 export const protocolVersion = 6;
 
 const id = z.string().min(1).max(128);
 const name = z.string().min(1).max(200);
-/** A start of an upstream: its name in the platform's list, with the time of the start. */
+/** One server process of an upstream: its name in the platform's list, with the time of its start. */
 const serverId = z.string().min(1).max(256);
-/** Names what a request asks for, whatever id its try has. */
+/** Identifies the content of a request; the same for all attempts, whatever their ids. */
 const contentId = z.string().length(32);
 const count = z.number().int().nonnegative();
 const ms = z.number().nonnegative();
 const bytes = z.custom<Uint8Array>(value => value instanceof Uint8Array, 'expected bytes');
 const headerSchema = z.strictObject({name: z.string().max(256), value: z.string().max(16_384)});
 
-/** What a process does. */
+/** Roles of processes. */
 export const roles = {entry: 'entry', agent: 'agent'} as const;
 export type Role = typeof roles[keyof typeof roles];
 
-/** How an agent stands towards new work. */
+/** Whether an agent accepts new work. */
 export const serveStates = {serving: 'serving', leaving: 'leaving'} as const;
 export type ServeState = typeof serveStates[keyof typeof serveStates];
 
-/** Names one run of one process; an address says nothing about who is behind it. */
+/** Identifies one run of one process, because an address does not identify the process that listens on it. */
 const identitySchema = z.strictObject({
 	hostId: id,
 	incarnation: id,
 	role: z.enum(roles),
 	hall: name,
-	/** The upstream behind an agent, with the pool it serves in. */
+	/** The upstream of an agent, and the pool in which it serves. */
 	upstreamId: id.optional(),
 	pool: name.optional(),
 });
@@ -38,12 +38,12 @@
 const loadedModelSchema = z.strictObject({model: name, adapters: z.array(name).max(256), version: name});
 export type LoadedModel = z.infer<typeof loadedModelSchema>;
 
-/** What an agent knows of its upstream. */
+/** Load of an upstream, as known to its agent. */
 const upstreamLoadSchema = z.strictObject({
 	running: count,
 	queued: count,
 	slots: count,
-	/** Middle time of recent calls on the upstream. */
+	/** Median duration of recent calls on the upstream. */
 	serviceMs: ms,
 	models: z.array(loadedModelSchema).max(64),
 });
@@ -57,7 +57,7 @@
 	prompt: bytes,
 	maxTokens: count,
 	seed: count,
-	/** Tokens the caller already has. */
+	/** Number of tokens that the caller already has. */
 	resumeOffset: count,
 });
 const runCallSchema = z.strictObject({kind: z.literal('run'), input: bytes});
@@ -67,9 +67,9 @@
 	path: z.string().max(8192),
 	headers: z.array(headerSchema).max(200),
 	body: bytes,
-	/** Names of results the upstream reads first. */
+	/** Handles of results that the upstream reads before the call. */
 	inputs: z.array(z.string().max(256)).max(4096).optional(),
-	/** Units of the answer the caller already has. */
+	/** Units of the response that the caller already has. */
 	resumeOffset: count.optional(),
 });
 const callSchema = z.discriminatedUnion('kind', [generateCallSchema, runCallSchema, httpCallSchema]);
@@ -95,14 +95,14 @@
 	stageIndex: count,
 	/** Time within which the work must start, counted from receipt. */
 	startWithinMs: ms,
-	/** Time until the request's deadline; 0 once it has passed. Work in time goes first. */
+	/** Time until the request's deadline; 0 once it has passed. Work that can still meet its deadline takes precedence. */
 	dueInMs: ms,
 	isRepeatable: z.boolean(),
-	/** What the sender has in force; a receiver that is behind catches up before it decides. */
+	/** Revision of the settings that the sender applies; a receiver with an older one catches up before it decides. */
 	settingsRevision: count,
-	/** Share of the upstream this workspace gets against others. */
+	/** Weight of this workspace in the sharing of the upstream with others. */
 	weight: z.number().positive(),
-	/** Chunks the agent may send before it is granted more. */
+	/** Number of chunks that the agent may send before it is granted more. */
 	creditChunks: count,
 	call: callSchema,
 });
@@ -110,16 +110,16 @@
 
 const cancelSchema = z.strictObject({type: z.literal('cancel'), dispatchId: id});
 const creditSchema = z.strictObject({type: z.literal('credit'), dispatchId: id, chunks: count});
-/** Asks what became of a dispatch; an agent that never saw it refuses it for good. */
+/** Asks for the state of a dispatch; an agent that never received it refuses it permanently. */
 const querySchema = z.strictObject({type: z.literal('query'), dispatchId: id});
 
 /** Why an agent did not start a dispatch. */
 export const refusalReasons = {
 	leaving: 'leaving', queueFull: 'queueFull', outOfTime: 'outOfTime', cancelled: 'cancelled',
 	stale: 'stale', unreachable: 'unreachable', notLoaded: 'notLoaded', neverSeen: 'neverSeen', badCall: 'badCall',
-	/** Another upstream has the address. */
+	/** Another upstream now uses the address. */
 	replaced: 'replaced',
-	/** Results the call was to read are lost. */
+	/** Results that the call reads are lost. */
 	inputsGone: 'inputsGone',
 } as const;
 export type RefusalReason = typeof refusalReasons[keyof typeof refusalReasons];
@@ -136,15 +136,15 @@
 const chunkSchema = z.strictObject({
 	type: z.literal('chunk'),
 	dispatchId: id,
-	/** Number of the first unit in this chunk, from the start of the whole answer. */
+	/** Index of the first unit in this chunk, from the start of the complete response. */
 	sequence: count,
-	/** Units (tokens, or 1 for a piece of bytes) in this chunk. */
+	/** Number of units in this chunk: tokens, or 1 for a block of bytes. */
 	units: z.number().int().positive(),
 	data: bytes,
 });
 export type ChunkMessage = z.infer<typeof chunkSchema>;
 
-/** How a dispatch that started ended. */
+/** Outcomes of a dispatch that was started. */
 export const endStates = {completed: 'completed', failed: 'failed', unknown: 'unknown'} as const;
 export type EndState = typeof endStates[keyof typeof endStates];
 
@@ -152,11 +152,11 @@
 	type: z.literal('end'),
 	dispatchId: id,
 	state: z.enum(endStates),
-	/** Units from the start of the whole answer. */
+	/** Number of units from the start of the complete response. */
 	units: count,
-	/** Chained hash over the chunks of this dispatch. */
+	/** Chained hash of the chunks of this dispatch. */
 	digest: count,
-	/** Time on the upstream. */
+	/** Time for which the call ran on the upstream. */
 	runMs: ms,
 	reason: z.string().max(500).optional(),
 	load: upstreamLoadSchema.optional(),
@@ -173,7 +173,7 @@
 export type ReportMessage = z.infer<typeof reportSchema>;
 
 const settingsRequestSchema = z.strictObject({type: z.literal('settingsRequest'), fromRevision: count});
-/** Changes after a revision, or everything; texts are JSON as kept in the table service. */
+/** Changes after a revision, or a complete snapshot; the strings are JSON as stored in the table service. */
 const settingsReplySchema = z.strictObject({
 	type: z.literal('settingsReply'),
 	fromRevision: count,
@@ -183,12 +183,12 @@
 });
 export type SettingsReply = z.infer<typeof settingsReplySchema>;
 
-/** What an order asks of an engine. */
+/** Kinds of orders to an engine. */
 export const orderKinds = {load: 'load', unload: 'unload'} as const;
 const orderSchema = z.strictObject({
 	type: z.literal('order'),
 	orderId: id,
-	/** Fence: the lease's epoch, then the order's number under it. */
+	/** Fencing token: the epoch of the lease, then the number of the order within it. */
 	epoch: count,
 	sequence: count,
 	/** Time within which the order must take effect. */
@@ -207,78 +207,78 @@
 	models: z.array(loadedModelSchema).max(64).optional(),
 });
 export type OrderReply = z.infer<typeof orderReplySchema>;
-/** Asks an agent to leave for good. */
+/** Asks an agent to leave permanently. */
 const drainSchema = z.strictObject({type: z.literal('drain'), incarnation: id});
 
-/** Most drains of halls that one message tells; deployments have a few halls. */
+/** Upper bound on the drains of data halls in one message; deployments have a few halls. */
 export const maxHallDrains = 1000;
 const hallDrainSchema = z.strictObject({
 	hall: name,
 	isDrained: z.boolean(),
-	/** The writing of the platform's store that made it so. */
+	/** Revision of the platform's store that began or ended the drain. */
 	revision: count,
 });
-/** The beginning or the end of the drain of a data hall. */
+/** The start or the end of the drain of a data hall. */
 export type HallDrain = z.infer<typeof hallDrainSchema>;
 
-/** Sent now and then by each host to its peers: a sign of life, and what it has in force. */
+/** Heartbeat that each host sends regularly to its peers, with the state that it applies. */
 const peerHeartbeatSchema = z.strictObject({
 	type: z.literal('peerBeat'),
-	/** Where the sender listens for its peers. */
+	/** Endpoint at which the sender listens for its peers. */
 	endpoint: name,
-	/** Where other peers listen that the sender knows. */
+	/** Endpoints of other peers that the sender knows. */
 	knownEndpoints: z.array(name).max(1000),
 	deploymentVersion: count,
 	listRevision: count,
-	/** Whether the sender is about to stop and takes no more shared work. */
+	/** Whether the sender is about to stop and accepts no more shared work. */
 	isLeaving: z.boolean(),
-	/** The sender's room for shared work, in cores; older hosts tell none. */
+	/** The sender's capacity for shared work, in cores; absent in messages of older hosts. */
 	room: z.number().nonnegative().optional(),
-	/** The sender says something again after this long at the latest; older hosts say something every half a second. */
+	/** Longest time until the sender sends its next message; absent in messages of older hosts, which send one every 500 ms. */
 	nextWithinMs: z.number().positive().optional(),
-	/** How long ago the store last answered the sender; absent while the sender does not read it. */
+	/** Time since the store last responded to the sender; absent while the sender does not read the store. */
 	storeAgeMs: z.number().nonnegative().optional(),
-	/** Beginnings and ends of drains of data halls that the sender knows; absent where it knows none. */
+	/** Starts and ends of drains of data halls that the sender knows; absent if it knows none. */
 	hallDrains: z.array(hallDrainSchema).max(maxHallDrains).optional(),
 });
 export type PeerHeartbeat = z.infer<typeof peerHeartbeatSchema>;
-/** Asks a peer for what it has in force. */
+/** Asks a peer for the state that it applies. */
 const stateRequestSchema = z.strictObject({
 	type: z.literal('stateRequest'),
 	wantsDeployment: z.boolean(),
-	/** The version of the declaration that the sender has; 0 for none. */
+	/** Version of the declaration that the sender has; 0 if it has none. */
 	haveVersion: count,
 	wantsServers: z.boolean(),
 });
 const packedDeploymentSchema = z.strictObject({
-	/** The version that the receiver must have; 0 where the patch holds everything. */
+	/** Version that the receiver must have to apply the patch; 0 if the patch is complete. */
 	baseVersion: count,
 	version: count,
 	/** A `DeploymentPatch`, as compressed JSON. */
 	patch: bytes,
 });
 export type PackedDeployment = z.infer<typeof packedDeploymentSchema>;
-/** What a peer has in force; the servers as compressed JSON. */
+/** The state that a peer applies; the servers as compressed JSON. */
 const stateReplySchema = z.strictObject({
 	type: z.literal('stateReply'), deployment: packedDeploymentSchema.optional(), servers: bytes.optional(),
 });
 
-/** Prompts that the sender has sent to model engines: what these still have to read, and what they will keep. */
+/** Prompts that the sender has sent to model engines, which tell what the engines have yet to prefill and what they will cache. */
 const sentPromptsSchema = z.array(z.strictObject({serverId, parts: z.array(z.strictObject({key: count, tokens: count})).max(64)})).max(10_000);
 const promptsSentSchema = z.strictObject({
 	type: z.literal('promptsSent'),
 	prompts: sentPromptsSchema,
-	/** Whether the receiver is to pass them on to all others. */
+	/** Whether the receiver must relay them to all other hosts. */
 	isForAll: z.boolean().optional(),
 });
-/** Prompts that several hosts have sent, as one host gathered them for all. */
+/** Prompts that several hosts have sent, as combined and broadcast by the relay host. */
 const promptsPassedOnSchema = z.strictObject({
 	type: z.literal('promptsPassedOn'),
 	news: z.array(z.strictObject({hostId: name, prompts: sentPromptsSchema})).max(10_000),
 });
 export type PromptsSentMessage = z.infer<typeof promptsSentSchema>;
 
-/** Pieces of one step of one request, for the batches of a pool that the receiver keeps. */
+/** Pieces of one step of one request, submitted to the host that batches the work of a pool. */
 const batchWorkSchema = z.strictObject({
 	type: z.literal('batchWork'),
 	workId: id,
@@ -291,7 +291,7 @@
 	inputs: z.array(z.string().max(256)).max(65_536).optional(),
 	resultBytes: count,
 	rank: count,
-	/** Times count from receipt; a time in the past is below 0. */
+	/** Times are relative to receipt; a time in the past is negative. */
 	dueInMs: z.number(),
 	lateDueInMs: z.number(),
 	deadlineInMs: ms,
@@ -299,7 +299,7 @@
 	crossingBytes: ms,
 });
 export type BatchWorkMessage = z.infer<typeof batchWorkSchema>;
-/** Ends of pieces; a piece without a handle names the reason. */
+/** Outcomes of pieces; a piece without a handle has failed and has a reason. */
 const batchEndsSchema = z.strictObject({
 	type: z.literal('batchEnds'),
 	workId: id,
@@ -309,19 +309,19 @@
 	})).max(4096),
 });
 export type BatchEndsMessage = z.infer<typeof batchEndsSchema>;
-/** How long work for pools that the sender batches would wait, by its rank. */
+/** Predicted waits of work for the pools that the sender batches, by rank. */
 const batchWaitsSchema = z.strictObject({
 	type: z.literal('batchWaits'),
 	pools: z.array(z.strictObject({pool: name, waitMsByRank: z.array(ms).max(16)})).max(1000),
 });
 export type BatchWaitsMessage = z.infer<typeof batchWaitsSchema>;
 const batchCancelSchema = z.strictObject({type: z.literal('batchCancel'), pool: name, workId: id});
-/** Results that are no longer needed. */
+/** Results that are no longer needed and can be released. */
 const batchReleaseSchema = z.strictObject({
 	type: z.literal('batchRelease'), pool: name, refs: z.array(z.strictObject({handle: z.string().max(256), serverId})).max(65_536),
 });
 
-/** What the sender knows of servers that ended while they ran requests of certain contents. */
+/** Server crashes that the sender knows of, by the content of the request that was running. */
 const fatalContentsSchema = z.strictObject({
 	type: z.literal('fatalContents'),
 	contents: z.array(z.strictObject({
@@ -334,24 +334,24 @@
 
 export type FatalContents = z.infer<typeof fatalContentsSchema>['contents'];
 
-/** Most limits that one message tells. */
+/** Upper bound on the limits in one message. */
 export const maxServerLimits = 1000;
-/** Requests a second that upstreams take from all hosts together, as their answers name them. */
+/** Rate limits of upstreams, in requests per second from all hosts together, as announced in their responses. */
 const serverLimitsSchema = z.strictObject({
 	type: z.literal('serverLimits'),
 	limits: z.array(z.strictObject({
 		serverId,
 		perS: z.number().nonnegative(),
-		/** Time since an answer named it. */
+		/** Time since a response announced it. */
 		namedAgoMs: ms,
-		/** Time since a call was sent whose answer no longer named it; absent while it is in force. */
+		/** Time since a call was sent whose response no longer announced it; absent while the limit applies. */
 		endedAgoMs: ms.optional(),
 	})).max(maxServerLimits),
 });
 
-/** Most servers that one message tells to leave. */
+/** Upper bound on the leaving servers in one message. */
 export const maxLeavingServers = 1000;
-/** Starts of upstreams that have said in an answer that they leave. */
+/** Server processes that have announced in a response that they are leaving. */
 const leavingServersSchema = z.strictObject({
 	type: z.literal('leavingServers'),
 	serverIds: z.array(serverId).max(maxLeavingServers),
@@ -398,9 +398,9 @@
 export type StartedMessage = z.infer<typeof startedSchema>;
 
 /**
-Checks a decoded frame.
-@param value - anything.
-@returns the message, or what is wrong with it.
+Validates a decoded frame.
+@param value - the decoded value, of any type.
+@returns the message, or the problem.
 */
 export function parseMessage(value: unknown): {message: Message} | {problem: string} {
 	const parsed = messageSchema.safeParse(value);
--- a/src/wire/node/handshake.ts
+++ b/src/wire/node/handshake.ts
@@ -1,11 +1,11 @@
-/** Mutual authentication by a shared key: an HMAC over nonces and identities of both sides. */
+/** Mutual authentication with a shared key: an HMAC over the nonces and identities of both sides. */
 import {createHmac, timingSafeEqual} from 'node:crypto';
 import {newId} from '../../base/node/ids.js';
 import {
 	protocolVersion, type HelloMessage, type Identity, type WelcomeMessage,
 } from '../common/messages.js';
 
-/** A key both sides know; two are valid at once while keys are changed. */
+/** A key that both sides share; two keys are valid at the same time during a key rotation. */
 export type WireKey = {readonly keyId: string; readonly secret: string};
 
 type Side = 'client' | 'server';
@@ -32,9 +32,9 @@
 }
 
 /**
-Opens a handshake.
-@param identity - who calls.
-@param keys - the keys the caller has.
+Starts a handshake.
+@param identity - identity of the client.
+@param keys - the keys of the client.
 @returns the first message.
 */
 export function makeHello(identity: Identity, keys: readonly WireKey[]): HelloMessage {
@@ -43,24 +43,24 @@
 	};
 }
 
-/** What a side keeps between the steps of a handshake. */
+/** State that the server keeps between the steps of a handshake. */
 export type ServerHandshake = {readonly welcome: WelcomeMessage; readonly expectedProof: string};
 
 /**
-Answers a hello.
-@param hello - the caller's message.
-@param identity - who answers.
-@param keys - keys of the answering side; the first that both have is used.
-@returns the answer with the proof to expect, or why the caller is turned away.
+Responds to a hello message.
+@param hello - the message of the client.
+@param identity - identity of the server.
+@param keys - keys of the server; the first one that both sides have is used.
+@returns the welcome message with the proof to expect, or why the client is rejected.
 */
 export function answerHello(hello: HelloMessage, identity: Identity, keys: readonly WireKey[]): ServerHandshake | {problem: string} {
 	if (hello.protocol !== protocolVersion) {
-		return {problem: `protocol ${hello.protocol}, here ${protocolVersion}`};
+		return {problem: `unsupported protocol version ${hello.protocol}, expected ${protocolVersion}`};
 	}
 
 	const key = keys.find(candidate => hello.keyIds.includes(candidate.keyId));
 	if (!key) {
-		return {problem: 'no key in common'};
+		return {problem: 'both sides have no key in common'};
 	}
 
 	const nonce = newId();
@@ -74,11 +74,11 @@
 }
 
 /**
-Checks an answer to a hello.
+Verifies the response to a hello message.
 @param hello - the message that was sent.
-@param welcome - the answer.
-@param keys - keys of the calling side.
-@returns the proof to send, or why the other side is not trusted.
+@param welcome - the response.
+@param keys - keys of the client.
+@returns the proof to send, or why the server is not trusted.
 */
 export function answerWelcome(hello: HelloMessage, welcome: WelcomeMessage, keys: readonly WireKey[]): {proof: string} | {problem: string} {
 	const key = keys.find(candidate => candidate.keyId === welcome.keyId);
@@ -86,17 +86,17 @@
 		hello, serverIdentity: welcome.identity, serverNonce: welcome.nonce, keyId: welcome.keyId,
 	};
 	if (!key || welcome.protocol !== protocolVersion || !isEqualTimingSafe(macOf('server', transcript, key.secret), welcome.mac)) {
-		return {problem: 'the other side did not prove that it has the key'};
+		return {problem: 'the server did not prove that it has the key'};
 	}
 
 	return {proof: macOf('client', transcript, key.secret)};
 }
 
 /**
-Checks the last step of a handshake.
-@param handshake - what the answering side kept.
-@param mac - the caller's proof.
-@returns whether the caller has the key.
+Verifies the last step of a handshake.
+@param handshake - state that the server kept.
+@param mac - the proof of the client.
+@returns whether the client has the key.
 */
 export function isProofValid(handshake: ServerHandshake, mac: string): boolean {
 	return isEqualTimingSafe(handshake.expectedProof, mac);
--- a/src/wire/node/listen.ts
+++ b/src/wire/node/listen.ts
@@ -1,10 +1,10 @@
-/** Where servers listen, whatever they speak. */
+/** Listening TCP servers, independent of their protocol. */
 import type {Server} from 'node:net';
 import {assertInvariant, UnavailableError} from '../../base/common/errors.js';
 import type {Endpoint} from '../common/endpoint.js';
 
 /**
-Tells where a server listens.
+Returns the endpoint of a server.
 @param server - a listening TCP server.
 @returns its address and port.
 */
@@ -17,9 +17,9 @@
 /**
 Starts listening.
 @param server - the server.
-@param endpoint - where; port 0 takes a free one.
-@returns where it listens.
-@throws UnavailableError when the address can't be had.
+@param endpoint - the address and port; port 0 selects a free port.
+@returns the endpoint with the actual port.
+@throws UnavailableError if it can't listen on the address.
 */
 export async function listenOn(server: Server, endpoint: Endpoint): Promise<Endpoint> {
 	return new Promise((resolve, reject) => {
--- a/src/wire/node/wire-client.ts
+++ b/src/wire/node/wire-client.ts
@@ -1,4 +1,4 @@
-/** Keeps one connection to another process, opening it again whenever it is lost. */
+/** Maintains a connection to another process and reopens it whenever it is lost. */
 import {connect as connectTcp} from 'node:net';
 import {connect as connectTls} from 'node:tls';
 import type {Clock} from '../../base/common/clock.js';
@@ -11,14 +11,14 @@
 const firstRetryMs = 50;
 const maxRetryMs = 2000;
 
-/** What a client needs from its process. */
+/** Options of a client. */
 export type WireClientOptions = WireOptions & {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly tls?: TlsMaterial;
 };
 
-/** A connection that comes back. */
+/** A client that reconnects with exponential backoff and jitter. */
 export class WireClient implements Disposable {
 	static create(endpoint: Endpoint, options: WireClientOptions): WireClient {
 		return new WireClient(endpoint, options);
@@ -31,13 +31,13 @@
 	private isDisposed = false;
 
 	private constructor(readonly endpoint: Endpoint, private readonly options: WireClientOptions) {
-		// The first attempt waits a turn, so that the owner can listen first.
+		// The first attempt is deferred, so that the owner can register its listeners first.
 		this.retryTimer = options.clock.setTimer(0, () => {
 			this.open();
 		});
 	}
 
-	/** Fires each time a connection is ready. */
+	/** Fires each time a connection is authenticated. */
 	get onDidConnect() {
 		return this.didConnect.event;
 	}
@@ -52,7 +52,7 @@
 	private open(): void {
 		const {address: host, port} = this.endpoint;
 		const {tls} = this.options;
-		// Peers are met by IP number, so the certificate is checked against the authority, not a name.
+		// Peers are addressed by IP address, so the certificate is verified against the authority only, not against a host name.
 		const socket = tls
 			? connectTls({
 				host, port, cert: tls.certificate, key: tls.key, ca: tls.authority, checkServerIdentity: () => undefined,
--- a/src/wire/node/wire-connection.ts
+++ b/src/wire/node/wire-connection.ts
@@ -11,12 +11,12 @@
 
 const handshakeTimeoutMs = 3000;
 
-/** What a process needs for talking to others. */
+/** Identity, keys and limits with which a process connects to others. */
 export type WireOptions = {
 	readonly identity: Identity;
 	readonly keys: () => readonly WireKey[];
 	readonly maxFrameBytes?: number;
-	/** Most bytes that may wait to be sent before the connection is given up. */
+	/** Upper bound on buffered outgoing bytes; the connection is closed above it, because the peer does not read. */
 	readonly maxBufferedBytes?: number;
 };
 
@@ -24,14 +24,14 @@
 
 type MessageHandler = (message: Message) => void;
 
-/** Sends and receives messages; ready once both sides have proved who they are. */
+/** Sends and receives messages; open once both sides have authenticated. */
 export class WireConnection implements Disposable {
 	/**
 	Starts the handshake on a socket.
-	@param socket - a connected or connecting socket; owned from now on.
+	@param socket - a connected or connecting socket; the connection takes ownership of it.
 	@param options - identity and keys of this side.
 	@param isClient - whether this side opened the connection.
-	@returns the connection, not ready yet.
+	@returns the connection, not open yet.
 	*/
 	static create(socket: Socket, options: WireOptions, isClient: boolean): WireConnection {
 		return new WireConnection(socket, options, isClient);
@@ -52,7 +52,7 @@
 		this.handler = isClient ? this.startAsClient() : this.startAsServer();
 		socket.setNoDelay(true);
 		socket.setTimeout(handshakeTimeoutMs, () => {
-			this.close('no handshake in time');
+			this.close('the handshake timed out');
 		});
 		socket.on('data', (piece: Uint8Array) => {
 			this.handleData(piece);
@@ -65,7 +65,7 @@
 		});
 	}
 
-	/** Fires once, when the other side is known and proved. */
+	/** Fires once, when the other side has authenticated. */
 	get onDidOpen() {
 		return this.didOpen.event;
 	}
@@ -75,7 +75,7 @@
 		return this.didClose.event;
 	}
 
-	/** Fires whenever bytes come, also in the midst of a message: the other side lives, and the way to it carries. */
+	/** Fires whenever bytes are received, also within a message: it shows that the other side is alive and the connection works. */
 	get onDidReceiveData() {
 		return this.didReceiveData.event;
 	}
@@ -85,7 +85,7 @@
 		return this.didReceive.event;
 	}
 
-	/** Who is on the other side, once known. */
+	/** Identity of the other side, once it has authenticated. */
 	get peer(): Identity | undefined {
 		return this.peerIdentity;
 	}
@@ -96,17 +96,17 @@
 
 	/**
 	Sends a message.
-	@param message - what to send.
-	@returns false if nothing was written: the connection is not open.
+	@param message - the message.
+	@returns false if nothing was written because the connection is not open.
 	*/
 	send(message: Message): boolean {
 		return this.isOpen && this.sendFrame(encodeFrame(message));
 	}
 
 	/**
-	Sends a message that is encoded already, as one that goes to many.
-	@param frame - the message as `encodeFrame` gives it.
-	@returns false if nothing was written: the connection is not open.
+	Sends a message that is already encoded, so that a message for many receivers is encoded only once.
+	@param frame - the message as encoded by `encodeFrame`.
+	@returns false if nothing was written because the connection is not open.
 	*/
 	sendFrame(frame: Uint8Array): boolean {
 		if (!this.isOpen || this.socket.destroyed) {
@@ -115,15 +115,15 @@
 
 		this.socket.write(frame);
 		if (this.socket.writableLength > (this.options.maxBufferedBytes ?? defaultMaxBufferedBytes)) {
-			this.close('the other side does not read');
+			this.close('the other side does not read: too many bytes wait to be sent');
 		}
 
 		return true;
 	}
 
 	/**
-	Closes at once.
-	@param reason - told to listeners.
+	Closes the connection at once.
+	@param reason - passed to the listeners of `onDidClose`.
 	*/
 	close(reason: string): void {
 		this.closeReason = reason;
@@ -145,7 +145,7 @@
 				? answerWelcome(hello, message, this.options.keys())
 				: {problem: `expected welcome, got ${message.type}`};
 			if ('problem' in answer || message.type !== 'welcome') {
-				this.close('problem' in answer ? answer.problem : 'bad handshake');
+				this.close('problem' in answer ? answer.problem : 'malformed handshake');
 				return;
 			}
 
@@ -171,7 +171,7 @@
 			} else if (message.type === 'proof' && handshake && identity && isProofValid(handshake, message.mac)) {
 				this.open(identity);
 			} else {
-				this.close('the caller did not prove that it has the key');
+				this.close('the client did not prove that it has the key');
 			}
 		};
 	}
--- a/src/wire/node/wire-server.ts
+++ b/src/wire/node/wire-server.ts
@@ -11,10 +11,10 @@
 
 export type {Endpoint} from '../common/endpoint.js';
 
-/** Certificate and key of a TLS server, with the authority that signed the peers' ones. */
+/** Certificate and key for TLS, with the authority that signed the certificates of the peers. */
 export type TlsMaterial = {readonly certificate: string; readonly key: string; readonly authority: string};
 
-/** Listens, and announces each connection once its handshake is done. */
+/** Listens, and reports each connection once its handshake is complete. */
 export class WireServer implements Disposable {
 	static create(options: WireOptions, tls?: TlsMaterial): WireServer {
 		return new WireServer(options, tls);
@@ -36,16 +36,16 @@
 			: createServer(accept);
 	}
 
-	/** Fires for each connection whose other side has proved who it is. */
+	/** Fires for each connection whose client has authenticated. */
 	get onDidConnect() {
 		return this.didConnect.event;
 	}
 
 	/**
 	Starts listening.
-	@param endpoint - where; port 0 takes a free one.
-	@returns where it listens.
-	@throws UnavailableError when the address can't be had.
+	@param endpoint - the address and port; port 0 selects a free port.
+	@returns the endpoint with the actual port.
+	@throws UnavailableError if it can't listen on the address.
 	*/
 	async listen(endpoint: Endpoint): Promise<Endpoint> {
 		return listenOn(this.server, endpoint);
--- a/src/wire/node/wire.test.ts
+++ b/src/wire/node/wire.test.ts
@@ -50,7 +50,7 @@
 	return received;
 }
 
-t.test('two sides with a key in common know each other and talk', async t => {
+t.test('two sides with a common key authenticate each other and exchange messages', async t => {
 	const {endpoint, connected} = await listen(t, [newKey, oldKey]);
 	const client = await open(t, endpoint, [oldKey]);
 	const server = await connected;
@@ -59,13 +59,13 @@
 	t.strictSame(await exchange(client, server), ping);
 });
 
-t.test('the same over TLS', async t => {
+t.test('two sides authenticate and exchange messages over TLS', async t => {
 	const {endpoint, connected} = await listen(t, [newKey], tls);
 	const client = await open(t, endpoint, [newKey], tls);
 	t.strictSame(await exchange(client, await connected), ping);
 });
 
-t.test('a side without the key, with another secret, or with garbage gets nowhere, and harms nobody', async t => {
+t.test('a client without the key, with another secret or with invalid bytes is rejected, and affects no other client', async t => {
 	const {server, endpoint, connected} = await listen(t, [newKey]);
 	let count = 0;
 	server.onDidConnect(() => {
@@ -90,7 +90,7 @@
 	t.equal(count, 1);
 });
 
-t.test('a large message is heard of while it comes', async t => {
+t.test('data events fire while a large message is being received', async t => {
 	const {endpoint, connected} = await listen(t, [newKey]);
 	const client = await open(t, endpoint, [newKey]);
 	const server = await connected;
@@ -101,7 +101,7 @@
 	const received = new Promise<Message>(resolve => {
 		server.onDidReceive(resolve);
 	});
-	// Sockets give at most 64 KiB at once.
+	// A socket delivers at most 64 KiB at once, so a message of 1 MiB gives at least 16 events.
 	client.send({type: 'stateReply', servers: new Uint8Array(1024 * 1024)});
 	t.match(await received, {type: 'stateReply'});
 	t.ok(receivedCount >= 16, `${receivedCount} times`);
