--- a/src/base/common/bytes.ts
+++ b/src/base/common/bytes.ts
@@ -1,17 +1,17 @@
-/** Pieces of bytes that belong together. */
+/** Helpers for byte arrays. */
 
 /**
-Joins pieces into one.
-@param pieces - in order.
-@returns all their bytes, in memory of its own.
+Concatenates byte arrays.
+@param pieces - the arrays, in order.
+@returns a new array with all their bytes; it shares no memory with them.
 */
 export function joinBytes(pieces: readonly Uint8Array[]): Uint8Array<ArrayBuffer> {
-	const whole = new Uint8Array(pieces.reduce((sizeBytes, piece) => sizeBytes + piece.byteLength, 0));
+	const joined = new Uint8Array(pieces.reduce((sizeBytes, piece) => sizeBytes + piece.byteLength, 0));
 	let offset = 0;
 	for (const piece of pieces) {
-		whole.set(piece, offset);
+		joined.set(piece, offset);
 		offset += piece.byteLength;
 	}
 
-	return whole;
+	return joined;
 }
--- a/src/deployment/common/hall-drains.test.ts
+++ b/src/deployment/common/hall-drains.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import {hallDrainsTold, parseMessage, type HallDrain} from '../../wire/common/messages.js';
+import {maxHallDrains, parseMessage, type HallDrain} from '../../wire/common/messages.js';
 import {HallDrains, maxHalls} from './hall-drains.js';
 import {listSources} from './list-source.js';
 
@@ -86,12 +86,12 @@
 */
 t.test('if there are more drains than a message may hold, the newest are sent', async t => {
 	const drains = HallDrains.create();
-	const count = hallDrainsTold + 50;
+	const count = maxHallDrains + 50;
 	for (let index = 1; index <= count; index++) {
 		drains.apply([drain(`h${index}`, index)], listSources.store);
 	}
 
-	t.equal(drains.drainsForPeers.length, hallDrainsTold);
+	t.equal(drains.drainsForPeers.length, maxHallDrains);
 	t.equal(drains.drainsForPeers.at(-1)?.hall, `h${count}`);
 	t.equal(drains.drainsForPeers[0].hall, 'h51');
 	t.ok(drains.isDrained('h1'), 'all remain in force on this host');
--- a/src/deployment/common/hall-drains.ts
+++ b/src/deployment/common/hall-drains.ts
@@ -8,7 +8,7 @@
 */
 import type {InjectionToken} from 'tsyringe';
 import {Emitter} from '../../base/common/emitter.js';
-import {hallDrainsTold, type HallDrain} from '../../wire/common/messages.js';
+import {maxHallDrains, type HallDrain} from '../../wire/common/messages.js';
 import {listSources, type ListSource} from './list-source.js';
 
 /** Maximum number of halls that are remembered; beyond it, those whose drain ended longest ago are evicted. */
@@ -43,7 +43,7 @@
 
 	/** What is sent to peers: ends of drains as well, since a peer may know only of the beginning; the newest ones if there are too many for a message. */
 	get drainsForPeers(): readonly HallDrain[] {
-		return this.all.slice(-hallDrainsTold);
+		return this.all.slice(-maxHallDrains);
 	}
 
 	isDrained(hall: string): boolean {
--- a/src/deployment/common/share-unchanged.ts
+++ b/src/deployment/common/share-unchanged.ts
@@ -1,5 +1,5 @@
 /** Shares unchanged objects between successive versions, which are mostly equal; this saves memory and shows what changed by identity alone. */
-import {isAlike} from '../../base/common/is-alike.js';
+import {isDeepEqual} from '../../base/common/is-deep-equal.js';
 import type {Deployment} from './declaration.js';
 
 /**
@@ -26,6 +26,6 @@
 	const known = new Map(before.map(item => [item.name, item]));
 	return after.map(item => {
 		const same = known.get(item.name);
-		return same !== undefined && isAlike(same, item) ? same : item;
+		return same !== undefined && isDeepEqual(same, item) ? same : item;
 	});
 }
--- a/src/deployment/common/upstream-server.ts
+++ b/src/deployment/common/upstream-server.ts
@@ -1,6 +1,6 @@
 /** One start of one upstream server, as listed by the platform or reported by a peer. */
 import {z} from 'zod';
-import {addressPattern, mostPort} from '../../wire/common/endpoint.js';
+import {addressPattern, maxPort} from '../../wire/common/endpoint.js';
 
 /** Longest remaining cold time that is accepted; servers are cold for seconds, so an entry with a longer time is invalid. */
 export const maxColdMs = 3_600_000;
@@ -14,7 +14,7 @@
 	startedMs: z.number().int().nonnegative(),
 	pool: z.string(),
 	address: z.string().regex(addressPattern),
-	port: z.number().int().positive().max(mostPort),
+	port: z.number().int().positive().max(maxPort),
 	hall: z.string(),
 	slots: z.number().int().positive(),
 	/** Whether it finishes its current work and accepts no new work. */
--- a/src/deployment/node/feed-follower.test.ts
+++ b/src/deployment/node/feed-follower.test.ts
@@ -346,7 +346,7 @@
 	follower.start();
 	await turn();
 	t.same(calls, ['held for 1000']);
-	clock.sleep(300);
+	clock.suspend(300);
 	await turn();
 	t.same(calls, ['held for 1000', 'held for 0'], 'even after a suspend that is shorter than the hold time of a call');
 	t.notOk(follower.isCurrent);
--- a/src/deployment/node/feed-follower.ts
+++ b/src/deployment/node/feed-follower.ts
@@ -133,8 +133,8 @@
 		const waitMs = this.revision === undefined || this.hasFailed ? 0 : holdMs();
 		const limit = TimeLimit.create(clock, waitMs + responseTimeoutMs, this.controller.signal);
 		// After a suspend this host knows only the state from before it, and its connection may have been lost.
-		const resumeListener = clock.onDidSleep(() => {
-			limit.giveUp();
+		const resumeListener = clock.onDidResume(() => {
+			limit.abort();
 		});
 		const standbyCheck = this.isSynced ? undefined : this.cancelOnceReported(limit);
 		const call = {
@@ -158,7 +158,7 @@
 	private cancelOnceReported(limit: TimeLimit): Disposable {
 		return setRepeating(this.options.clock, () => standbyCheckMs, () => {
 			if (this.mayStandBy) {
-				limit.giveUp();
+				limit.abort();
 			}
 		});
 	}
--- a/src/peers/node/leaving-server-updates.ts
+++ b/src/peers/node/leaving-server-updates.ts
@@ -1,7 +1,7 @@
 /** Notifies peers of servers that have announced in a response that they are leaving, and applies what peers report. */
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {LeavingServers} from '../../deployment/common/leaving-servers.js';
-import {leavingServersTold} from '../../wire/common/messages.js';
+import {maxLeavingServers} from '../../wire/common/messages.js';
 import type {PeerMesh} from './peer-mesh.js';
 
 /** Dependencies of `LeavingServerUpdates`. */
@@ -30,7 +30,7 @@
 		this.owned.add(mesh.onDidConnect(hostId => {
 			const {all} = leaving;
 			if (all.length > 0) {
-				mesh.send(hostId, {type: 'leavingServers', serverIds: all.slice(-leavingServersTold)});
+				mesh.send(hostId, {type: 'leavingServers', serverIds: all.slice(-maxLeavingServers)});
 			}
 		}));
 	}
--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -6,7 +6,7 @@
 import type {Logger} from '../../base/common/logger.js';
 import {encodeFrame} from '../../wire/common/frame-codec.js';
 import {parseEndpoint} from '../../wire/common/endpoint.js';
-import type {Message, PeerBeat} from '../../wire/common/messages.js';
+import type {Message, PeerHeartbeat} from '../../wire/common/messages.js';
 import type {WireClientOptions} from '../../wire/node/wire-client.js';
 import type {WireConnection} from '../../wire/node/wire-connection.js';
 import type {FleetView} from '../../routing/common/fleet-view.js';
@@ -26,7 +26,7 @@
 const hostPauseThresholdMs = 400;
 
 /** The state of a host that it reports to its peers. */
-export type OwnState = Pick<PeerBeat, 'deploymentVersion' | 'listRevision' | 'isLeaving' | 'room' | 'storeAgeMs' | 'hallDrains'>;
+export type OwnState = Pick<PeerHeartbeat, 'deploymentVersion' | 'listRevision' | 'isLeaving' | 'room' | 'storeAgeMs' | 'hallDrains'>;
 
 /** A message received from a peer. */
 export type PeerMessage = {readonly hostId: string; readonly message: Message};
@@ -41,7 +41,7 @@
 };
 
 type PeerConnection = {readonly connection: WireConnection; readonly heartbeatSchedule: HeartbeatSchedule; lastReceivedMs: number};
-type Peer = {readonly hostId: string; readonly connections: Set<PeerConnection>; lastHeartbeat: PeerBeat | undefined; lastHeartbeatMs: number};
+type Peer = {readonly hostId: string; readonly connections: Set<PeerConnection>; lastHeartbeat: PeerHeartbeat | undefined; lastHeartbeatMs: number};
 
 export const peerMeshToken: InjectionToken<PeerMesh> = Symbol('PeerMesh');
 
@@ -227,7 +227,7 @@
 		}
 	}
 
-	private makeHeartbeat(knownEndpoints: string[], nextWithinMs: number): PeerBeat {
+	private makeHeartbeat(knownEndpoints: string[], nextWithinMs: number): PeerHeartbeat {
 		return {
 			type: 'peerBeat', endpoint: this.dialer.ownEndpoint, knownEndpoints, nextWithinMs, ...this.options.ownState(),
 		};
@@ -273,7 +273,7 @@
 		this.options.log.info('A peer is connected.', {peer: hostId, hall: identity.hall, ways: peer.connections.size});
 		// Every received byte counts: on a slow or a busy link, a message with thousands of routes takes longer to arrive than
 		// the silence after which a peer is considered lost.
-		connection.onDidHear(() => {
+		connection.onDidReceiveData(() => {
 			peerConnection.lastReceivedMs = this.options.clock.nowMs();
 		});
 		connection.onDidReceive(message => {
--- a/src/request/common/claim-store.test.ts
+++ b/src/request/common/claim-store.test.ts
@@ -80,7 +80,7 @@
 
 t.test('a claim that was written although its response was lost is released when the request was refused', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
-	table.dieAfterWrite = true;
+	table.crashAfterWrite = true;
 	const lost = storeOf('a').claim(claimKey('w', 'k'), claimOf('a', 'r1'));
 	await advanceTime(clock, 100);
 	t.match(await lost, {ok: false, error: {code: 'unavailable'}});
@@ -123,7 +123,7 @@
 	table.isDown = true;
 	const settled = store.settle(granted, 'completed');
 	await advanceTime(clock, 500);
-	clock.sleep(10_000);
+	clock.suspend(10_000);
 	t.notOk(store.isSettled);
 	table.isDown = false;
 	await advanceTime(clock, 500);
@@ -133,11 +133,11 @@
 
 t.test('a claim that was written although its response was lost is released by a host that was suspended meanwhile', async t => {
 	const {clock, table, storeOf, claimOf} = setUp();
-	table.dieAfterWrite = true;
+	table.crashAfterWrite = true;
 	const lost = storeOf('a').claim(claimKey('w', 'k'), claimOf('a', 'r1'));
 	await advanceTime(clock, 100);
 	t.match(await lost, {ok: false, error: {code: 'unavailable'}});
-	clock.sleep(10_000);
+	clock.suspend(10_000);
 	table.isDown = false;
 	await advanceTime(clock, 3000);
 	const again = storeOf('b').claim(claimKey('w', 'k'), claimOf('b', 'r2'));
@@ -149,12 +149,12 @@
 	const {clock, table, storeOf, claimOf} = setUp();
 	const store = storeOf('a');
 	const granted = await claimFreeKey(clock, store, claimOf('a', 'r1'));
-	clock.sleep(claimRetentionMs + 2000);
+	clock.suspend(claimRetentionMs + 2000);
 	const sweeper = ClaimSweeper.create({
 		table: {
 			scan: async range => table.scan(range),
 			async transact(transaction) {
-				clock.sleep(60_000);
+				clock.suspend(60_000);
 				await Promise.all([store.settle(granted, 'completed'), advanceTime(clock, 500)]);
 				return table.transact(transaction);
 			},
--- a/src/routing/common/suspend.test.ts
+++ b/src/routing/common/suspend.test.ts
@@ -25,7 +25,7 @@
 	budget.countFirstSends(clock.nowMs(), 1000);
 	t.ok(budget.tryWithdraw(clock.nowMs(), 100));
 	t.notOk(budget.tryWithdraw(clock.nowMs(), 100));
-	clock.sleep(11_000);
+	clock.suspend(11_000);
 	t.notOk(budget.tryWithdraw(clock.nowMs(), 100), 'the first sends have expired like the repeats');
 	t.ok(budget.tryWithdraw(clock.nowMs(), 1));
 });
@@ -35,7 +35,7 @@
 	const signs = ServerLiveness.create();
 	signs.connectionFailed(clock.nowMs(), 400, 4000);
 	t.ok(signs.isAvoided(clock.nowMs()));
-	clock.sleep(500);
+	clock.suspend(500);
 	t.notOk(signs.isAvoided(clock.nowMs()));
 });
 
@@ -46,7 +46,7 @@
 	record.merge({contentId, ends: [{serverId: 'a', ageMs: 0}], cleared: []}, clock.nowMs());
 	const untilMs = record.barredUntilMs(contentId, clock.nowMs());
 	t.ok(untilMs > clock.nowMs());
-	clock.sleep(untilMs - clock.nowMs());
+	clock.suspend(untilMs - clock.nowMs());
 	t.ok(record.barredUntilMs(contentId, clock.nowMs()) <= clock.nowMs());
 });
 
@@ -59,9 +59,9 @@
 		}],
 	}, clock.nowMs());
 	t.equal(registry.remainingColdMs('s', clock.nowMs()), 3000);
-	clock.sleep(2000);
+	clock.suspend(2000);
 	t.equal(registry.remainingColdMs('s', clock.nowMs()), 1000);
-	clock.sleep(2000);
+	clock.suspend(2000);
 	t.equal(registry.remainingColdMs('s', clock.nowMs()), 0);
 });
 
@@ -74,9 +74,9 @@
 		share.sent('s', clock.nowMs());
 	}
 
-	clock.sleep(999);
+	clock.suspend(999);
 	t.equal(left(), 0);
-	clock.sleep(1);
+	clock.suspend(1);
 	t.equal(left(), 5);
 });
 
@@ -84,9 +84,9 @@
 	const clock = ManualClock.create();
 	const memory = FleetTracker.create('10.0.0.1:1', clock.nowMs());
 	memory.recordSeen(['10.0.0.2:1'], clock.nowMs());
-	clock.sleep(60_000);
+	clock.suspend(60_000);
 	t.same(memory.view([], clock.nowMs()).hosts, ['10.0.0.1:1', '10.0.0.2:1']);
-	clock.sleep(600_000);
+	clock.suspend(600_000);
 	t.same(memory.view([], clock.nowMs()).hosts, ['10.0.0.1:1']);
 });
 
@@ -98,7 +98,7 @@
 	}
 
 	t.equal(tries.sinceFirstTryMs('r', 9000, 4000, clock.nowMs()), 5000);
-	clock.sleep(30_000);
+	clock.suspend(30_000);
 	for (let index = 0; index < 10; index++) {
 		tries.sinceFirstTryMs('r', 9000, 4000, clock.nowMs());
 	}
@@ -120,10 +120,10 @@
 	});
 	limits.handleResponse(server, {kind: 'named', perS: 1}, clock.nowMs(), clock.nowMs());
 	t.notOk(bounds.maySend(server, directWork, clock.nowMs()));
-	clock.sleep(20_000);
+	clock.suspend(20_000);
 	t.ok(bounds.maySend(server, directWork, clock.nowMs()));
 	limits.handleResponse(server, {kind: 'none'}, clock.nowMs(), clock.nowMs());
-	clock.sleep(10_000);
+	clock.suspend(10_000);
 	t.equal(limits.limitOf('s', clock.nowMs()), undefined);
 });
 
@@ -131,8 +131,8 @@
 	const clock = ManualClock.create();
 	const rests = ServerBackoffs.create({log: silentLoggers.for('test'), metrics: noMetrics});
 	rests.handleResponse({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
-	clock.sleep(2000);
+	clock.suspend(2000);
 	t.equal(rests.remainingMs('s', clock.nowMs()), 1000);
-	clock.sleep(2000);
+	clock.suspend(2000);
 	t.equal(rests.remainingMs('s', clock.nowMs()), 0);
 });
--- a/src/standins/common/engine-state.ts
+++ b/src/standins/common/engine-state.ts
@@ -1,4 +1,4 @@
-/** Stand-in of a model engine: continuous batching, a prefix cache, models, fenced orders. */
+/** State of a simulated model engine: continuous batching, a prefix cache, loaded models, fenced orders. */
 import {hashText} from '../../base/common/hash.js';
 import type {LoadedModel} from '../../wire/common/messages.js';
 
@@ -6,7 +6,7 @@
 const prefixCharacters = 64;
 const cacheCapacity = 64;
 
-/** What an engine is asked to generate. */
+/** A request to generate tokens. */
 export type Generation = {
 	readonly id: string;
 	readonly model: string;
@@ -14,30 +14,30 @@
 	readonly maxTokens: number;
 	readonly seed: number;
 	readonly offset: number;
-	/** Higher goes first where generations wait. */
+	/** Order of waiting generations: higher goes first. */
 	readonly priority: number;
 };
 
-/** How fast the engine is. */
-export type EnginePace = {
+/** Capacity and speed of an engine. */
+export type EngineSpeed = {
 	readonly slots: number;
-	/** Time of one step of the batch, alone. */
+	/** Duration of a step with one sequence in the batch. */
 	readonly stepMs: number;
-	/** Added to a step by each further sequence of the batch, as a share. */
-	readonly batchShare: number;
-	/** Steps that reading a prompt takes where its prefix is not cached. */
+	/** Increase of the duration of a step by each further sequence in the batch, as a share of `stepMs`. */
+	readonly slowdownPerSequence: number;
+	/** Steps that the prefill of a prompt takes if its prefix is not cached. */
 	readonly prefillSteps: number;
 };
 
-export const defaultPace: EnginePace = {
-	slots: 8, stepMs: 8, batchShare: 0.05, prefillSteps: 6,
+export const defaultSpeed: EngineSpeed = {
+	slots: 8, stepMs: 8, slowdownPerSequence: 0.05, prefillSteps: 6,
 };
 
 /**
-Gives a token that follows from prompt, seed and position alone, so that any engine resumes where another stopped.
-@param generation - what is generated.
-@param index - the token's position.
-@returns its text.
+Returns a token that depends only on prompt, seed and position, so that any engine can resume where another stopped.
+@param generation - the generation.
+@param index - position of the token.
+@returns the text of the token.
 */
 export function tokenAt(generation: Pick<Generation, 'prompt' | 'seed'>, index: number): string {
 	return `${words[hashText(generation.prompt, generation.seed + index) % words.length]} `;
@@ -47,16 +47,16 @@
 export type Sequence = {
 	readonly generation: Generation;
 	next: number;
-	prefillLeft: number;
+	remainingPrefillSteps: number;
 };
 
 /** The batch, the cache and the loaded models of one engine. */
 export class EngineState {
-	static create(pace: EnginePace, models: readonly LoadedModel[]): EngineState {
-		return new EngineState(pace, [...models]);
+	static create(speed: EngineSpeed, models: readonly LoadedModel[]): EngineState {
+		return new EngineState(speed, [...models]);
 	}
 
-	/** Highest fence seen; lower ones are refused where the engine checks. */
+	/** Highest fencing token seen, with `sequence`; an engine that checks fences refuses orders with lower ones. */
 	epoch = 0;
 	sequence = 0;
 	cacheHits = 0;
@@ -64,24 +64,24 @@
 	private readonly waiting: Sequence[] = [];
 	private readonly cache = new Set<string>();
 
-	private constructor(readonly pace: EnginePace, readonly models: LoadedModel[]) {}
+	private constructor(readonly speed: EngineSpeed, readonly models: LoadedModel[]) {}
 
 	get queued(): number {
 		return this.waiting.length;
 	}
 
-	/** Time the next step of the batch takes. */
+	/** Duration of the next step of the batch. */
 	get stepMs(): number {
-		return this.pace.stepMs * (1 + (this.pace.batchShare * Math.max(0, this.batch.size - 1)));
+		return this.speed.stepMs * (1 + (this.speed.slowdownPerSequence * Math.max(0, this.batch.size - 1)));
 	}
 
 	add(generation: Generation): void {
 		const prefix = generation.prompt.slice(0, prefixCharacters);
 		const isCached = this.cache.has(prefix);
 		this.cacheHits += isCached ? 1 : 0;
-		this.keepPrefix(prefix);
+		this.cachePrefix(prefix);
 		this.waiting.push({
-			generation, next: generation.offset, prefillLeft: isCached ? 1 : this.pace.prefillSteps,
+			generation, next: generation.offset, remainingPrefillSteps: isCached ? 1 : this.speed.prefillSteps,
 		});
 		this.waiting.sort((a, b) => b.generation.priority - a.generation.priority);
 		this.fill();
@@ -105,29 +105,30 @@
 		return [...this.batch.keys(), ...this.waiting.map(sequence => sequence.generation.id)];
 	}
 
-	/** @returns the sequences that gave a token in this step. */
+	/** Executes one step of the batch.
+	@returns the sequences that produced a token in this step. */
 	step(): Sequence[] {
-		const given: Sequence[] = [];
+		const advanced: Sequence[] = [];
 		for (const sequence of this.batch.values()) {
-			if (sequence.prefillLeft > 0) {
-				sequence.prefillLeft--;
+			if (sequence.remainingPrefillSteps > 0) {
+				sequence.remainingPrefillSteps--;
 			} else {
 				sequence.next++;
-				given.push(sequence);
+				advanced.push(sequence);
 			}
 		}
 
-		return given;
+		return advanced;
 	}
 
 	private fill(): void {
-		while (this.batch.size < this.pace.slots && this.waiting.length > 0) {
+		while (this.batch.size < this.speed.slots && this.waiting.length > 0) {
 			const sequence = this.waiting.shift()!;
 			this.batch.set(sequence.generation.id, sequence);
 		}
 	}
 
-	private keepPrefix(prefix: string): void {
+	private cachePrefix(prefix: string): void {
 		this.cache.delete(prefix);
 		this.cache.add(prefix);
 		if (this.cache.size > cacheCapacity) {
