--- a/bench/attainment.ts
+++ b/bench/attainment.ts
@@ -45,7 +45,7 @@
 export async function measureAttainment(options: AttainmentOptions): Promise<AttainmentRun> {
 	const {deployment, scenario, policy, durationMs, seed} = options;
 	const fleet = await LocalFleet.create({...deployment.spec, ...(policy.adjust && {adjust: policy.adjust})});
-	await apply(fleet, deployment.declaration);
+	await applyDeclaration(fleet, deployment.declaration);
 	const plan = {
 		origins: fleet.entries.map((_, index) => fleet.callersOrigin(index)),
 		workspaces: deployment.workspaces,
@@ -56,15 +56,15 @@
 	await new LoadRun({
 		...plan, rateAt: () => deployment.steadyRate, durationMs: warmUpMs, seed: seed + 1,
 	}).run();
-	const before = await costOf(fleet);
+	const before = await readCost(fleet);
 	const startUtilization = performance.eventLoopUtilization();
-	const trouble = scenario.disturb(fleet, durationMs);
+	const faults = scenario.injectFaults(fleet, durationMs);
 	const result = await new LoadRun({
-		...plan, rateAt: atMs => deployment.steadyRate * scenario.factorAt(atMs / durationMs), durationMs, seed,
+		...plan, rateAt: atMs => deployment.steadyRate * scenario.loadFactorAt(atMs / durationMs), durationMs, seed,
 	}).run();
-	await trouble;
+	await faults;
 	const busyShare = performance.eventLoopUtilization(startUtilization).utilization;
-	const after = await costOf(fleet);
+	const after = await readCost(fleet);
 	fleet.dispose();
 
 	const loads = [...result.workspaces].filter(([, load]) => load.requests > 0);
@@ -90,7 +90,7 @@
 	};
 }
 
-async function apply(fleet: LocalFleet, declaration: string): Promise<void> {
+async function applyDeclaration(fleet: LocalFleet, declaration: string): Promise<void> {
 	const nodes = readDeclaration(readFileSync(declaration), declaration);
 	if (!nodes.ok) {
 		throw new Error(JSON.stringify(nodes.error));
@@ -98,7 +98,7 @@
 
 	await call(fleet.operatorsOrigin(0), '/v1/settings/changes', JSON.stringify(requestOf(planEdits(nodes.value, new Map()), 'bench', 'bench')));
 	for (;;) {
-		const statuses = await Promise.all(fleet.entries.map(async (_, index) => statusOf(fleet, index)));
+		const statuses = await Promise.all(fleet.entries.map(async (_, index) => readStatus(fleet, index)));
 		if (statuses.every(status => status.settingsRevision > 0 && status.upstreams.length === fleet.upstreams.length)) {
 			return;
 		}
@@ -107,11 +107,11 @@
 	}
 }
 
-async function statusOf(fleet: LocalFleet, index: number) {
+async function readStatus(fleet: LocalFleet, index: number) {
 	return z.object({settingsRevision: z.number(), upstreams: z.array(z.unknown())}).parse(await call(fleet.operatorsOrigin(index), '/v1/status'));
 }
 
-async function costOf(fleet: LocalFleet): Promise<{usefulMs: number; wastedMs: number}> {
+async function readCost(fleet: LocalFleet): Promise<{usefulMs: number; wastedMs: number}> {
 	const cost = {usefulMs: 0, wastedMs: 0};
 	for (const index of fleet.entries.keys()) {
 		for (const stage of reportSchema.parse(await call(fleet.operatorsOrigin(index), '/v1/report')).stages) {
--- a/bench/check.ts
+++ b/bench/check.ts
@@ -3,7 +3,7 @@
 import {fileURLToPath} from 'node:url';
 import {z} from 'zod';
 import {checkDocument, readJsonc} from '../src/base/common/jsonc.js';
-import {joinRounds, readResults, type JoinedRun} from './report.js';
+import {aggregateRounds, readResults, type AggregatedRun} from './report.js';
 
 const boundsSchema = z.strictObject({
 	choose730To8: z.number(), hopShare: z.number(), attainmentToBest: z.number(), costToCheapest: z.number(),
@@ -21,9 +21,9 @@
 	return bounds.value;
 }
 
-function checkAttainment(bounds: Bounds, runs: readonly JoinedRun[]): string[] {
-	const own = runs.filter(run => run.policy === 'pumicehatch');
-	return own.flatMap(run => {
+function checkAttainment(bounds: Bounds, runs: readonly AggregatedRun[]): string[] {
+	const productRuns = runs.filter(run => run.policy === 'pumicehatch');
+	return productRuns.flatMap(run => {
 		const others = runs.filter(other => other.policy !== run.policy && other.scenario === run.scenario && other.deployment === run.deployment);
 		if (others.length === 0) {
 			return [];
@@ -50,15 +50,15 @@
 	const bounds = readBounds();
 	const decisions = readResults('decisions') ?? [];
 	const timeOf = (count: number) => decisions.find(item => item.name === `choose one of ${count} upstreams`)?.microseconds ?? Number.NaN;
-	const found: string[] = [];
+	const violations: string[] = [];
 	if (timeOf(730) / timeOf(8) > bounds.choose730To8) {
-		found.push(`choosing among 730 takes ${(timeOf(730) / timeOf(8)).toFixed(1)} times choosing among 8`);
+		violations.push(`choosing among 730 takes ${(timeOf(730) / timeOf(8)).toFixed(1)} times choosing among 8`);
 	}
 
 	const hop = readResults('hop');
 	if (hop && hop.addedShare > bounds.hopShare) {
-		found.push(`the hop adds ${(hop.addedShare * 100).toFixed(1)}% of a 20 ms stage`);
+		violations.push(`the hop adds ${(hop.addedShare * 100).toFixed(1)}% of a 20 ms stage`);
 	}
 
-	return [...found, ...checkAttainment(bounds, joinRounds(readResults('attainment') ?? []))];
+	return [...violations, ...checkAttainment(bounds, aggregateRounds(readResults('attainment') ?? []))];
 }
--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -18,10 +18,10 @@
 import type {DispatchMessage, Message} from '../src/wire/common/messages.js';
 import {makeTree} from './synthetic-settings.js';
 
-const digest = {tokens: 48, startMs: 1000};
+const workload = {tokens: 48, startMs: 1000};
 
 /** One measured decision. */
-export type DecisionFigure = {readonly name: string; readonly microseconds: number; readonly spreadShare: number};
+export type DecisionMeasurement = {readonly name: string; readonly microseconds: number; readonly spreadShare: number};
 
 function makeRouter(upstreams: number, clock: ManualClock): FleetRouter {
 	const members = MemberTable.create({heartbeatTimeoutMs: Infinity, distrustShare: 0.5});
@@ -68,36 +68,36 @@
 		upstreamId: `e${number}`, hall: `hall-${number % 5}`, stats: UpstreamStats.create(), joinedMs: 0,
 	}));
 	for (const [number, engine] of candidates.entries()) {
-		engines.assigned({pool: 'models', prompt: promptOf(`document ${number}`)}, engine, digest.startMs);
+		engines.assigned({pool: 'models', prompt: promptOf(`document ${number}`)}, engine, workload.startMs);
 	}
 
 	const need = {pool: 'models', prompt: promptOf('document 0')};
 	return () => {
-		engines.choose(need, candidates, digest.startMs);
+		engines.choose(need, candidates, workload.startMs);
 	};
 }
 
 /** Runs a whole request of one generating stage through its machine, with a token in each chunk. */
 function runRequest(plan: RequestPlan, router: FleetRouter): void {
 	const machine = RequestMachine.create(plan, router);
-	const [action] = machine.handle({type: 'start'}, digest.startMs);
+	const [action] = machine.handle({type: 'start'}, workload.startMs);
 	if (action.type !== 'dispatch') {
 		throw new Error(`expected a dispatch, got ${action.type}`);
 	}
 
 	const {dispatchId} = action.message;
 	const data = new Uint8Array(6);
-	machine.handle({type: 'started', dispatchId, queueMs: 0}, digest.startMs);
-	for (let sequence = 0; sequence < digest.tokens; sequence++) {
+	machine.handle({type: 'started', dispatchId, queueMs: 0}, workload.startMs);
+	for (let sequence = 0; sequence < workload.tokens; sequence++) {
 		machine.handle({
 			type: 'chunk', dispatchId, sequence, units: 1, data,
-		}, digest.startMs);
+		}, workload.startMs);
 	}
 
 	machine.handle({
-		type: 'end', dispatchId, state: 'failed', units: digest.tokens, digest: 0, runMs: 10,
-	}, digest.startMs);
-	machine.handle({type: 'callerGone'}, digest.startMs);
+		type: 'end', dispatchId, state: 'failed', units: workload.tokens, digest: 0, runMs: 10,
+	}, workload.startMs);
+	machine.handle({type: 'callerGone'}, workload.startMs);
 }
 
 function runGate(gate: GateMachine, dispatch: DispatchMessage, serial: number): void {
@@ -112,17 +112,17 @@
 @param timeMs - time spent on each.
 @returns the figures.
 */
-export async function measureDecisions(timeMs: number): Promise<DecisionFigure[]> {
-	const clock = ManualClock.create(digest.startMs);
+export async function measureDecisions(timeMs: number): Promise<DecisionMeasurement[]> {
+	const clock = ManualClock.create(workload.startMs);
 	const bench = new Bench({time: timeMs, warmupTime: timeMs / 4});
 	const planner = Planner.create(makeTree(5));
-	const plan = planOf(planner, digest.startMs);
+	const plan = planOf(planner, workload.startMs);
 	const stage = plan.stages.at(-1)!;
 	const excluded = new Set<string>();
 	for (const count of [8, 64, 730]) {
 		const router = makeRouter(count, clock);
 		bench.add(`choose one of ${count} upstreams`, () => {
-			router.choose(stage, excluded, 77, digest.startMs);
+			router.choose(stage, excluded, 77, workload.startMs);
 		});
 	}
 
@@ -133,7 +133,7 @@
 	const router = makeRouter(64, clock);
 	const single: RequestPlan = {...plan, stages: [{...stage, index: 0}]};
 	let dispatch: DispatchMessage | undefined;
-	for (const action of RequestMachine.create(single, router).handle({type: 'start'}, digest.startMs)) {
+	for (const action of RequestMachine.create(single, router).handle({type: 'start'}, workload.startMs)) {
 		dispatch = action.type === 'dispatch' ? action.message : dispatch;
 	}
 
@@ -143,9 +143,9 @@
 	const gate = GateMachine.create({slots: 8, maxQueue: 32});
 	let serial = 0;
 	bench.add('make a plan of four stages', () => {
-		planOf(planner, digest.startMs);
+		planOf(planner, workload.startMs);
 	});
-	bench.add(`whole request machine, ${digest.tokens} chunks`, () => {
+	bench.add(`whole request machine, ${workload.tokens} chunks`, () => {
 		runRequest(single, router);
 	});
 	bench.add('whole dispatch through a gate', () => {
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -17,7 +17,7 @@
 };
 
 /** Slower engines than the quickstart's, so that one process carries engines, agents, entries and load. */
-const benchPace = {
+const benchEngineSpeed = {
 	slots: 4, stepMs: 20, batchShare: 0.05, prefillSteps: 4,
 };
 
@@ -27,7 +27,7 @@
 
 function pipeline(name: string, share: number, isSharing: boolean): LoadKind {
 	return {
-		name, share, path: `pipelines/${name}/requests`, method: 'POST', isOnce: false, body: (number, random) => promptOf(number, random, isSharing),
+		name, share, path: `pipelines/${name}/requests`, method: 'POST', isRepeatForbidden: false, body: (number, random) => promptOf(number, random, isSharing),
 	};
 }
 
@@ -38,20 +38,20 @@
 
 function reservation(name: string, share: number, path: string): LoadKind {
 	return {
-		name, share, path: `services/${path}`, method: 'POST', isOnce: true, body: number => JSON.stringify({reserve: number}),
+		name, share, path: `services/${path}`, method: 'POST', isRepeatForbidden: true, body: number => JSON.stringify({reserve: number}),
 	};
 }
 
 function lookup(name: string, share: number, path: string): LoadKind {
 	return {
-		name, share, path: `services/${path}`, method: 'GET', isOnce: false, body: () => undefined,
+		name, share, path: `services/${path}`, method: 'GET', isRepeatForbidden: false, body: () => undefined,
 	};
 }
 
 export const deployments: readonly Deployment[] = [
 	{
 		name: 'kaolack',
-		spec: {...kaolackFleet, pace: benchPace, logLevel: 'error'},
+		spec: {...kaolackFleet, engineSpeed: benchEngineSpeed, logLevel: 'error'},
 		declaration: pathOf('kaolack.jsonc'),
 		workspaces: [
 			{name: 'buyers', share: 4}, {name: 'mill-saloum', share: 3}, {name: 'mill-nioro', share: 1}, {name: 'mill-kaffrine', share: 1}, {name: 'mill-foundiougne', share: 1},
@@ -69,7 +69,7 @@
 	},
 	{
 		name: 'kookpakket',
-		spec: {...kookpakketFleet, pace: benchPace, logLevel: 'error'},
+		spec: {...kookpakketFleet, engineSpeed: benchEngineSpeed, logLevel: 'error'},
 		declaration: pathOf('kookpakket.jsonc'),
 		workspaces: [
 			{name: 'supermarket', share: 4}, {name: 'flanders', share: 3}, {name: 'wallonia', share: 1}, {name: 'support', share: 1}, {name: 'box-planning', share: 1},
--- a/bench/hop.ts
+++ b/bench/hop.ts
@@ -6,13 +6,13 @@
 import {LocalFleet} from '../examples/local-fleet.js';
 import {planEdits, readDeclaration, requestOf} from '../src/settings/common/plan.js';
 
-const calls = 300;
+const callCount = 300;
 const stageMs = 20;
 /** Calls before the measurement, so that the compiler has done its work. */
 const warmUpBatches = 60;
 
 /** The hop against a stage of 20 ms. */
-export type HopFigure = {readonly directMs: number; readonly throughMs: number; readonly addedShare: number};
+export type HopMeasurement = {readonly directMs: number; readonly throughMs: number; readonly addedShare: number};
 
 function median(values: readonly number[]): number {
 	return values.toSorted((a, b) => a - b)[Math.floor(values.length / 2)];
@@ -22,7 +22,7 @@
 Measures the hop: calls of both kinds in turn, one at a time.
 @returns middle times, and what is added as a share of a stage of 20 ms.
 */
-export async function measureHop(): Promise<HopFigure> {
+export async function measureHop(): Promise<HopMeasurement> {
 	const fleet = await LocalFleet.create({
 		entries: 1,
 		models: [],
@@ -55,7 +55,7 @@
 
 	const direct: number[] = [];
 	const through: number[] = [];
-	for (let call = 0; call < calls; call++) {
+	for (let call = 0; call < callCount; call++) {
 		direct.push(await post(`${fleet.upstreams[0].service!.origin}/x`));
 		through.push(await post(`${fleet.callersOrigin(0)}/v1/workspaces/buyers/services/yard-gate/x`));
 	}
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -11,7 +11,7 @@
 	readonly share: number;
 	readonly path: string;
 	readonly method: 'GET' | 'POST';
-	readonly isOnce: boolean;
+	readonly isRepeatForbidden: boolean;
 	readonly body: (number: number, random: Random) => string | undefined;
 };
 
@@ -29,21 +29,21 @@
 };
 
 /** How the requests of one workspace fared, as its callers saw it. */
-export type WorkspaceLoad = {requests: number; attained: number; refused: number; late: number; other: number};
+export type OutcomeCounts = {requests: number; attained: number; refused: number; late: number; other: number};
 
 /** What came of a load. */
 export type LoadResult = {
-	readonly workspaces: ReadonlyMap<string, WorkspaceLoad>;
+	readonly workspaces: ReadonlyMap<string, OutcomeCounts>;
 	readonly latency: Histogram;
 	/** Times of answers by kind. */
-	readonly byKind: ReadonlyMap<string, WorkspaceLoad>;
+	readonly byKind: ReadonlyMap<string, OutcomeCounts>;
 };
 
-function pick<T extends {readonly share: number}>(items: readonly T[], random: Random): T {
-	let left = random.next() * items.reduce((sum, item) => sum + item.share, 0);
+function pickByShare<T extends {readonly share: number}>(items: readonly T[], random: Random): T {
+	let remaining = random.next() * items.reduce((sum, item) => sum + item.share, 0);
 	for (const item of items) {
-		left -= item.share;
-		if (left <= 0) {
+		remaining -= item.share;
+		if (remaining <= 0) {
 			return item;
 		}
 	}
@@ -51,7 +51,7 @@
 	return items[0];
 }
 
-function emptyLoad(): WorkspaceLoad {
+function emptyCounts(): OutcomeCounts {
 	return {
 		requests: 0, attained: 0, refused: 0, late: 0, other: 0,
 	};
@@ -60,17 +60,17 @@
 /** Sends a load and waits for all its answers. */
 export class LoadRun {
 	readonly latency = build({lowestDiscernibleValue: 1, highestTrackableValue: 600_000, numberOfSignificantValueDigits: 2});
-	readonly workspaces = new Map<string, WorkspaceLoad>();
-	readonly byKind = new Map<string, WorkspaceLoad>();
+	readonly workspaces = new Map<string, OutcomeCounts>();
+	readonly byKind = new Map<string, OutcomeCounts>();
 	private readonly agent = new Agent({connections: 256, pipelining: 1});
 
 	constructor(private readonly plan: LoadPlan) {
 		for (const {name} of plan.workspaces) {
-			this.workspaces.set(name, emptyLoad());
+			this.workspaces.set(name, emptyCounts());
 		}
 
 		for (const {name} of plan.kinds) {
-			this.byKind.set(name, emptyLoad());
+			this.byKind.set(name, emptyCounts());
 		}
 	}
 
@@ -98,8 +98,8 @@
 
 	private async send(number: number, random: Random): Promise<void> {
 		const {origins, workspaces, kinds, deadlineMs} = this.plan;
-		const workspace = pick(workspaces, random);
-		const kind = pick(kinds, random);
+		const workspace = pickByShare(workspaces, random);
+		const kind = pickByShare(kinds, random);
 		const loads = [this.workspaces.get(workspace.name)!, this.byKind.get(kind.name)!];
 		const body = kind.body(number, random);
 		const sentMs = performance.now();
@@ -114,7 +114,7 @@
 				authorization: `Bearer demo-${workspace.name}`,
 				'content-type': 'application/json',
 				'deadline-ms': String(deadlineMs),
-				...(kind.isOnce && {'idempotency-key': `bench-${this.plan.seed}-${number}`, 'not-repeatable': 'true'}),
+				...(kind.isRepeatForbidden && {'idempotency-key': `bench-${this.plan.seed}-${number}`, 'not-repeatable': 'true'}),
 			},
 		});
 		const tookMs = performance.now() - sentMs;
@@ -123,7 +123,7 @@
 		}
 
 		for (const load of loads) {
-			count(load, outcome, tookMs <= deadlineMs);
+			countOutcome(load, outcome, tookMs <= deadlineMs);
 		}
 	}
 
@@ -142,7 +142,7 @@
 	}
 }
 
-function count(load: WorkspaceLoad, outcome: string, isInTime: boolean): void {
+function countOutcome(load: OutcomeCounts, outcome: string, isInTime: boolean): void {
 	if (outcome === 'completed') {
 		load[isInTime ? 'attained' : 'late']++;
 	} else {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -7,7 +7,7 @@
 import {deployments} from './deployments.js';
 import {measureHop} from './hop.js';
 import {policies} from './policies.js';
-import {keepResults, readResults, writePage} from './report.js';
+import {saveResults, readResults, writePage} from './report.js';
 import {scenarios} from './scenarios.js';
 import {measureSlopes} from './slopes.js';
 
@@ -26,7 +26,7 @@
 	readonly rounds: number;
 };
 
-function say(line: string): void {
+function writeLine(line: string): void {
 	process.stdout.write(`${line}\n`);
 }
 
@@ -57,7 +57,7 @@
 						deployment, scenario, policy, durationMs: flags.seconds * 1000, seed: 100 + round,
 					});
 					runs.push(run);
-					say(format(run));
+					writeLine(format(run));
 				}
 			}
 		}
@@ -66,29 +66,29 @@
 	if (flags.keep) {
 		// Other deployments, and other scenarios, keep what was measured of them before.
 		const isMeasured = (old: AttainmentRun) => runs.some(run => run.deployment === old.deployment && run.scenario === old.scenario && run.policy === old.policy);
-		keepResults('attainment', [...(readResults('attainment') ?? []).filter(old => !isMeasured(old)), ...runs]);
+		saveResults('attainment', [...(readResults('attainment') ?? []).filter(old => !isMeasured(old)), ...runs]);
 	}
 }
 
 async function runDecisions(): Promise<void> {
 	const decisions = await measureDecisions(decisionTimeMs);
 	for (const item of decisions) {
-		say(`${item.name.padEnd(40)} ${item.microseconds.toFixed(1)} us`);
+		writeLine(`${item.name.padEnd(40)} ${item.microseconds.toFixed(1)} us`);
 	}
 
-	keepResults('decisions', decisions);
+	saveResults('decisions', decisions);
 	const hop = await measureHop();
-	say(`the hop adds ${(hop.throughMs - hop.directMs).toFixed(2)} ms, ${(hop.addedShare * 100).toFixed(1)}% of a 20 ms stage`);
-	keepResults('hop', hop);
+	writeLine(`the hop adds ${(hop.throughMs - hop.directMs).toFixed(2)} ms, ${(hop.addedShare * 100).toFixed(1)}% of a 20 ms stage`);
+	saveResults('hop', hop);
 }
 
 async function runSlopes(): Promise<void> {
 	const slopes = await measureSlopes();
 	for (const item of slopes) {
-		say(`${item.what.padEnd(46)} ${item.at.padEnd(38)} ${item.value.toFixed(2)} ${item.unit}`);
+		writeLine(`${item.what.padEnd(46)} ${item.at.padEnd(38)} ${item.value.toFixed(2)} ${item.unit}`);
 	}
 
-	keepResults('slopes', slopes);
+	saveResults('slopes', slopes);
 }
 
 async function run(flags: Flags): Promise<void> {
@@ -108,10 +108,10 @@
 	if (flags.check) {
 		const broken = checkResults();
 		for (const line of broken) {
-			say(`out of bounds: ${line}`);
+			writeLine(`out of bounds: ${line}`);
 		}
 
-		say(broken.length === 0 ? 'Every bound holds.' : `${broken.length} bounds are broken.`);
+		writeLine(broken.length === 0 ? 'Every bound holds.' : `${broken.length} bounds are broken.`);
 		process.exitCode = broken.length === 0 ? 0 : 1;
 	}
 
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -17,7 +17,7 @@
 export type Policy = {readonly name: string; readonly adjust?: (parts: DependencyContainer) => void};
 
 /** A baseline: a plain choice, first come first served, no ejection, no refusal by predicted time. */
-function plain(name: string, chooserOf: (parts: DependencyContainer) => UpstreamChooser): Policy {
+function baseline(name: string, chooserOf: (parts: DependencyContainer) => UpstreamChooser): Policy {
 	return {
 		name,
 		adjust(parts) {
@@ -38,7 +38,7 @@
 
 export const policies: readonly Policy[] = [
 	{name: 'pumicehatch'},
-	plain('random', parts => RandomChooser.create(parts.resolve(randomToken))),
-	plain('roundRobin', () => RoundRobinChooser.create()),
-	plain('leastInFlight', parts => LeastInFlightChooser.create(parts.resolve(randomToken))),
+	baseline('random', parts => RandomChooser.create(parts.resolve(randomToken))),
+	baseline('roundRobin', () => RoundRobinChooser.create()),
+	baseline('leastInFlight', parts => LeastInFlightChooser.create(parts.resolve(randomToken))),
 ];
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -2,15 +2,15 @@
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import type {AttainmentRun} from './attainment.js';
-import type {DecisionFigure} from './decisions.js';
-import type {HopFigure} from './hop.js';
-import type {SlopeFigure} from './slopes.js';
+import type {DecisionMeasurement} from './decisions.js';
+import type {HopMeasurement} from './hop.js';
+import type {SlopeMeasurement} from './slopes.js';
 
 /** Everything measured, as kept in bench/results. */
 export type Results = {
-	readonly decisions: DecisionFigure[];
-	readonly hop: HopFigure;
-	readonly slopes: SlopeFigure[];
+	readonly decisions: DecisionMeasurement[];
+	readonly hop: HopMeasurement;
+	readonly slopes: SlopeMeasurement[];
 	readonly attainment: AttainmentRun[];
 };
 
@@ -27,7 +27,7 @@
 @param part - which.
 @param value - the results.
 */
-export function keepResults<K extends keyof Results>(part: K, value: Results[K]): void {
+export function saveResults<K extends keyof Results>(part: K, value: Results[K]): void {
 	mkdirSync(folder, {recursive: true});
 	writeFileSync(fileOf(part), `${JSON.stringify(value, undefined, '\t')}\n`);
 }
@@ -61,14 +61,14 @@
 }
 
 /** One policy's runs of one scenario, joined. */
-export type JoinedRun = AttainmentRun & {readonly lowest: number; readonly highest: number; readonly rounds: number};
+export type AggregatedRun = AttainmentRun & {readonly lowest: number; readonly highest: number; readonly rounds: number};
 
 /**
 Joins the rounds of each deployment, scenario and policy.
 @param runs - all runs.
 @returns the median of each figure, with the lowest and highest attainment.
 */
-export function joinRounds(runs: readonly AttainmentRun[]): JoinedRun[] {
+export function aggregateRounds(runs: readonly AttainmentRun[]): AggregatedRun[] {
 	return Array.from(groupRuns(runs).values(), group => {
 		const middle = (of: (run: AttainmentRun) => number) => median(group.map(run => of(run)));
 		return {
@@ -110,7 +110,7 @@
 	slopes: figures => table(['what', 'at', 'value'], figures.map(item => [item.what, item.at, `${item.value.toFixed(item.value < 10 ? 2 : 0)} ${item.unit}`])),
 	attainment: runs => table(
 		['deployment', 'scenario', 'policy', 'attained (lowest–highest)', 'worst workspace', 'p50 / p95 / p99 ms', 'cost ms', 'wasted'],
-		joinRounds(runs).map(run => [
+		aggregateRounds(runs).map(run => [
 			run.deployment,
 			run.scenario,
 			run.policy,
@@ -123,7 +123,7 @@
 	),
 };
 
-function fill<K extends keyof Results>(text: string, part: K): string {
+function fillTable<K extends keyof Results>(text: string, part: K): string {
 	const value = readResults(part);
 	const [start, end] = [`<!-- bench:${part} -->`, `<!-- /bench:${part} -->`];
 	const from = text.indexOf(start) + start.length;
@@ -134,10 +134,10 @@
 /** Writes the tables between their marks in docs/MEASUREMENTS.md. */
 export function writePage(): void {
 	let text = readFileSync(page, 'utf8');
-	text = fill(text, 'decisions');
-	text = fill(text, 'hop');
-	text = fill(text, 'attainment');
-	text = fill(text, 'slopes');
+	text = fillTable(text, 'decisions');
+	text = fillTable(text, 'hop');
+	text = fillTable(text, 'attainment');
+	text = fillTable(text, 'slopes');
 
 	writeFileSync(page, text);
 }
--- a/bench/scenarios.ts
+++ b/bench/scenarios.ts
@@ -6,9 +6,9 @@
 export type Scenario = {
 	readonly name: string;
 	/** Load against the steady one, at a share of the whole time. */
-	readonly factorAt: (share: number) => number;
+	readonly loadFactorAt: (share: number) => number;
 	/** Brings the trouble about; called when the load starts. */
-	readonly disturb: (fleet: LocalFleet, durationMs: number) => Promise<void> | void;
+	readonly injectFaults: (fleet: LocalFleet, durationMs: number) => Promise<void> | void;
 	/** Requests share prompt prefixes. */
 	readonly isSharingPrefixes?: boolean;
 };
@@ -16,33 +16,33 @@
 const steady = () => 1;
 
 export const scenarios: readonly Scenario[] = [
-	{name: 'steady', factorAt: steady, disturb() {/* Nothing goes wrong. */}},
-	{name: 'burst of 3×', factorAt: share => (share > 0.3 && share < 0.6 ? 3 : 1), disturb() {/* The load is the trouble. */}},
+	{name: 'steady', loadFactorAt: steady, injectFaults() {/* Nothing goes wrong. */}},
+	{name: 'burst of 3×', loadFactorAt: share => (share > 0.3 && share < 0.6 ? 3 : 1), injectFaults() {/* The load is the trouble. */}},
 	{
 		name: 'one slow engine',
-		factorAt: steady,
-		disturb(fleet) {
+		loadFactorAt: steady,
+		injectFaults(fleet) {
 			fleet.poolOf('models')[0].engine!.faults.slowFactor = 5;
 		},
 	},
 	{
 		name: 'one slow retriever',
-		factorAt: steady,
-		disturb(fleet) {
+		loadFactorAt: steady,
+		injectFaults(fleet) {
 			fleet.poolOf('retrievers')[0].service!.faults.slowFactor = 10;
 		},
 	},
 	{
 		name: 'one failing engine',
-		factorAt: steady,
-		disturb(fleet) {
+		loadFactorAt: steady,
+		injectFaults(fleet) {
 			fleet.poolOf('models')[0].engine!.faults.isFailing = true;
 		},
 	},
 	{
 		name: 'lagging reports, burst',
-		factorAt: share => (share > 0.3 && share < 0.6 ? 2 : 1),
-		disturb(fleet) {
+		loadFactorAt: share => (share > 0.3 && share < 0.6 ? 2 : 1),
+		injectFaults(fleet) {
 			for (const upstream of fleet.poolOf('models')) {
 				upstream.engine!.faults.reportLagMs = 1500;
 			}
@@ -50,27 +50,27 @@
 	},
 	{
 		name: 'one slow service without reports',
-		factorAt: steady,
-		disturb(fleet) {
+		loadFactorAt: steady,
+		injectFaults(fleet) {
 			const quiet = fleet.poolOf('stock').length > 0 ? 'stock' : 'orders';
 			fleet.poolOf(quiet)[0].service!.faults.slowFactor = 20;
 		},
 	},
 	{
-		name: 'shared prefixes', factorAt: steady, isSharingPrefixes: true, disturb() {/* Nothing goes wrong. */},
+		name: 'shared prefixes', loadFactorAt: steady, isSharingPrefixes: true, injectFaults() {/* Nothing goes wrong. */},
 	},
 	{
 		name: 'an agent killed',
-		factorAt: steady,
-		async disturb(fleet, durationMs) {
+		loadFactorAt: steady,
+		async injectFaults(fleet, durationMs) {
 			await sleep(durationMs * 0.3);
 			fleet.poolOf('models')[0].daemon.lifecycle.stopNow();
 		},
 	},
 	{
 		name: 'the store out',
-		factorAt: steady,
-		async disturb(fleet, durationMs) {
+		loadFactorAt: steady,
+		async injectFaults(fleet, durationMs) {
 			await sleep(durationMs * 0.3);
 			fleet.platform.table.isDown = true;
 			await sleep(durationMs * 0.3);
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -18,7 +18,7 @@
 const treeCopies = 20;
 
 /** One measured point. */
-export type SlopeFigure = {readonly what: string; readonly at: string; readonly value: number; readonly unit: string};
+export type SlopeMeasurement = {readonly what: string; readonly at: string; readonly value: number; readonly unit: string};
 
 setFlagsFromString('--expose_gc');
 // eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- the flag above brings this function
@@ -29,7 +29,7 @@
 	return process.memoryUsage().heapUsed;
 }
 
-function timeMs(run: () => void): number {
+function medianTimeMs(run: () => void): number {
 	const times: number[] = [];
 	for (let round = 0; round < 5; round++) {
 		const startMs = performance.now();
@@ -41,7 +41,7 @@
 }
 
 /** Settings at three sizes: memory, taking over a snapshot, checking a change, looking up. */
-export function measureSettings(): SlopeFigure[] {
+export function measureSettings(): SlopeMeasurement[] {
 	return [5, 500, 4800].flatMap(workspaces => {
 		const at = `${workspaces} workspaces`;
 		const text = JSON.stringify(makeSnapshot(workspaces));
@@ -58,7 +58,7 @@
 		const ask = (number: number) => ({
 			requestId: 'r', workspace: `w${number % workspaces}`, target: 'p1', isRepeatable: true, hasKey: false, isStreaming: false, input: new Uint8Array(0),
 		});
-		const first = timeMs(() => {
+		const first = medianTimeMs(() => {
 			for (let number = 0; number < 100; number++) {
 				tree.policyAt(`/workspaces/w${number % workspaces}/pipelines/p1/stages/generate`);
 			}
@@ -72,12 +72,12 @@
 				what: 'memory of the tree', at, value: bytes / 1024, unit: 'KiB',
 			},
 			{
-				what: 'take over a snapshot', at, value: timeMs(() => {
+				what: 'take over a snapshot', at, value: medianTimeMs(() => {
 					SettingsTree.create().restore(snapshotSchema.parse(JSON.parse(text)));
 				}), unit: 'ms',
 			},
 			...[['a workspace', '/workspaces/w0'], ['the fleet', '/']].map(([name, path]) => ({
-				what: `copy and check the tree for a change of ${name}`, at, value: timeMs(() => {
+				what: `copy and check the tree for a change of ${name}`, at, value: medianTimeMs(() => {
 					const copy = SettingsTree.create();
 					copy.restore(tree.snapshot());
 					checkTree(copy, [path]);
@@ -91,7 +91,7 @@
 }
 
 /** Bytes of the control messages on one link. */
-export function measureControlFrames(): SlopeFigure[] {
+export function measureControlFrames(): SlopeMeasurement[] {
 	const load = {
 		running: 7, queued: 3, slots: 8, serviceMs: 512.25, models: [{model: 'sawmill-7b', version: 'v3', adapters: ['quotes', 'tallies']}],
 	};
@@ -110,8 +110,8 @@
 }
 
 /** An idle fleet's processor time and memory against its number of links. */
-export async function measureIdleFleet(): Promise<SlopeFigure[]> {
-	const figures: SlopeFigure[] = [];
+export async function measureIdleFleet(): Promise<SlopeMeasurement[]> {
+	const figures: SlopeMeasurement[] = [];
 	for (const [entries, count] of [[2, 0], [34, 0], [1, 8], [1, 32], [1, 96], [5, 96]]) {
 		const beforeBytes = heapBytes();
 		const fleet = await LocalFleet.create({
@@ -142,7 +142,7 @@
 }
 
 /** Memory of an entry's knowledge of upstreams. */
-export function measureMembers(): SlopeFigure[] {
+export function measureMembers(): SlopeMeasurement[] {
 	return [8, 730].map(count => {
 		const clock = ManualClock.create();
 		const beforeBytes = heapBytes();
@@ -162,8 +162,8 @@
 }
 
 /** Time from the acceptance of a change until it is in force on every entry. */
-export async function measureInForce(): Promise<SlopeFigure[]> {
-	const figures: SlopeFigure[] = [];
+export async function measureInForce(): Promise<SlopeMeasurement[]> {
+	const figures: SlopeMeasurement[] = [];
 	for (const hosts of [2, 8, 32, 100]) {
 		const fleet = await LocalFleet.create({
 			entries: hosts, models: [], logLevel: 'error', pools: [],
@@ -173,7 +173,7 @@
 		const {readCount, writeCount} = fleet.platform.table;
 		const startMs = performance.now();
 		for (let change = 0; change < 5; change++) {
-			times.push(await timeInForce(fleet, change));
+			times.push(await measureTimeInForce(fleet, change));
 		}
 
 		const elapsedMs = performance.now() - startMs;
@@ -194,7 +194,7 @@
 	return figures;
 }
 
-async function timeInForce(fleet: LocalFleet, change: number): Promise<number> {
+async function measureTimeInForce(fleet: LocalFleet, change: number): Promise<number> {
 	const call = async (index: number, path: string, body?: string): Promise<unknown> => {
 		const response = await request(`${fleet.operatorsOrigin(index)}${path}`, {
 			method: body === undefined ? 'GET' : 'POST', body, headers: {authorization: 'Bearer demo-operator', 'content-type': 'application/json'},
@@ -215,7 +215,7 @@
 }
 
 /** @returns all slopes. */
-export async function measureSlopes(): Promise<SlopeFigure[]> {
+export async function measureSlopes(): Promise<SlopeMeasurement[]> {
 	// The tree is made once before, so that what is measured does not include the schemas.
 	makeTree(5);
 	return [
--- a/examples/local-fleet.ts
+++ b/examples/local-fleet.ts
@@ -30,7 +30,7 @@
 	readonly entries: number;
 	readonly pools: readonly PoolSpec[];
 	readonly models: readonly LoadedModel[];
-	readonly pace?: EnginePace;
+	readonly engineSpeed?: EnginePace;
 	readonly logLevel?: 'debug' | 'info' | 'warn' | 'error';
 	readonly stopGraceMs?: number;
 	/** Registers other parts in each daemon before it starts. */
@@ -62,12 +62,12 @@
 	},
 ];
 
-function servicePools(quiet: string, reporting: readonly string[]): PoolSpec[] {
+function servicePools(nonReportingPool: string, reportingPools: readonly string[]): PoolSpec[] {
 	return [
 		{
-			pool: quiet, kind: 'service', count: 3, serviceMs: 10, slots: 8, isReporting: false,
+			pool: nonReportingPool, kind: 'service', count: 3, serviceMs: 10, slots: 8, isReporting: false,
 		},
-		...reporting.map(pool => ({
+		...reportingPools.map(pool => ({
 			pool, kind: 'service' as const, count: 4, serviceMs: 10, slots: 8, isReporting: true,
 		})),
 	];
@@ -106,11 +106,11 @@
 
 	readonly entries: Daemon[] = [];
 	readonly upstreams: FleetUpstream[] = [];
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly secrets: HostSecrets;
 
 	private constructor(private readonly spec: FleetSpec, readonly platform: PlatformServer) {
-		this.owned.add(platform);
+		this.disposables.add(platform);
 		this.secrets = {
 			wireKeys: [{keyId: 'local', secret: randomBytes(24).toString('base64url')}],
 			platformToken: 'local',
@@ -153,8 +153,8 @@
 			},
 		}, this.spec.adjust);
 		this.entries[index] = daemon;
-		this.list({hostId, role: 'entry', hall}, daemon);
-		this.owned.add({
+		this.updateHostList({hostId, role: 'entry', hall}, daemon);
+		this.disposables.add({
 			dispose() {
 				daemon.lifecycle.stopNow();
 			},
@@ -171,7 +171,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private async startUpstreams(): Promise<void> {
@@ -184,14 +184,14 @@
 
 	private async startUpstream(spec: PoolSpec, index: number): Promise<void> {
 		const upstreamId = `${spec.pool}-${index + 1}`;
-		const standin = spec.kind === 'engine'
-			? {engine: this.owned.add(await EngineServer.create({pace: this.spec.pace ?? defaultPace, models: structuredClone(this.spec.models), weightOrigin: this.platform.origin}))}
-			: {service: this.owned.add(await ServiceServer.create(serviceOptionsOf(spec)))};
-		const seed = {
-			upstreamId, pool: spec.pool, hostId: `host-${upstreamId}`, ...standin,
+		const server = spec.kind === 'engine'
+			? {engine: this.disposables.add(await EngineServer.create({pace: this.spec.engineSpeed ?? defaultPace, models: structuredClone(this.spec.models), weightOrigin: this.platform.origin}))}
+			: {service: this.disposables.add(await ServiceServer.create(serviceOptionsOf(spec)))};
+		const upstream = {
+			upstreamId, pool: spec.pool, hostId: `host-${upstreamId}`, ...server,
 		};
-		const daemon = await this.startAgent(seed, index);
-		this.upstreams.push({...seed, daemon});
+		const daemon = await this.startAgent(upstream, index);
+		this.upstreams.push({...upstream, daemon});
 	}
 
 	private async startAgent(upstream: Omit<FleetUpstream, 'daemon'>, index: number): Promise<Daemon> {
@@ -207,10 +207,10 @@
 				},
 			},
 		}, this.spec.adjust);
-		this.list({
+		this.updateHostList({
 			hostId, role: 'agent', hall, pool,
 		}, daemon);
-		this.owned.add({
+		this.disposables.add({
 			dispose() {
 				daemon.lifecycle.stopNow();
 			},
@@ -228,7 +228,7 @@
 		};
 	}
 
-	private list({hostId, role, hall, pool}: Pick<ListedHost, 'hostId' | 'role' | 'hall' | 'pool'>, {wire: {port}}: Daemon): void {
+	private updateHostList({hostId, role, hall, pool}: Pick<ListedHost, 'hostId' | 'role' | 'hall' | 'pool'>, {wire: {port}}: Daemon): void {
 		const others = this.platform.hosts.filter(host => host.hostId !== hostId);
 		this.platform.hosts = [...others, {
 			hostId, role, address, port, hall, state: 'live', ...(pool !== undefined && {pool}),
--- a/examples/quickstart.ts
+++ b/examples/quickstart.ts
@@ -18,22 +18,22 @@
 	})),
 });
 
-function say(sentence = ''): void {
+function writeLine(sentence = ''): void {
 	process.stdout.write(`${sentence}\n`);
 }
 
 function check(isTrue: boolean, what: string): void {
 	if (!isTrue) {
-		say(`FAILED: ${what}`);
+		writeLine(`FAILED: ${what}`);
 		process.exitCode = 1;
 	}
 }
 
 async function commandLine(fleet: LocalFleet, ...args: string[]): Promise<void> {
-	say(`$ pumicehatch ${args.join(' ')}`);
+	writeLine(`$ pumicehatch ${args.join(' ')}`);
 	const code = await runCommandLine(['node', 'pumicehatch', ...args, '--entry', fleet.operatorsOrigin(0)]);
 	check(code === 0, `exit code ${code}`);
-	say();
+	writeLine();
 }
 
 async function send(origin: string, path: string, init: {method: 'GET' | 'POST'; headers?: Record<string, string>; body?: string}) {
@@ -44,23 +44,23 @@
 }
 
 async function quote(fleet: LocalFleet): Promise<void> {
-	say('A quote: four stages, streamed.');
+	writeLine('A quote: four stages, streamed.');
 	const body = JSON.stringify({
 		customer: 'a furniture maker in Dakar', lot: 'teak-17', cubicMetres: 4.2, grade: 'A', wish: 'planks, dry, 40 mm, delivered next week',
 	});
 	const answer = await send(fleet.callersOrigin(0), 'pipelines/quote/requests', {method: 'POST', headers: {accept: 'text/event-stream'}, body});
 	const events = answer.text.split('\n\n').filter(event => event !== '');
 	const texts = events.filter(event => event.startsWith('event: chunk')).map(event => z.object({text: z.string()}).parse(dataOf(event)).text);
-	say(`  answer: ${texts.join('').slice(0, 100)}…`);
+	writeLine(`  answer: ${texts.join('').slice(0, 100)}…`);
 	const last = events.at(-1) ?? '';
 	check(last.startsWith('event: end'), 'the stream has an end mark');
 	const summary = summarySchema.parse(dataOf(last));
-	say(`  ${summary.outcome} in ${summary.tookMs} ms, ${summary.units} tokens in ${texts.length} pieces`);
+	writeLine(`  ${summary.outcome} in ${summary.tookMs} ms, ${summary.units} tokens in ${texts.length} pieces`);
 	for (const stage of summary.stages) {
-		say(`  ${stage.stage.padEnd(9)} on ${(stage.upstream ?? '-').padEnd(13)} ${String(stage.tookMs).padStart(6)} ms, cost ${stage.usefulMs} ms useful, ${stage.wastedMs} ms wasted`);
+		writeLine(`  ${stage.stage.padEnd(9)} on ${(stage.upstream ?? '-').padEnd(13)} ${String(stage.tookMs).padStart(6)} ms, cost ${stage.usefulMs} ms useful, ${stage.wastedMs} ms wasted`);
 	}
 
-	say();
+	writeLine();
 }
 
 function dataOf(event: string): unknown {
@@ -68,21 +68,21 @@
 }
 
 async function lookUp(fleet: LocalFleet): Promise<void> {
-	say('A stock lookup.');
+	writeLine('A stock lookup.');
 	const answer = await send(fleet.callersOrigin(1), 'services/stock/lots/teak-17', {method: 'GET'});
-	say(`  HTTP ${answer.status} from ${String(answer.headers['x-upstream'])}: ${answer.text}`);
+	writeLine(`  HTTP ${answer.status} from ${String(answer.headers['x-upstream'])}: ${answer.text}`);
 	check(answer.status === 200, 'the lookup is answered');
-	say();
+	writeLine();
 }
 
 async function reserve(fleet: LocalFleet): Promise<void> {
-	say('A reservation, sent twice through both entries under one key.');
+	writeLine('A reservation, sent twice through both entries under one key.');
 	const body = JSON.stringify({reserve: 'teak-17', for: 'yard 3'});
 	for (const entry of [0, 1]) {
 		const answer = await send(fleet.callersOrigin(entry), 'services/stock/reservations', {
 			method: 'POST', headers: {'idempotency-key': 'reservation-1', 'not-repeatable': 'true'}, body,
 		});
-		say(`  entry ${entry}: HTTP ${answer.status}, outcome ${String(answer.headers['x-outcome'])}, replay ${String(answer.headers['idempotent-replay'] ?? false)}: ${answer.text}`);
+		writeLine(`  entry ${entry}: HTTP ${answer.status}, outcome ${String(answer.headers['x-outcome'])}, replay ${String(answer.headers['idempotent-replay'] ?? false)}: ${answer.text}`);
 		check(answer.status === 200, 'the reservation is answered');
 		// The first outcome is written within one batch of claims.
 		await new Promise(resolve => {
@@ -91,33 +91,33 @@
 	}
 
 	const count = fleet.poolOf('stock').flatMap(upstream => upstream.service!.ran).filter(item => item === body).length;
-	say(`  the stock service ran it ${count} time(s)`);
+	writeLine(`  the stock service ran it ${count} time(s)`);
 	check(count === 1, 'the reservation ran exactly once');
-	say();
+	writeLine();
 }
 
-function sayHowToGoOn(fleet: LocalFleet): void {
-	say('The fleet stays up; end it with Ctrl+C. Try next, in another terminal:');
-	say('  export PUMICEHATCH_TOKEN=demo-operator PUMICEHATCH_CALLER_TOKEN=demo-buyers');
-	say(`  export PUMICEHATCH_ENTRY=${fleet.operatorsOrigin(0)} PUMICEHATCH_CALLERS=${fleet.callersOrigin(0)}`);
-	say('  node dist/src/cli/node/main.js status');
-	say('  node dist/src/cli/node/main.js request buyers quote --data \'{"lot":"teak-17"}\' --explain');
-	say('  node dist/src/cli/node/main.js settings set /workspaces/buyers deadlineMs=1500 --reason "a try" --wait');
-	say('  node dist/src/cli/node/main.js drain models-1');
-	say('  node dist/src/cli/node/main.js report');
+function writeNextSteps(fleet: LocalFleet): void {
+	writeLine('The fleet stays up; end it with Ctrl+C. Try next, in another terminal:');
+	writeLine('  export PUMICEHATCH_TOKEN=demo-operator PUMICEHATCH_CALLER_TOKEN=demo-buyers');
+	writeLine(`  export PUMICEHATCH_ENTRY=${fleet.operatorsOrigin(0)} PUMICEHATCH_CALLERS=${fleet.callersOrigin(0)}`);
+	writeLine('  node dist/src/cli/node/main.js status');
+	writeLine('  node dist/src/cli/node/main.js request buyers quote --data \'{"lot":"teak-17"}\' --explain');
+	writeLine('  node dist/src/cli/node/main.js settings set /workspaces/buyers deadlineMs=1500 --reason "a try" --wait');
+	writeLine('  node dist/src/cli/node/main.js drain models-1');
+	writeLine('  node dist/src/cli/node/main.js report');
 }
 
 process.env.PUMICEHATCH_TOKEN = 'demo-operator';
 const fleet = await LocalFleet.create(kaolackFleet);
-say(`Started a platform, ${fleet.upstreams.length} upstreams with their agents, and ${fleet.entries.length} entries.\n`);
+writeLine(`Started a platform, ${fleet.upstreams.length} upstreams with their agents, and ${fleet.entries.length} entries.\n`);
 await commandLine(fleet, 'settings', 'apply', declaration, '--reason', 'quickstart', '--wait');
 await quote(fleet);
 await lookUp(fleet);
 await reserve(fleet);
 await commandLine(fleet, 'report');
 if (process.argv.includes('--keep')) {
-	sayHowToGoOn(fleet);
+	writeNextSteps(fleet);
 } else {
 	fleet.dispose();
-	say(process.exitCode ? 'Something did not work.' : 'All of it worked.');
+	writeLine(process.exitCode ? 'Something did not work.' : 'All of it worked.');
 }
--- a/src/request/common/request-machine.test.ts
+++ b/src/request/common/request-machine.test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import {idleRouter} from '../../../test/idle-router.js';
+import {stubRouter} from '../../../test/stub-router.js';
 import {policyDefaults, type EffectivePolicy} from '../../settings/common/schema.js';
 import {agentRules, directRules} from './attempt-rules.js';
 import type {RequestAction} from './request-events.js';
@@ -7,7 +7,7 @@
 import {noInputs, type RequestPlan} from './request-plan.js';
 import type {RequestRouter} from './request-router.js';
 
-const routerWith = (changes: Partial<RequestRouter>) => idleRouter(['u1', 'u2', 'u3'], changes);
+const routerWith = (changes: Partial<RequestRouter>) => stubRouter(['u1', 'u2', 'u3'], changes);
 
 function planWith(changes: Partial<RequestPlan> = {}): RequestPlan {
 	const policy: EffectivePolicy = {...policyDefaults};
@@ -144,7 +144,7 @@
 	const unavailability = {message: 'all get what their limits allow', retryAfterMs: 300};
 	const makeMachine = () => {
 		const state = {isOpen: true};
-		const router = idleRouter(['u1', 'u2']);
+		const router = stubRouter(['u1', 'u2']);
 		const plan = planWith({isStreaming: true, rules: directRules});
 		const machine = RequestMachine.create({...plan, stages: [{...plan.stages[0], kind: 'http'}]}, {
 			...router,
--- a/src/request/node/request-runner.test.ts
+++ b/src/request/node/request-runner.test.ts
@@ -3,7 +3,7 @@
 came meanwhile has not been seen when all that was due is due at once.
 */
 import t from 'tap';
-import {idleRouter} from '../../../test/idle-router.js';
+import {stubRouter} from '../../../test/stub-router.js';
 import {ManualClock} from '../../base/common/clock.js';
 import {Emitter} from '../../base/common/emitter.js';
 import {ok, type Outcome} from '../../base/common/outcome.js';
@@ -51,7 +51,7 @@
 			sent.push(message);
 			return true;
 		},
-	}, idleRouter(['u1', 'u2']), clock);
+	}, stubRouter(['u1', 'u2']), clock);
 	const results: RequestResult[] = [];
 	let prepared: (outcome: Outcome<PreparedInputs, PreparationFailure>) => void = () => undefined;
 	runner.start(planWith(changes), {
--- a/test/doors.test.ts
+++ b/test/bad-http-input.test.ts
@@ -5,9 +5,9 @@
 import {hashToken} from '../src/entry/node/http-common.js';
 import {call, startFleet, type CallOptions} from './fleet-harness.js';
 
-const quote = 'pipelines/quote/requests';
+const quotePath = 'pipelines/quote/requests';
 
-const tellAfterMs = 5000;
+const reportAfterMs = 5000;
 
 t.test('bad input at the HTTP doors', async t => {
 	const fleet = await startFleet();
@@ -16,7 +16,7 @@
 		// A process that does not end once all is disposed of tells what keeps it.
 		setTimeout(() => {
 			process.stderr.write(`${process.pid} is still there: ${process.getActiveResourcesInfo().join(' ')}\n`);
-		}, tellAfterMs).unref();
+		}, reportAfterMs).unref();
 	});
 	const origin = fleet.callersOrigin(0);
 	const refusal = async (path: string, options: CallOptions) => {
@@ -28,23 +28,23 @@
 		const bad = {
 			status: 400, code: 'badRequest', type: 'application/problem+json; charset=utf-8', outcome: 'refused', notRun: true,
 		};
-		t.match(await refusal(quote, {}), {...bad, place: 'body'}, 'empty');
-		t.match(await refusal(quote, {body: '{"a": '}), {...bad, detail: /body:1:\d+: /v}, 'truncated');
-		t.match(await refusal(quote, {body: '['.repeat(50_000)}), {...bad, detail: /tooDeep/v}, 'deep');
-		t.match(await refusal(quote, {body: '{"a": 1, "a": 2}'}), {...bad, detail: /duplicateKey/v}, 'duplicate key');
-		t.match(await refusal(quote, {body: '{"a": 1 /* one */}'}), {...bad, detail: /badSyntax/v}, 'a comment');
-		t.match(await refusal(quote, {body: `"${'x'.repeat(5 * 1024 * 1024)}"`}), {status: 413, code: 'bodyTooLarge', notRun: true}, 'huge');
-		t.match(await refusal(quote, {body: '{}', headers: {'deadline-ms': 'soon'}}), {...bad, place: 'header Deadline-Ms'});
-		t.match(await refusal(quote, {body: '{}', headers: {'deadline-ms': '-5'}}), {...bad, place: 'header Deadline-Ms'});
-		t.match(await refusal(quote, {body: '{}', headers: {'not-repeatable': 'maybe'}}), {...bad, place: 'header Not-Repeatable'});
-		t.match(await refusal(quote, {body: '{}', headers: {'idempotency-key': 'x'.repeat(500)}}), {...bad, place: 'header idempotency-key'});
-		t.match(await refusal(quote, {body: '{}', headers: {'not-repeatable': 'true'}}), {...bad, place: 'header Idempotency-Key'}, 'no key');
-		t.match(await refusal(quote, {body: '{}', token: 'wrong'}), {status: 401, code: 'unauthorized'});
+		t.match(await refusal(quotePath, {}), {...bad, place: 'body'}, 'empty');
+		t.match(await refusal(quotePath, {body: '{"a": '}), {...bad, detail: /body:1:\d+: /v}, 'truncated');
+		t.match(await refusal(quotePath, {body: '['.repeat(50_000)}), {...bad, detail: /tooDeep/v}, 'deep');
+		t.match(await refusal(quotePath, {body: '{"a": 1, "a": 2}'}), {...bad, detail: /duplicateKey/v}, 'duplicate key');
+		t.match(await refusal(quotePath, {body: '{"a": 1 /* one */}'}), {...bad, detail: /badSyntax/v}, 'a comment');
+		t.match(await refusal(quotePath, {body: `"${'x'.repeat(5 * 1024 * 1024)}"`}), {status: 413, code: 'bodyTooLarge', notRun: true}, 'huge');
+		t.match(await refusal(quotePath, {body: '{}', headers: {'deadline-ms': 'soon'}}), {...bad, place: 'header Deadline-Ms'});
+		t.match(await refusal(quotePath, {body: '{}', headers: {'deadline-ms': '-5'}}), {...bad, place: 'header Deadline-Ms'});
+		t.match(await refusal(quotePath, {body: '{}', headers: {'not-repeatable': 'maybe'}}), {...bad, place: 'header Not-Repeatable'});
+		t.match(await refusal(quotePath, {body: '{}', headers: {'idempotency-key': 'x'.repeat(500)}}), {...bad, place: 'header idempotency-key'});
+		t.match(await refusal(quotePath, {body: '{}', headers: {'not-repeatable': 'true'}}), {...bad, place: 'header Idempotency-Key'}, 'no key');
+		t.match(await refusal(quotePath, {body: '{}', token: 'wrong'}), {status: 401, code: 'unauthorized'});
 		t.match(await refusal('/v1/workspaces/nobody/pipelines/quote/requests', {body: '{}'}), {status: 401, code: 'unauthorized'});
 		t.match(await refusal('pipelines/nothing/requests', {body: '{}'}), {status: 404, code: 'unknownPipeline', notRun: true});
 		t.match(await refusal('services/nothing/x', {body: '{}'}), {status: 404, code: 'unknownService', notRun: true});
 		t.match(await refusal('/v2/nothing', {}), {status: 404, code: 'notFound'});
-		t.match(await refusal(quote, {body: '{}', headers: {'x-long': 'x'.repeat(20_000)}}), {status: 431}, 'headers beyond their limit');
+		t.match(await refusal(quotePath, {body: '{}', headers: {'x-long': 'x'.repeat(20_000)}}), {status: 431}, 'headers beyond their limit');
 		t.match(await refusal('/v1/workspaces/%ZZ/pipelines/quote/requests', {body: '{}'}), {type: 'application/problem+json; charset=utf-8'}, 'foreign bytes in the path');
 	});
 
@@ -104,5 +104,5 @@
 		t.equal(await runCommandLine(['node', 'pumicehatch', 'status', '--entry', 'http://127.0.0.1:1']), 4);
 	});
 
-	t.equal((await call(origin, quote, {body: '{"lot": "teak-17"}'})).body.outcome, 'completed', 'after all this the entry still serves');
+	t.equal((await call(origin, quotePath, {body: '{"lot": "teak-17"}'})).body.outcome, 'completed', 'after all this the entry still serves');
 });
--- a/test/daemon-process.test.ts
+++ b/test/daemon-process.test.ts
@@ -7,9 +7,9 @@
 import {planEdits, readDeclaration, requestOf} from '../src/settings/common/plan.js';
 import {PlatformServer} from '../src/standins/node/platform-server.js';
 import {ServiceServer} from '../src/standins/node/service-server.js';
-import {call, until} from './fleet-harness.js';
+import {call, waitUntil} from './fleet-harness.js';
 
-const program = fileURLToPath(new URL('../src/daemon/node/main.js', import.meta.url));
+const daemonProgram = fileURLToPath(new URL('../src/daemon/node/main.js', import.meta.url));
 const declarationFile = fileURLToPath(new URL('../../examples/kaolack.jsonc', import.meta.url));
 const lineSchema = z.looseObject({
 	message: z.string(), callers: z.number().optional(), operators: z.number().optional(), port: z.number().optional(),
@@ -18,12 +18,12 @@
 process.env.TEST_WIRE_KEY = 'a-key-of-enough-characters';
 process.env.TEST_TOKEN = 'demo-operator';
 
-type Started = {readonly child: ChildProcess; readonly line: z.infer<typeof lineSchema>; readonly exit: Promise<number | string>};
+type StartedDaemon = {readonly child: ChildProcess; readonly line: z.infer<typeof lineSchema>; readonly exit: Promise<number | string>};
 
 /** Starts a daemon as a process of its own, and waits for the log line that says that it is ready. */
-async function start(t: Test, settings: Record<string, unknown>, readyMessage: string): Promise<Started> {
+async function startDaemonProcess(t: Test, settings: Record<string, unknown>, readyMessage: string): Promise<StartedDaemon> {
 	const folder = t.testdir({host: JSON.stringify(settings)});
-	const child = spawn(process.execPath, [program, '--settings', `${folder}/host`], {
+	const child = spawn(process.execPath, [daemonProgram, '--settings', `${folder}/host`], {
 		stdio: ['ignore', 'ignore', 'pipe'],
 	});
 	t.teardown(() => child.kill('SIGKILL'));
@@ -71,7 +71,7 @@
 		},
 	};
 	const startAgent = async () => {
-		const agent = await start(t, agentSettings, 'The agent takes work.');
+		const agent = await startDaemonProcess(t, agentSettings, 'The agent takes work.');
 		platform.hosts = [{
 			hostId: 'stock-host', role: 'agent', address: '127.0.0.1', port: agent.line.port!, hall: 'hall-a', pool: 'stock', state: 'live',
 		}];
@@ -79,7 +79,7 @@
 	};
 
 	let agent = await startAgent();
-	const entry = await start(t, {
+	const entry = await startDaemonProcess(t, {
 		...settingsOf(platform, 'entry-1'),
 		role: 'entry',
 		callers: {address: '127.0.0.1', port: 0},
@@ -96,16 +96,16 @@
 	const reserve = async (name: string, headers: Record<string, string> = {}) =>
 		call(callers, 'services/stock/reservations', {body: name, headers: {'idempotency-key': name, 'not-repeatable': 'true', ...headers}});
 	const ran = (name: string) => service.ran.filter(body => body === name).length;
-	await until(isServing);
+	await waitUntil(isServing);
 
 	await t.test('an agent that is frozen does not run, on waking, what it was sent meanwhile', async t => {
 		agent.child.kill('SIGSTOP');
 		const answer = await reserve('frozen', {'deadline-ms': '600'});
 		t.equal(answer.body.outcome, 'unknown', 'nobody can tell yet');
 		agent.child.kill('SIGCONT');
-		await until(isServing);
+		await waitUntil(isServing);
 		t.equal(ran('frozen'), 0);
-		await until(async () => (await reserve('frozen')).status === 200);
+		await waitUntil(async () => (await reserve('frozen')).status === 200);
 		t.equal(ran('frozen'), 1, 'known as not run by then, it ran when sent again, once');
 	});
 
@@ -114,7 +114,7 @@
 		agent.child.kill('SIGKILL');
 		await agent.exit;
 		agent = await startAgent();
-		await until(isServing);
+		await waitUntil(isServing);
 		const answer = await reading;
 		t.ok(answer.status === 200 || answer.body.outcome === 'refused' || answer.body.outcome === 'failed', 'an answer, or an honest error');
 		t.equal((await reserve('after-kill')).status, 200);
@@ -132,7 +132,7 @@
 			return answer;
 		}));
 		// A request that comes once the entry takes no more is refused: all must have come before it is told to stop.
-		await until(async () => {
+		await waitUntil(async () => {
 			const {body} = await call(operators, '/v1/status', {method: 'GET', token: 'demo-operator'});
 			return Number(body.requestsInFlight) + answered === requestCount;
 		});
@@ -148,7 +148,7 @@
 
 t.test('wrong settings end the daemon with exit code 2 before anything starts', async t => {
 	const folder = t.testdir({host: '{"role": "entry", "zone": "a"}'});
-	const child = spawn(process.execPath, [program, '--settings', `${folder}/host`], {stdio: ['ignore', 'ignore', 'pipe']});
+	const child = spawn(process.execPath, [daemonProgram, '--settings', `${folder}/host`], {stdio: ['ignore', 'ignore', 'pipe']});
 	let text = '';
 	child.stderr.on('data', piece => {
 		text += String(piece);
--- a/test/fleet-changes.test.ts
+++ b/test/fleet-changes.test.ts
@@ -1,10 +1,10 @@
 import t from 'tap';
 import {
-	call, readEvents, startFleet, statusOf, until,
+	call, readEvents, startFleet, readStatus, waitUntil,
 } from './fleet-harness.js';
 
 const quoteBody = JSON.stringify({lot: 'teak-17', customer: 'a builder in Banjul', wish: 'planks of 40 mm, dry, delivered to the yard next week'});
-const quote = 'pipelines/quote/requests';
+const quotePath = 'pipelines/quote/requests';
 const streamed = {body: quoteBody, headers: {accept: 'text/event-stream', 'deadline-ms': '20000'}};
 
 t.test('an upstream that is drained finishes its work and gets none', async t => {
@@ -13,12 +13,12 @@
 		fleet.dispose();
 	});
 	const [leaving] = fleet.poolOf('models');
-	const pending = Promise.all(Array.from({length: 4}, async () => call(fleet.callersOrigin(0), quote, streamed)));
-	await until(() => leaving.engine!.state.batch.size > 0);
+	const pending = Promise.all(Array.from({length: 4}, async () => call(fleet.callersOrigin(0), quotePath, streamed)));
+	await waitUntil(() => leaving.engine!.state.batch.size > 0);
 	const drained = await call(fleet.operatorsOrigin(0), `/v1/upstreams/${leaving.upstreamId}/drain`, {token: 'demo-operator'});
 	t.equal(drained.status, 202);
-	await until(async () => {
-		const states = await Promise.all([0, 1].map(async entry => statusOf(fleet, entry)));
+	await waitUntil(async () => {
+		const states = await Promise.all([0, 1].map(async entry => readStatus(fleet, entry)));
 		return states.every(status => status.upstreams.find(upstream => upstream.upstreamId === leaving.upstreamId)?.state === 'leaving');
 	});
 	for (const answer of await pending) {
@@ -29,7 +29,7 @@
 	const started = leaving.engine!.startedIds.length;
 
 	for (const entry of [0, 1]) {
-		const answer = await call(fleet.callersOrigin(entry), quote, {body: quoteBody});
+		const answer = await call(fleet.callersOrigin(entry), quotePath, {body: quoteBody});
 		t.equal(answer.body.outcome, 'completed');
 	}
 
@@ -44,20 +44,20 @@
 	const [listed, named] = fleet.poolOf('encoders');
 	fleet.platform.hostListLagMs = 300;
 	fleet.platform.hosts = fleet.platform.hosts.map(host => host.hostId === listed.hostId ? {...host, state: 'leaving'} : host);
-	await until(async () => {
-		const states = await Promise.all([0, 1].map(async entry => statusOf(fleet, entry)));
+	await waitUntil(async () => {
+		const states = await Promise.all([0, 1].map(async entry => readStatus(fleet, entry)));
 		return states.every(status => status.upstreams.find(upstream => upstream.upstreamId === listed.upstreamId)?.state === 'leaving');
 	});
 	const before = listed.service!.ran.length;
-	t.equal((await call(fleet.callersOrigin(1), quote, {body: quoteBody})).body.outcome, 'completed');
+	t.equal((await call(fleet.callersOrigin(1), quotePath, {body: quoteBody})).body.outcome, 'completed');
 	t.equal(listed.service!.ran.length, before);
 	const change = {
 		changeId: 'drain-encoder', reason: 'test', edits: [{path: '/pools/encoders', baseRevision: 1, after: {kind: 'worker', slots: 16, leavingUpstreams: [named.upstreamId]}}],
 	};
 	t.equal((await call(fleet.operatorsOrigin(0), '/v1/settings/changes', {body: JSON.stringify(change), token: 'demo-operator'})).status, 200);
 	const ran = named.service!.ran.length;
-	await until(async () => (await statusOf(fleet, 1)).settingsRevision === 2);
-	const refused = await call(fleet.callersOrigin(1), quote, {body: quoteBody});
+	await waitUntil(async () => (await readStatus(fleet, 1)).settingsRevision === 2);
+	const refused = await call(fleet.callersOrigin(1), quotePath, {body: quoteBody});
 	t.match(refused.body, {outcome: 'refused', notRun: true, code: 'noUpstream'});
 	t.equal(named.service!.ran.length, ran);
 });
@@ -68,16 +68,16 @@
 		fleet.dispose();
 	});
 	const [stopping] = fleet.poolOf('models');
-	const pending = Promise.all(Array.from({length: 6}, async () => call(fleet.callersOrigin(0), quote, streamed)));
-	await until(() => stopping.engine!.state.batch.size > 0);
+	const pending = Promise.all(Array.from({length: 6}, async () => call(fleet.callersOrigin(0), quotePath, streamed)));
+	await waitUntil(() => stopping.engine!.state.batch.size > 0);
 	const stops = Promise.all([stopping.daemon.lifecycle.stop(), fleet.entries[0].lifecycle.stop()]);
 	for (const answer of await pending) {
 		t.equal(readEvents(answer.text).last, 'end');
 	}
 
 	await stops;
-	await t.rejects(call(fleet.callersOrigin(0), quote, streamed), 'the entry has stopped');
-	t.equal((await call(fleet.callersOrigin(1), quote, {body: quoteBody})).body.outcome, 'completed');
+	await t.rejects(call(fleet.callersOrigin(0), quotePath, streamed), 'the entry has stopped');
+	t.equal((await call(fleet.callersOrigin(1), quotePath, {body: quoteBody})).body.outcome, 'completed');
 });
 
 t.test('settings reach every host, survive an outage, and come from peers while the store is down', async t => {
@@ -100,16 +100,16 @@
 			path: '/workspaces/mill-nioro', revision: 2, author: 'automation', fields: {deadlineMs: 900},
 		}],
 	});
-	await until(async () => {
-		const status = await statusOf(fleet, 1);
+	await waitUntil(async () => {
+		const status = await readStatus(fleet, 1);
 		return status.settingsRevision === 2 && status.hosts.every(host => host.revision === 2);
 	});
 
 	fleet.platform.table.isDown = true;
 	t.match((await post(0, change('down', 800, 2))).body, {code: 'storeUnavailable'});
 	await fleet.startEntry(2);
-	await until(async () => (await statusOf(fleet, 2)).settingsRevision === 2);
-	await until(async () => (await call(fleet.callersOrigin(2), quote, {body: quoteBody})).body.outcome === 'completed');
+	await waitUntil(async () => (await readStatus(fleet, 2)).settingsRevision === 2);
+	await waitUntil(async () => (await call(fleet.callersOrigin(2), quotePath, {body: quoteBody})).body.outcome === 'completed');
 	t.pass('an entry that starts while the store is down serves with its peers\' settings');
 	fleet.platform.table.isDown = false;
 
@@ -134,7 +134,7 @@
 	t.equal((await call(fleet.operatorsOrigin(1), '/v1/settings/changes', {body: JSON.stringify(change), token: 'demo-operator'})).status, 200);
 	const engines = fleet.poolOf('models').map(upstream => upstream.engine!);
 	fleet.platform.weightMs = 50;
-	await until(() => engines.every(engine => engine.state.models.every(model => model.version === 'v4' && model.adapters.join(',') === 'quotes')));
+	await waitUntil(() => engines.every(engine => engine.state.models.every(model => model.version === 'v4' && model.adapters.join(',') === 'quotes')));
 	for (const engine of engines) {
 		const fences = engine.orders.map(order => order.sequence);
 		t.strictSame(fences, fences.toSorted((a, b) => a - b));
--- a/test/fleet-harness.ts
+++ b/test/fleet-harness.ts
@@ -13,7 +13,7 @@
 export const smallFleet: FleetSpec = {
 	entries: 2,
 	models: [{model: 'sawmill-7b', version: 'v3', adapters: ['quotes', 'tallies']}],
-	pace: {
+	engineSpeed: {
 		slots: 4, stepMs: 4, batchShare: 0.05, prefillSteps: 3,
 	},
 	logLevel: 'error',
@@ -30,7 +30,7 @@
 };
 
 /** An answer as a caller sees it. */
-export type Answer = {readonly status: number; readonly headers: Record<string, unknown>; readonly text: string; readonly body: Record<string, unknown>};
+export type CallResponse = {readonly status: number; readonly headers: Record<string, unknown>; readonly text: string; readonly body: Record<string, unknown>};
 
 export type CallOptions = {readonly headers?: Record<string, string>; readonly body?: string; readonly method?: 'GET' | 'POST'; readonly token?: string};
 
@@ -42,13 +42,13 @@
 @param path - below the workspace `buyers`, or from the root if it starts with a slash.
 @param options - headers, body, method.
 */
-export async function call(origin: string, path: string, options: CallOptions = {}): Promise<Answer> {
-	const response = await request(`${origin}${path.startsWith('/') ? path : `/v1/workspaces/buyers/${path}`}`, {
+export async function call(origin: string, path: string, options: CallOptions = {}): Promise<CallResponse> {
+	const httpResponse = await request(`${origin}${path.startsWith('/') ? path : `/v1/workspaces/buyers/${path}`}`, {
 		method: options.method ?? 'POST',
 		headers: {authorization: `Bearer ${options.token ?? 'demo-buyers'}`, 'content-type': 'application/json', ...options.headers},
 		body: options.body,
 	});
-	const text = await response.body.text();
+	const text = await httpResponse.body.text();
 	let body: Record<string, unknown> = {};
 	try {
 		body = objectSchema.parse(JSON.parse(text));
@@ -57,16 +57,16 @@
 	}
 
 	return {
-		status: response.statusCode, headers: response.headers, text, body,
+		status: httpResponse.statusCode, headers: httpResponse.headers, text, body,
 	};
 }
 
 /**
 Waits until something holds; fails the test by its own time limit if it never does.
-@param isTrue - what should hold.
+@param condition - what should hold.
 */
-export async function until(isTrue: () => boolean | Promise<boolean>): Promise<void> {
-	while (!await isTrue()) {
+export async function waitUntil(condition: () => boolean | Promise<boolean>): Promise<void> {
+	while (!await condition()) {
 		await sleep(10);
 	}
 }
@@ -102,7 +102,7 @@
 @param fleet - the fleet.
 @param entry - number of the entry.
 */
-export async function statusOf(fleet: LocalFleet, entry: number) {
+export async function readStatus(fleet: LocalFleet, entry: number) {
 	const answer = await call(fleet.operatorsOrigin(entry), '/v1/status', {method: 'GET', token: 'demo-operator'});
 	return statusSchema.parse(answer.body);
 }
@@ -115,8 +115,8 @@
 	const fleet = await LocalFleet.create(spec);
 	await applyDeclaration(fleet);
 	for (let entry = 0; entry < spec.entries; entry++) {
-		await until(async () => {
-			const status = await statusOf(fleet, entry);
+		await waitUntil(async () => {
+			const status = await readStatus(fleet, entry);
 			return status.settingsRevision >= 1 && status.upstreams.length === fleet.upstreams.length && status.hosts.every(host => host.revision >= 1);
 		});
 	}
--- a/test/fleet-requests.test.ts
+++ b/test/fleet-requests.test.ts
@@ -1,11 +1,11 @@
 import t from 'tap';
 import type {FleetUpstream} from '../examples/local-fleet.js';
 import {
-	call, readEvents, startFleet, statusOf, until,
+	call, readEvents, startFleet, readStatus, waitUntil,
 } from './fleet-harness.js';
 
 const quoteBody = JSON.stringify({lot: 'teak-17', customer: 'a builder in Banjul', wish: 'planks of 40 mm, dry, delivered to the yard next week'});
-const quote = 'pipelines/quote/requests';
+const quotePath = 'pipelines/quote/requests';
 
 t.test('a fleet under faults', async t => {
 	const fleet = await startFleet();
@@ -18,18 +18,18 @@
 
 	await t.test('the same request gets the same answer, streamed or whole, from any entry', async t => {
 		const headers = {'x-request-id': 'same-1'};
-		const whole = await call(first, quote, {body: quoteBody, headers});
-		const streamed = await call(second, quote, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
+		const whole = await call(first, quotePath, {body: quoteBody, headers});
+		const streamed = await call(second, quotePath, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
 		t.equal(whole.body.outcome, 'completed');
 		t.strictSame(readEvents(streamed.text), {answer: whole.body.answer, last: 'end'});
 	});
 
 	await t.test('a stream that is cut on one engine goes on on another, with nothing lost or doubled', async t => {
 		const headers = {'x-request-id': 'cut-1'};
-		const expected = await call(first, quote, {body: quoteBody, headers});
+		const expected = await call(first, quotePath, {body: quoteBody, headers});
 		engines[0].faults.cutAfterTokens = 7;
 		engines[1].faults.cutAfterTokens = 11;
-		const cut = await call(first, quote, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
+		const cut = await call(first, quotePath, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
 		engines[0].faults.cutAfterTokens = Infinity;
 		engines[1].faults.cutAfterTokens = Infinity;
 		const {answer, last} = readEvents(cut.text);
@@ -37,7 +37,7 @@
 		t.equal(last, 'error', 'three attempts were not enough, and the caller is told');
 		engines[0].faults.cutAfterTokens = 30;
 		engines[1].faults.cutAfterTokens = 30;
-		const resumed = await call(first, quote, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
+		const resumed = await call(first, quotePath, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
 		engines[0].faults.cutAfterTokens = Infinity;
 		engines[1].faults.cutAfterTokens = Infinity;
 		t.strictSame(readEvents(resumed.text), {answer: expected.body.answer, last: 'end'});
@@ -51,7 +51,7 @@
 		t.equal(stock().filter(item => item === body).length, 1);
 		t.equal(answers.filter(answer => answer.status === 200 && !answer.headers['idempotent-replay']).length, 1);
 		t.ok(answers.every(answer => answer.status === 200 || answer.body.code === 'requestInProgress'));
-		await until(async () => {
+		await waitUntil(async () => {
 			const again = await call(second, 'services/stock/reservations', options);
 			return again.status === 200 && again.headers['idempotent-replay'] === 'true';
 		});
@@ -81,7 +81,7 @@
 			upstream.service!.faults.isDroppingAnswers = false;
 		}
 
-		await until(async () => {
+		await waitUntil(async () => {
 			const again = await call(second, 'services/stock/reservations', options);
 			return again.body.code === 'duplicateRequest' && again.body.outcome === 'unknown';
 		});
@@ -109,7 +109,7 @@
 		const refused = await call(first, 'services/stock/reservations', {body, headers: {'idempotency-key': 'down-1', 'not-repeatable': 'true'}});
 		t.match(refused.body, {outcome: 'refused', notRun: true, code: 'storeUnavailable'});
 		t.ok(refused.headers['retry-after']);
-		const served = await call(first, quote, {body: quoteBody});
+		const served = await call(first, quotePath, {body: quoteBody});
 		t.equal(served.body.outcome, 'completed');
 		fleet.platform.table.isDown = false;
 		t.notOk(stock().includes(body));
@@ -125,44 +125,44 @@
 
 	await t.test('an engine that fails is passed by', async t => {
 		engines[0].faults.isFailing = true;
-		const answers = await Promise.all(Array.from({length: 6}, async () => call(first, quote, {body: quoteBody})));
+		const answers = await Promise.all(Array.from({length: 6}, async () => call(first, quotePath, {body: quoteBody})));
 		engines[0].faults.isFailing = false;
 		t.ok(answers.every(answer => answer.body.outcome === 'completed'));
 	});
 
 	await t.test('an agent that dies in the middle of an answer costs nothing but time', async t => {
 		const isWorking = (upstream: FleetUpstream) => upstream.engine!.state.batch.size > 0;
-		const pending = Promise.all(Array.from({length: 4}, async () => call(first, quote, {body: quoteBody, headers: {'deadline-ms': '10000'}})));
-		await until(() => fleet.poolOf('models').some(upstream => isWorking(upstream)));
+		const pending = Promise.all(Array.from({length: 4}, async () => call(first, quotePath, {body: quoteBody, headers: {'deadline-ms': '10000'}})));
+		await waitUntil(() => fleet.poolOf('models').some(upstream => isWorking(upstream)));
 		const victim = fleet.poolOf('models').find(upstream => isWorking(upstream))!;
 		victim.daemon.lifecycle.stopNow();
 		const answers = await pending;
 		t.ok(answers.every(answer => answer.body.outcome === 'completed'));
 		await fleet.restartAgent(victim);
 		t.equal(victim.engine!.state.batch.size, 0, 'what ran without an owner was cancelled before the new agent took work');
-		await until(async () => (await statusOf(fleet, 0)).upstreams.every(upstream => upstream.state === 'live'));
+		await waitUntil(async () => (await readStatus(fleet, 0)).upstreams.every(upstream => upstream.state === 'live'));
 	});
 
 	await t.test('a request that can\'t end in time is refused at once, as not run', async t => {
 		for (let count = 0; count < 10; count++) {
-			await call(first, quote, {body: quoteBody});
+			await call(first, quotePath, {body: quoteBody});
 		}
 
 		const runs = engines.reduce((sum, engine) => sum + engine.startedIds.length, 0);
-		const answer = await call(first, quote, {body: quoteBody, headers: {'deadline-ms': '20'}});
+		const answer = await call(first, quotePath, {body: quoteBody, headers: {'deadline-ms': '20'}});
 		t.match(answer.body, {outcome: 'refused', notRun: true, code: 'deadlineUnreachable'});
 		t.equal(engines.reduce((sum, engine) => sum + engine.startedIds.length, 0), runs);
 	});
 
 	await t.test('a caller that goes away frees the engine', async t => {
 		const controller = new AbortController();
-		const gone = fetch(`${first}/v1/workspaces/buyers/${quote}`, {
+		const gone = fetch(`${first}/v1/workspaces/buyers/${quotePath}`, {
 			method: 'POST', body: quoteBody, signal: controller.signal, headers: {authorization: 'Bearer demo-buyers'},
 		});
-		await until(() => engines.some(engine => engine.state.batch.size > 0));
+		await waitUntil(() => engines.some(engine => engine.state.batch.size > 0));
 		controller.abort();
 		await t.rejects(gone);
-		await until(() => engines.every(engine => engine.state.batch.size === 0));
+		await waitUntil(() => engines.every(engine => engine.state.batch.size === 0));
 		t.pass('cancelled');
 	});
 });
--- a/test/fuzz-main.ts
+++ b/test/fuzz-main.ts
@@ -6,18 +6,18 @@
 import {requestProperty} from './request-fuzz.js';
 import {settingsProperty} from './settings-fuzz.js';
 
-const runsInBatch = 200;
-const mostCommands = 200;
+const runsPerBatch = 200;
+const maxCommands = 200;
 
 type Flags = {readonly minutes?: number; readonly seed?: number; readonly only?: string};
 
 const properties = {
-	request: async (seed: number) => fc.check(requestProperty(mostCommands), {seed, numRuns: runsInBatch}),
-	settings: async (seed: number) => fc.check(settingsProperty(mostCommands), {seed, numRuns: runsInBatch}),
+	request: async (seed: number) => fc.check(requestProperty(maxCommands), {seed, numRuns: runsPerBatch}),
+	settings: async (seed: number) => fc.check(settingsProperty(maxCommands), {seed, numRuns: runsPerBatch}),
 } as const;
 
 async function fuzz(flags: Flags): Promise<void> {
-	const untilMs = Date.now() + ((flags.minutes ?? 1) * 60_000);
+	const endMs = Date.now() + ((flags.minutes ?? 1) * 60_000);
 	const names = Object.keys(properties).filter((name): name is keyof typeof properties => flags.only === undefined || flags.only === name);
 	let seed = flags.seed ?? newSeed();
 	let runs = 0;
@@ -35,9 +35,9 @@
 		}
 
 		seed = (seed + 1) % 0x7F_FF_FF_FF;
-	} while (Date.now() < untilMs);
+	} while (Date.now() < endMs);
 
-	process.stdout.write(`${runs} runs of up to ${mostCommands} commands, last seed ${seed - 1}: no promise was broken\n`);
+	process.stdout.write(`${runs} runs of up to ${maxCommands} commands, last seed ${seed - 1}: no promise was broken\n`);
 }
 
 sade('fuzz', true)
--- a/test/figures-page.test.ts
+++ b/test/metrics-page.test.ts
@@ -3,14 +3,14 @@
 
 const root = new URL('../../', import.meta.url);
 const pages = ['docs/OPERATIONS.md', 'docs/OPERATING.md'];
-const figure = /\.(?:increment|timing)\('(?<name>[^']+)'/gv;
+const metricCall = /\.(?:increment|timing)\('(?<name>[^']+)'/gv;
 
 t.test('each figure that the sources count stands on a page for operators', async t => {
 	const known = pages.map(page => readFileSync(new URL(page, root), 'utf8')).join('');
 	const files = readdirSync(new URL('src/', root), {recursive: true, encoding: 'utf8'}).filter(file => file.endsWith('.ts') && !file.endsWith('.test.ts'));
 	const names = new Set(files.flatMap(file => {
 		const text = readFileSync(new URL(`src/${file}`, root), 'utf8');
-		return [...text.matchAll(figure)].map(({groups}) => groups?.name ?? '');
+		return [...text.matchAll(metricCall)].map(({groups}) => groups?.name ?? '');
 	}));
 	t.ok(names.has('requests.ended'), 'figures are found');
 	t.same([...names].filter(name => !known.includes(`\`${name}\``)), [], 'figures on no page');
--- a/test/request-fuzz.test.ts
+++ b/test/request-fuzz.test.ts
@@ -4,7 +4,7 @@
 import {Attempt} from '../src/request/common/attempt.js';
 import {AttemptList} from '../src/request/common/attempt-list.js';
 import {requestProperty} from './request-fuzz.js';
-import type {Sabotage} from './request-world.js';
+import type {InjectedDefect} from './request-world.js';
 
 const seed = 20_261_202;
 
@@ -13,8 +13,8 @@
 	t.equal(details.failed, false, fc.defaultReportMessage(details) ?? 'no counterexample');
 });
 
-async function isCaught(promise: RegExp, sabotage?: Sabotage): Promise<boolean> {
-	const details = await fc.check(requestProperty(120, sabotage), {seed, numRuns: 1000, endOnFailure: true});
+async function isCaught(promise: RegExp, defect?: InjectedDefect): Promise<boolean> {
+	const details = await fc.check(requestProperty(120, defect), {seed, numRuns: 1000, endOnFailure: true});
 	return details.failed && promise.test(String(details.errorInstance));
 }
 
--- a/test/request-fuzz.ts
+++ b/test/request-fuzz.ts
@@ -1,16 +1,16 @@
 /** Commands of the request fuzzer, and the property they must not break. */
 import fc from 'fast-check';
-import {RequestWorld, settleMicrotasks, type Sabotage} from './request-world.js';
-import {assertNone, commandsOf, worldProperty} from './world-commands.js';
+import {RequestWorld, settleMicrotasks, type InjectedDefect} from './request-world.js';
+import {assertNoBreaches, commandsOf, worldProperty} from './world-commands.js';
 import {callSteps} from './world-upstream.js';
 
 /** Time past its last moment within which every request must be answered. */
-const marginMs = 200;
+const answerMarginMs = 200;
 const index = fc.nat(11);
 
 const command = commandsOf<RequestWorld>(async world => {
 	await settleMicrotasks();
-	assertNone(world.oracle.breaches(marginMs));
+	assertNoBreaches(world.oracle.breaches(answerMarginMs));
 });
 
 const act = {
@@ -24,16 +24,16 @@
 		world.callStep(...args);
 	}),
 	goOn: command('goOn', fc.tuple(fc.nat(3)), (world, rounds) => {
-		world.goOn(rounds);
+		world.progress(rounds);
 	}),
 	advance: command('advance', fc.tuple(fc.constantFrom(10, 10, 30, 30, 100, 300, 1000)), (world, byMs) => {
 		world.advance(byMs);
 	}),
 	disturb: command('disturb', fc.tuple(index, fc.boolean(), fc.boolean()), (world, ...args) => {
-		world.disturb(...args);
+		world.duplicateOrReorder(...args);
 	}),
 	cut: command('cut', fc.tuple(index), (world, link) => {
-		world.cut(link);
+		world.disconnect(link);
 	}),
 	reconnect: command('reconnect', fc.tuple(index), (world, link) => {
 		world.reconnect(link);
@@ -95,9 +95,9 @@
 
 /**
 The property: whatever happens, in any order, no promise is broken, and in the end nothing is left over.
-@param size - most commands in one run.
-@param sabotage - breaks a promise on purpose.
+@param maxCommands - most commands in one run.
+@param defect - breaks a promise on purpose.
 */
-export function requestProperty(size: number, sabotage?: Sabotage) {
-	return worldProperty(commands, size, () => new RequestWorld(sabotage), world => [...world.oracle.breaches(marginMs), ...world.oracle.unended(), ...world.leaks()]);
+export function requestProperty(maxCommands: number, defect?: InjectedDefect) {
+	return worldProperty(commands, maxCommands, () => new RequestWorld(defect), world => [...world.oracle.breaches(answerMarginMs), ...world.oracle.unanswered(), ...world.leaks()]);
 }
--- a/test/request-oracle.ts
+++ b/test/request-oracle.ts
@@ -28,10 +28,10 @@
 	readonly callers = new Map<string, CallerRecord>();
 	readonly leavingBreaches: LeavingBreach[] = [];
 	/** Work that was running when a planned stop ended. */
-	readonly cutByStop: string[] = [];
+	readonly abortedByStop: string[] = [];
 
 	/** Requests whose machine wanted a tick at a time that had passed, right after a tick. */
-	readonly spins: string[] = [];
+	readonly spinningRequestIds: string[] = [];
 
 	/** Broken promises that can be seen at any time. */
 	breaches(marginMs: number): string[] {
@@ -48,14 +48,14 @@
 
 		found.push(
 			...this.leavingBreaches.map(breach => `promise 5: ${breach.dispatchId} was started at ${breach.upstreamId}, which was leaving`),
-			...this.spins.map(requestId => `the machine of ${requestId} spins`),
-			...this.cutByStop.map(dispatchId => `promise 6: a planned stop cut off ${dispatchId}`),
+			...this.spinningRequestIds.map(requestId => `the machine of ${requestId} spins`),
+			...this.abortedByStop.map(dispatchId => `promise 6: a planned stop cut off ${dispatchId}`),
 		);
 		return found;
 	}
 
 	/** Requests that should have ended by now and have not. */
-	unended(): string[] {
+	unanswered(): string[] {
 		return [...this.callers.values()]
 			.filter(caller => caller.results.length === 0 && !caller.isEntryLost && !(caller.isCallerGone && !caller.isRepeatable))
 			.map(caller => `${caller.plan.requestId} got no answer`);
@@ -109,8 +109,8 @@
 }
 
 /** What a stage gives for an input. */
-export function stageOutput(kind: string, input: string, seed: number, maxTokens: number): string {
-	if (kind !== 'generate') {
+export function stageOutput(stageKind: string, input: string, seed: number, maxTokens: number): string {
+	if (stageKind !== 'generate') {
 		return `<${input}>`;
 	}
 
--- a/test/request-world.ts
+++ b/test/request-world.ts
@@ -9,23 +9,23 @@
 import {WorldEntry} from './world-entry.js';
 import {WorldLink} from './world-link.js';
 import {
-	generationSeed, tokens, WorldUpstream, type CallStep,
+	generationSeed, tokensPerAnswer, WorldUpstream, type CallStep,
 } from './world-upstream.js';
 
 const stepMs = 10;
 /** An agent that has slept for longer is cut off. */
-const silenceMs = 4000;
+const maxSilenceMs = 4000;
 /** Rounds of work, and the time of each, in which everything ends that is under way. */
 const settleRounds = 40;
 const settleRoundMs = 200;
 /** Longer than anything is kept. */
-const settleMs = 62_000;
+const finalSettleMs = 62_000;
 
 export const entryCount = 2;
 export const upstreamCount = 3;
 
 /** Ways to break the world, to show that the fuzzer notices. */
-export type Sabotage = 'repeatOnce' | 'ignoreLeaving' | 'stopCuts' | undefined;
+export type InjectedDefect = 'repeatOnce' | 'ignoreLeaving' | 'stopCuts' | undefined;
 
 /** Everything, in one place, moved by commands. Those take any index: it is brought into range. */
 export class RequestWorld {
@@ -37,7 +37,7 @@
 	private readonly links: readonly WorldLink[];
 	private serial = 0;
 
-	constructor(private readonly sabotage?: Sabotage) {
+	constructor(private readonly defect?: InjectedDefect) {
 		const {clock, oracle, table} = this;
 		const random = SeededRandom.create(7);
 		const nextNumber = () => this.nextNumber();
@@ -64,7 +64,7 @@
 		const requestId = `r${this.nextNumber()}`;
 		const key = isRepeatable ? requestId : `k${keyNumber}`;
 		const caller: CallerRecord = {
-			plan: this.planOf(requestId, key, isRepeatable || this.sabotage === 'repeatOnce', deadlineMs),
+			plan: this.planOf(requestId, key, isRepeatable || this.defect === 'repeatOnce', deadlineMs),
 			isRepeatable,
 			key,
 			results: [],
@@ -80,7 +80,7 @@
 
 	/** A caller goes away. */
 	callerGone(index: number): void {
-		const all = this.entries.flatMap(entry => [...entry.live.values()].map(live => ({entry, live})));
+		const all = this.entries.flatMap(entry => [...entry.liveRequests.values()].map(live => ({entry, live})));
 		const chosen = all.at(index % Math.max(1, all.length));
 		chosen?.entry.callerGone(chosen.live);
 	}
@@ -94,7 +94,7 @@
 	}
 
 	/** Everything goes on a little: messages arrive, and each call gives a piece. */
-	goOn(rounds: number): void {
+	progress(rounds: number): void {
 		for (let round = 0; round <= rounds; round++) {
 			for (const index of this.links.keys()) {
 				this.deliver(index, 2);
@@ -102,14 +102,14 @@
 
 			for (const upstream of this.upstreams) {
 				for (const dispatchId of upstream.callIds) {
-					upstream.goOn(dispatchId);
+					upstream.progress(dispatchId);
 				}
 			}
 		}
 	}
 
 	/** A message arrives twice, or before the one ahead of it. */
-	disturb(position: number, isDoubled: boolean, isToUpstream: boolean): void {
+	duplicateOrReorder(position: number, isDoubled: boolean, isToUpstream: boolean): void {
 		const queues = this.links.map(link => isToUpstream ? link.toUpstream : link.toEntry).filter(queue => queue.length > 1);
 		const queue = queues.at(position % Math.max(1, queues.length));
 		if (!queue) {
@@ -135,7 +135,7 @@
 	}
 
 	/** A connection is lost. */
-	cut(linkIndex: number): void {
+	disconnect(linkIndex: number): void {
 		this.linkAt(linkIndex).disconnect(true, this.nowMs);
 	}
 
@@ -165,8 +165,8 @@
 	stopAgent(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		this.leave(upstreamIndex);
-		if (upstream.gate.isIdle || this.sabotage === 'stopCuts') {
-			this.oracle.cutByStop.push(...upstream.callIds);
+		if (upstream.gate.isIdle || this.defect === 'stopCuts') {
+			this.oracle.abortedByStop.push(...upstream.callIds);
 			this.crashAgent(upstreamIndex);
 		}
 	}
@@ -178,8 +178,8 @@
 			return;
 		}
 
-		upstream.sayLeaving();
-		if (this.sabotage !== 'ignoreLeaving') {
+		upstream.announceLeaving();
+		if (this.defect !== 'ignoreLeaving') {
 			upstream.perform(upstream.gate.leave(this.nowMs));
 		}
 
@@ -264,7 +264,7 @@
 			await settleMicrotasks();
 		}
 
-		this.advance(settleMs);
+		this.advance(finalSettleMs);
 		await settleMicrotasks();
 	}
 
@@ -272,7 +272,7 @@
 	leaks(): string[] {
 		const found: string[] = [];
 		for (const entry of this.entries) {
-			for (const requestId of entry.live.keys()) {
+			for (const requestId of entry.liveRequests.keys()) {
 				found.push(`${requestId} is still held by its entry`);
 			}
 
@@ -329,7 +329,7 @@
 			const {entry, upstream} = link;
 			if (link.isUp && !upstream.isPaused) {
 				entry.members.heard(upstream.upstreamId, undefined, this.nowMs);
-			} else if (link.isUp && this.nowMs - upstream.pausedMs > silenceMs) {
+			} else if (link.isUp && this.nowMs - upstream.pausedMs > maxSilenceMs) {
 				link.disconnect(true, this.nowMs);
 			}
 		}
@@ -341,7 +341,7 @@
 
 	private planOf(requestId: string, key: string, isRepeatable: boolean, deadlineMs: number): RequestPlan {
 		const policy: EffectivePolicy = {
-			...policyDefaults, maxTokens: tokens, maxLateMs: 300, timeoutMs: 400, holdMs: 100, retryShare: 1, hedgeShare: 0.5, model: 'm',
+			...policyDefaults, maxTokens: tokensPerAnswer, maxLateMs: 300, timeoutMs: 400, holdMs: 100, retryShare: 1, hedgeShare: 0.5, model: 'm',
 		};
 		const stage = (index: number, kind: StagePlan['kind']): StagePlan => ({
 			name: `s${index}`, index, kind, pool: 'pool', slots: 2, key: `s${index}/${kind}`, budgetKey: `s${index}/${kind}`, policy,
--- a/test/settings-fuzz.test.ts
+++ b/test/settings-fuzz.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import t from 'tap';
-import {settingsProperty, type SettingsSabotage} from './settings-fuzz.js';
+import {settingsProperty, type InjectedSettingsDefect} from './settings-fuzz.js';
 
 const seed = 20_261_202;
 
@@ -9,8 +9,8 @@
 	t.equal(details.failed, false, fc.defaultReportMessage(details) ?? 'no counterexample');
 });
 
-async function isCaught(promise: RegExp, sabotage: SettingsSabotage): Promise<boolean> {
-	const details = await fc.check(settingsProperty(80, sabotage), {seed, numRuns: 300, endOnFailure: true});
+async function isCaught(promise: RegExp, defect: InjectedSettingsDefect): Promise<boolean> {
+	const details = await fc.check(settingsProperty(80, defect), {seed, numRuns: 300, endOnFailure: true});
 	return details.failed && promise.test(String(details.errorInstance));
 }
 
--- a/test/settings-fuzz.ts
+++ b/test/settings-fuzz.ts
@@ -6,15 +6,15 @@
 import {SettingsStore} from '../src/settings/common/settings-store.js';
 import {MemoryObjects} from '../src/standins/common/memory-objects.js';
 import {MemoryTable} from '../src/standins/common/memory-table.js';
-import {assertNone, commandsOf, worldProperty} from './world-commands.js';
+import {assertNoBreaches, commandsOf, worldProperty} from './world-commands.js';
 
 const hostCount = 3;
 const paths = ['/', '/workspaces/a', '/workspaces/b', '/pools/p'] as const;
 
-type Tried = {readonly request: ChangeRequest; isAccepted: boolean; mayHaveTakenEffect: boolean; revision: number};
+type AttemptedChange = {readonly request: ChangeRequest; isAccepted: boolean; mayHaveTakenEffect: boolean; revision: number};
 
 /** Ways to break the store on purpose. */
-export type SettingsSabotage = 'forgetChangeIds' | 'goBack' | undefined;
+export type InjectedSettingsDefect = 'forgetChangeIds' | 'goBack' | undefined;
 
 class SettingsWorld {
 	readonly table = MemoryTable.create();
@@ -23,12 +23,12 @@
 	readonly store = SettingsStore.create(this.table, this.objects);
 	readonly hosts: StoredSettingsService[] = [];
 	/** Highest revision seen in force on each host since it started. */
-	readonly highest: number[] = [];
+	readonly highestRevisions: number[] = [];
 	/** The oracle: every change that was tried, and what the editor was told. */
-	readonly tried: Tried[] = [];
+	readonly attemptedChanges: AttemptedChange[] = [];
 	private serial = 0;
 
-	constructor(private readonly sabotage: SettingsSabotage) {
+	constructor(private readonly defect: InjectedSettingsDefect) {
 		for (let index = 0; index < hostCount; index++) {
 			this.replaceHost(index);
 		}
@@ -37,7 +37,7 @@
 	replaceHost(index: number): void {
 		const host = index % hostCount;
 		this.hosts[host] = StoredSettingsService.create(this.store, this.clock);
-		this.highest[host] = 0;
+		this.highestRevisions[host] = 0;
 	}
 
 	/** Two editors change at the same time, each through a host, from what that host has in force. */
@@ -46,9 +46,9 @@
 	}
 
 	/** An editor that got no clear answer asks again, perhaps through another host. */
-	async retry(hostIndex: number, triedIndex: number): Promise<void> {
-		const unclear = this.tried.filter(item => !item.isAccepted);
-		const item = unclear.at(triedIndex % Math.max(1, unclear.length));
+	async retry(hostIndex: number, changeIndex: number): Promise<void> {
+		const notAccepted = this.attemptedChanges.filter(item => !item.isAccepted);
+		const item = notAccepted.at(changeIndex % Math.max(1, notAccepted.length));
 		if (item) {
 			await this.send(hostIndex, item);
 		}
@@ -56,8 +56,8 @@
 
 	async refresh(hostIndex: number): Promise<void> {
 		await this.hosts[hostIndex % hostCount].refresh();
-		if (this.sabotage === 'goBack' && this.serial > 2) {
-			this.replaceTree(hostIndex % hostCount);
+		if (this.defect === 'goBack' && this.serial > 2) {
+			this.rollBackTree(hostIndex % hostCount);
 		}
 	}
 
@@ -83,11 +83,11 @@
 	async breaches(isSettled: boolean): Promise<string[]> {
 		const found: string[] = [];
 		for (const [index, host] of this.hosts.entries()) {
-			if (host.tree.revision < this.highest[index]) {
-				found.push(`host ${index} went back from revision ${this.highest[index]} to ${host.tree.revision}`);
+			if (host.tree.revision < this.highestRevisions[index]) {
+				found.push(`host ${index} went back from revision ${this.highestRevisions[index]} to ${host.tree.revision}`);
 			}
 
-			this.highest[index] = Math.max(this.highest[index], host.tree.revision);
+			this.highestRevisions[index] = Math.max(this.highestRevisions[index], host.tree.revision);
 		}
 
 		if (isSettled) {
@@ -106,7 +106,7 @@
 			counts.set(change.changeId, (counts.get(change.changeId) ?? 0) + 1);
 		}
 
-		for (const {request, isAccepted, mayHaveTakenEffect} of this.tried) {
+		for (const {request, isAccepted, mayHaveTakenEffect} of this.attemptedChanges) {
 			const count = counts.get(request.changeId) ?? 0;
 			if (count > 1) {
 				found.push(`change ${request.changeId} took effect ${count} times`);
@@ -133,11 +133,11 @@
 			}
 		}
 
-		const wanted = JSON.stringify(Array.from(expected, ([path, text]) => `${path} ${text}`).toSorted(byText));
+		const expectedText = JSON.stringify(Array.from(expected, ([path, text]) => `${path} ${text}`).toSorted(compareTexts));
 		for (const [index, host] of this.hosts.entries()) {
-			const has = JSON.stringify(host.tree.snapshot().nodes.map(node => `${node.path} ${JSON.stringify(node.fields)}`).toSorted(byText));
-			if (has !== wanted) {
-				found.push(`host ${index} has ${has}, the accepted changes give ${wanted}`);
+			const has = JSON.stringify(host.tree.snapshot().nodes.map(node => `${node.path} ${JSON.stringify(node.fields)}`).toSorted(compareTexts));
+			if (has !== expectedText) {
+				found.push(`host ${index} has ${has}, the accepted changes give ${expectedText}`);
 			}
 		}
 
@@ -149,18 +149,18 @@
 		const path = paths[pathIndex % paths.length];
 		this.serial++;
 		const after = path === '/pools/p' ? {kind: 'worker', slots: this.serial} : {deadlineMs: this.serial};
-		const item: Tried = {
+		const item: AttemptedChange = {
 			request: {changeId: `c${this.serial}`, reason: 'fuzz', edits: [{path, baseRevision: host.tree.get(path)?.revision ?? 0, after}]},
 			isAccepted: false,
 			mayHaveTakenEffect: false,
 			revision: 0,
 		};
-		this.tried.push(item);
+		this.attemptedChanges.push(item);
 		await this.send(hostIndex, item);
 	}
 
-	private async send(hostIndex: number, item: Tried): Promise<void> {
-		if (this.sabotage === 'forgetChangeIds') {
+	private async send(hostIndex: number, item: AttemptedChange): Promise<void> {
+		if (this.defect === 'forgetChangeIds') {
 			await this.forgetChangeId(item.request);
 		}
 
@@ -183,7 +183,7 @@
 		}
 	}
 
-	private replaceTree(host: number): void {
+	private rollBackTree(host: number): void {
 		const snapshot = this.hosts[host].tree.snapshot();
 		if (snapshot.revision > 1) {
 			const older = StoredSettingsService.create(this.store, this.clock);
@@ -193,14 +193,14 @@
 	}
 }
 
-function byText(left: string, right: string): number {
+function compareTexts(left: string, right: string): number {
 	return left < right ? -1 : 1;
 }
 
 const index = fc.nat(11);
 
 const command = commandsOf<SettingsWorld>(async world => {
-	assertNone(await world.breaches(false));
+	assertNoBreaches(await world.breaches(false));
 });
 
 const commands = [
@@ -234,9 +234,9 @@
 
 /**
 The property: no accepted change is lost or doubled, no refused one takes effect, no host goes back.
-@param size - most commands in one run.
-@param sabotage - breaks a promise on purpose.
+@param maxCommands - most commands in one run.
+@param defect - breaks a promise on purpose.
 */
-export function settingsProperty(size: number, sabotage?: SettingsSabotage) {
-	return worldProperty(commands, size, () => new SettingsWorld(sabotage), async world => world.breaches(true));
+export function settingsProperty(maxCommands: number, defect?: InjectedSettingsDefect) {
+	return worldProperty(commands, maxCommands, () => new SettingsWorld(defect), async world => world.breaches(true));
 }
--- a/test/idle-router.ts
+++ b/test/stub-router.ts
@@ -6,9 +6,9 @@
 /**
 Makes one.
 @param upstreams - that are chosen, the first one that is not excluded.
-@param changes - what the test decides itself.
+@param overrides - what the test decides itself.
 */
-export function idleRouter(upstreams: readonly string[], changes: Partial<RequestRouter> = {}): RequestRouter {
+export function stubRouter(upstreams: readonly string[], overrides: Partial<RequestRouter> = {}): RequestRouter {
 	let serial = 0;
 	return {
 		choose(_stage, excluded) {
@@ -34,6 +34,6 @@
 		didBegin: () => undefined,
 		didComplete: () => undefined,
 		newDispatchId: () => `d${serial++}`,
-		...changes,
+		...overrides,
 	};
 }
--- a/test/world-commands.ts
+++ b/test/world-commands.ts
@@ -28,7 +28,7 @@
 Fails the run where a promise is broken.
 @param breaches - what the oracle found.
 */
-export function assertNone(breaches: readonly string[]): void {
+export function assertNoBreaches(breaches: readonly string[]): void {
 	if (breaches.length > 0) {
 		throw new Error(breaches.join('\n'));
 	}
@@ -48,7 +48,7 @@
 }
 
 /** A world that commands move. */
-type MovedWorld = {
+type SettleableWorld = {
 	/** Lets everything come to its end. */
 	settle(): Promise<void>;
 };
@@ -56,20 +56,20 @@
 /**
 Makes a property: in a new world some commands happen, it comes to its end, and then no promise is broken.
 @param commands - what may happen.
-@param size - most commands in one run.
+@param maxCommands - most commands in one run.
 @param makeWorld - makes a world.
 @param breaches - tells what is broken in a world that has come to its end.
 */
-export function worldProperty<World extends MovedWorld>(
+export function worldProperty<World extends SettleableWorld>(
 	commands: ReadonlyArray<fc.Arbitrary<fc.AsyncCommand<Model, World>>>,
-	size: number,
+	maxCommands: number,
 	makeWorld: () => World,
 	breaches: (world: World) => Promise<readonly string[]> | readonly string[],
 ) {
-	return fc.asyncProperty(fc.commands([...commands], {maxCommands: size, size: 'max'}), async run => {
+	return fc.asyncProperty(fc.commands([...commands], {maxCommands: maxCommands, size: 'max'}), async run => {
 		const world = makeWorld();
 		await fc.asyncModelRun(() => ({model: {}, real: world}), run);
 		await world.settle();
-		assertNone(await breaches(world));
+		assertNoBreaches(await breaches(world));
 	});
 }
--- a/test/world-entry.ts
+++ b/test/world-entry.ts
@@ -18,7 +18,7 @@
 const claimMs = 10_000;
 const claimSpacingMs = 10;
 /** How soon the entry hears that it could not send. */
-const notSentMs = 1;
+const sendFailureDelayMs = 1;
 
 /** A request that the entry has. */
 export type LiveRequest = {readonly machine: RequestMachine; readonly caller: CallerRecord; granted: GrantedClaim | undefined};
@@ -39,7 +39,7 @@
 	members!: MemberTable;
 	router!: FleetRouter;
 	/** By request id. */
-	readonly live = new Map<string, LiveRequest>();
+	readonly liveRequests = new Map<string, LiveRequest>();
 	private incarnation!: string;
 	private claims!: ClaimStore;
 
@@ -63,18 +63,18 @@
 
 	/** The process dies; its callers get nothing more. */
 	crash(): void {
-		for (const {caller} of this.live.values()) {
+		for (const {caller} of this.liveRequests.values()) {
 			caller.isEntryLost = true;
 		}
 
-		this.live.clear();
+		this.liveRequests.clear();
 	}
 
 	/** A caller's request comes. */
 	accept(caller: CallerRecord): void {
 		const {plan} = caller;
 		const live: LiveRequest = {machine: RequestMachine.create(plan, this.router), caller, granted: undefined};
-		this.live.set(plan.requestId, live);
+		this.liveRequests.set(plan.requestId, live);
 		this.feed(live, {type: 'start'});
 	}
 
@@ -104,7 +104,7 @@
 		if (message.type === 'report') {
 			this.members.heard(upstreamId, message.state, this.nowMs);
 		} else if (message.type === 'refused' || message.type === 'started' || message.type === 'chunk' || message.type === 'end') {
-			const live = [...this.live.values()].find(({machine}) => machine.dispatchIds.includes(message.dispatchId));
+			const live = [...this.liveRequests.values()].find(({machine}) => machine.dispatchIds.includes(message.dispatchId));
 			if (live) {
 				this.feed(live, message);
 			}
@@ -113,18 +113,18 @@
 
 	/** Tells all requests. */
 	broadcast(event: RequestEvent): void {
-		for (const live of [...this.live.values()]) {
+		for (const live of [...this.liveRequests.values()]) {
 			this.feed(live, event);
 		}
 	}
 
 	/** Wakes the requests whose time has come. */
 	tick(): void {
-		for (const live of [...this.live.values()]) {
+		for (const live of [...this.liveRequests.values()]) {
 			if (live.machine.wakeAtMs <= this.nowMs) {
 				this.feed(live, {type: 'tick'});
 				if (!live.machine.isClosed && live.machine.wakeAtMs <= this.nowMs) {
-					this.options.oracle.spins.push(live.caller.plan.requestId);
+					this.options.oracle.spinningRequestIds.push(live.caller.plan.requestId);
 				}
 			}
 		}
@@ -136,11 +136,11 @@
 
 	private feed(live: LiveRequest, event: RequestEvent): void {
 		for (const action of live.machine.handle(event, this.nowMs)) {
-			this.act(live, action);
+			this.perform(live, action);
 		}
 	}
 
-	private act(live: LiveRequest, action: RequestAction): void {
+	private perform(live: LiveRequest, action: RequestAction): void {
 		switch (action.type) {
 			case 'claim': {
 				void this.claim(live);
@@ -157,7 +157,7 @@
 					link.send(action.message);
 				} else {
 					const {dispatchId} = action.message;
-					this.options.clock.setTimer(notSentMs, () => {
+					this.options.clock.setTimer(sendFailureDelayMs, () => {
 						this.feed(live, {type: 'notSent', dispatchId});
 					});
 				}
@@ -192,7 +192,7 @@
 			}
 
 			case 'close': {
-				this.live.delete(live.caller.plan.requestId);
+				this.liveRequests.delete(live.caller.plan.requestId);
 				break;
 			}
 		}
@@ -210,7 +210,7 @@
 		const claimed = await claims.claim(claimKey('w', key), {
 			writer: incarnation, requestId: plan.requestId, fingerprint: 1, state: 'claimed', claimedAtMs: clock.wallMs(), endsByMs: clock.wallMs() + claimMs,
 		});
-		if (!this.live.has(plan.requestId)) {
+		if (!this.liveRequests.has(plan.requestId)) {
 			if (claimed.ok && !live.caller.isEntryLost) {
 				void this.claims.settle(claimed.value, 'refused');
 			}
--- a/test/world-link.ts
+++ b/test/world-link.ts
@@ -28,9 +28,9 @@
 
 	/**
 	Breaks the connection.
-	@param isAgentTold - false for an agent that is dead.
+	@param isAgentNotified - false for an agent that is dead.
 	*/
-	disconnect(isAgentTold: boolean, nowMs: number): void {
+	disconnect(isAgentNotified: boolean, nowMs: number): void {
 		if (!this.isUp) {
 			return;
 		}
@@ -40,7 +40,7 @@
 		this.toUpstream = [];
 		this.toEntry = [];
 		entry.members.disconnected(upstream.upstreamId, upstream.incarnation);
-		if (isAgentTold) {
+		if (isAgentNotified) {
 			upstream.perform(upstream.gate.connectionLost(this.connectionId, nowMs));
 		}
 
--- a/test/world-upstream.ts
+++ b/test/world-upstream.ts
@@ -7,7 +7,7 @@
 import {stageOutput, type RequestOracle} from './request-oracle.js';
 
 /** Tokens of each answer of an upstream that generates. */
-export const tokens = 4;
+export const tokensPerAnswer = 4;
 /** What the answers of all upstreams are generated with. */
 export const generationSeed = 5;
 
@@ -34,7 +34,7 @@
 	gate = makeGate();
 	isPaused = false;
 	pausedMs = 0;
-	private hasSaidLeaving = false;
+	private hasAnnouncedLeaving = false;
 	/** By dispatch id. */
 	private readonly calls = new Map<string, Call>();
 
@@ -49,10 +49,10 @@
 	}
 
 	/** Goes on with a call as it usually does: a piece, or the end once nothing is left. */
-	goOn(dispatchId: string): void {
+	progress(dispatchId: string): void {
 		const call = this.calls.get(dispatchId);
 		if (call) {
-			this.step(dispatchId, call.produced >= tokens || call.dispatch.call.kind === 'run' ? 'complete' : 'piece');
+			this.step(dispatchId, call.produced >= tokensPerAnswer || call.dispatch.call.kind === 'run' ? 'complete' : 'piece');
 		}
 	}
 
@@ -91,8 +91,8 @@
 	}
 
 	/** Says that it leaves. */
-	sayLeaving(): void {
-		this.hasSaidLeaving = true;
+	announceLeaving(): void {
+		this.hasAnnouncedLeaving = true;
 	}
 
 	/** A new agent takes the place of one that died; what ran on the upstream is cancelled first. */
@@ -101,7 +101,7 @@
 		this.incarnation = this.options.newIncarnation();
 		this.gate = makeGate();
 		this.isPaused = false;
-		this.hasSaidLeaving = false;
+		this.hasAnnouncedLeaving = false;
 	}
 
 	/** Takes a message from an entry. */
@@ -172,7 +172,7 @@
 		oracle.runs.push({
 			requestId, stage, dispatchId, upstreamId,
 		});
-		if (this.hasSaidLeaving) {
+		if (this.hasAnnouncedLeaving) {
 			oracle.leavingBreaches.push({upstreamId, dispatchId});
 		}
 	}
@@ -187,12 +187,12 @@
 	private produce(call: Call): boolean {
 		const {dispatchId, call: work} = call.dispatch;
 		const isGenerating = work.kind === 'generate';
-		if (call.produced >= (isGenerating ? tokens : 1)) {
+		if (call.produced >= (isGenerating ? tokensPerAnswer : 1)) {
 			return false;
 		}
 
 		const input = new TextDecoder().decode(work.kind === 'generate' ? work.prompt : (work.kind === 'run' ? work.input : work.body));
-		const text = isGenerating ? tokenAt({prompt: input, seed: generationSeed}, call.produced) : stageOutput('run', input, generationSeed, tokens);
+		const text = isGenerating ? tokenAt({prompt: input, seed: generationSeed}, call.produced) : stageOutput('run', input, generationSeed, tokensPerAnswer);
 		call.produced++;
 		this.perform(this.gate.callPiece(dispatchId, 1, new TextEncoder().encode(text), this.nowMs));
 		return true;
--- a/tools/settings-page.ts
+++ b/tools/settings-page.ts
@@ -40,9 +40,9 @@
 		return `list of ${typeOf(schema.items ?? {})}`;
 	}
 
-	const least = schema.minimum ?? schema.exclusiveMinimum;
-	const isBounded = least !== undefined && schema.maximum !== undefined && schema.maximum < Number.MAX_SAFE_INTEGER;
-	return `${schema.type ?? 'value'}${isBounded ? `, ${least} to ${schema.maximum}` : ''}`;
+	const minimum = schema.minimum ?? schema.exclusiveMinimum;
+	const isBounded = minimum !== undefined && schema.maximum !== undefined && schema.maximum < Number.MAX_SAFE_INTEGER;
+	return `${schema.type ?? 'value'}${isBounded ? `, ${minimum} to ${schema.maximum}` : ''}`;
 }
 
 function unitOf(name: string): string {
@@ -64,16 +64,16 @@
 	});
 }
 
-const head = '| field | type | unit | default | effect |\n| --- | --- | --- | --- | --- |';
+const tableHead = '| field | type | unit | default | effect |\n| --- | --- | --- | --- | --- |';
 
 function policyTable(): string {
 	const schema = schemaOf(z.strictObject(policyFields));
 	const rows = Object.entries(schema.properties ?? {}).map(([name, field]) =>
 		`| \`${name}\` | ${typeOf(field)} | ${unitOf(name)} | ${textOf(defaults[name])} | ${field.description ?? ''} |`);
-	return [head, ...rows].join('\n');
+	return [tableHead, ...rows].join('\n');
 }
 
-const nodePlaces: Readonly<Record<string, string>> = {
+const nodePaths: Readonly<Record<string, string>> = {
 	fleet: '`/`',
 	pool: '`/pools/NAME`',
 	operator: '`/operators/NAME`',
@@ -89,15 +89,15 @@
 		const own = Object.fromEntries(Object.entries(schema.properties ?? {}).filter(([name]) => !Object.hasOwn(policyFields, name)));
 		const rows = rowsOf({...schema, properties: own}, '');
 		const inherits = Object.hasOwn(schema.properties ?? {}, 'deadlineMs') ? 'Takes every policy field above' : 'Takes no policy fields';
-		const table = rows.length > 0 ? `, and:\n\n${[head, ...rows].join('\n')}` : '.';
-		return `### ${kind}\n\nAt ${nodePlaces[kind]}. ${inherits}${table}`;
+		const table = rows.length > 0 ? `, and:\n\n${[tableHead, ...rows].join('\n')}` : '.';
+		return `### ${kind}\n\nAt ${nodePaths[kind]}. ${inherits}${table}`;
 	}).join('\n\n');
 }
 
 function hostTables(): string {
 	return (schemaOf(hostSettingsSchema).oneOf ?? []).map(schema => {
 		const role = schema.properties?.role.const ?? '';
-		return `### role ${role}\n\n${[head, ...rowsOf(schema, '')].join('\n')}`;
+		return `### role ${role}\n\n${[tableHead, ...rowsOf(schema, '')].join('\n')}`;
 	}).join('\n\n');
 }
 
--- a/tools/test-verdict.test.ts
+++ b/tools/test-verdict.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
-import {readKnownRed, TestVerdict} from './test-verdict.js';
+import {readKnownFailures, TestVerdict} from './test-verdict.js';
 
-const known = readKnownRed('a list that is out of date | it is never read again | 7\n');
+const known = readKnownFailures('a list that is out of date | it is never read again | 7\n');
 
 function verdictOf(lines: readonly string[]): TestVerdict {
 	const verdict = TestVerdict.create(known);
@@ -39,7 +39,7 @@
 });
 
 t.test('the list is short, and each line is whole', async t => {
-	t.same(readKnownRed(''), []);
-	t.throws(() => readKnownRed('a test | its cause'));
-	t.throws(() => readKnownRed('a | b | c\n'.repeat(4)));
+	t.same(readKnownFailures(''), []);
+	t.throws(() => readKnownFailures('a test | its cause'));
+	t.throws(() => readKnownFailures('a | b | c\n'.repeat(4)));
 });
--- a/tools/test-verdict.ts
+++ b/tools/test-verdict.ts
@@ -4,10 +4,10 @@
 */
 
 /** Most tests that may be listed at a time; what more fails must be mended before it lands. */
-export const mostKnownRed = 3;
+export const maxKnownFailures = 3;
 
 /** A test that is known to fail. */
-export type KnownRed = {readonly test: string; readonly cause: string; readonly issue: string};
+export type KnownFailure = {readonly test: string; readonly cause: string; readonly issue: string};
 
 const testLine = /^ {4}(?<not>not )?ok \d+ - (?<name>.*?)(?: # .*)?(?: \{)?$/v;
 /** How many tests a file had; it comes after them, and not at all where the file's process was ended from outside. */
@@ -20,10 +20,10 @@
 @returns the tests.
 @throws Error for a line that lacks a part, and for too many lines.
 */
-export function readKnownRed(text: string): KnownRed[] {
+export function readKnownFailures(text: string): KnownFailure[] {
 	const lines = text.split('\n').filter(line => line.trim() !== '');
-	if (lines.length > mostKnownRed) {
-		throw new Error(`${lines.length} tests are listed as known to fail; ${mostKnownRed} may be.`);
+	if (lines.length > maxKnownFailures) {
+		throw new Error(`${lines.length} tests are listed as known to fail; ${maxKnownFailures} may be.`);
 	}
 
 	return lines.map(line => {
@@ -42,15 +42,15 @@
 	Makes a verdict over nothing so far.
 	@param known - tests that may fail.
 	*/
-	static create(known: readonly KnownRed[]): TestVerdict {
+	static create(known: readonly KnownFailure[]): TestVerdict {
 		return new TestVerdict(known);
 	}
 
 	passedCount = 0;
 	failedCount = 0;
 	/** Listed tests that failed, and listed tests that passed. */
-	readonly red: KnownRed[] = [];
-	readonly green: KnownRed[] = [];
+	readonly listedFailed: KnownFailure[] = [];
+	readonly listedPassed: KnownFailure[] = [];
 	/** Files that failed without a failing test that tells why, as when their process ended early. */
 	private unexplainedCount = 0;
 	/** Tests of the file being read: all, those that failed, and how many there should be. */
@@ -58,7 +58,7 @@
 	private failedInFile = 0;
 	private plannedInFile: number | undefined;
 
-	private constructor(private readonly known: readonly KnownRed[]) {}
+	private constructor(private readonly known: readonly KnownFailure[]) {}
 
 	/** Whether only listed tests failed, and something passed. */
 	get hasPassed(): boolean {
@@ -80,21 +80,21 @@
 	}
 
 	/** A file that failed is explained by its tests only if all of them were run. */
-	private endFile(isGood: boolean): void {
+	private endFile(isPassed: boolean): void {
 		const isExplained = this.failedInFile > 0 && this.countInFile === this.plannedInFile;
-		this.unexplainedCount += isGood || isExplained ? 0 : 1;
+		this.unexplainedCount += isPassed || isExplained ? 0 : 1;
 		this.countInFile = 0;
 		this.failedInFile = 0;
 		this.plannedInFile = undefined;
 	}
 
-	private count(name: string, isGood: boolean): void {
+	private count(name: string, isPassed: boolean): void {
 		this.countInFile++;
-		this.failedInFile += isGood ? 0 : 1;
+		this.failedInFile += isPassed ? 0 : 1;
 		const listed = this.known.find(({test}) => test === name);
 		if (listed) {
-			(isGood ? this.green : this.red).push(listed);
-		} else if (isGood) {
+			(isPassed ? this.listedPassed : this.listedFailed).push(listed);
+		} else if (isPassed) {
 			this.passedCount++;
 		} else {
 			this.failedCount++;
