--- a/test/fuzz-main.ts
+++ b/test/fuzz-main.ts
@@ -1,4 +1,4 @@
-/** `npm run fuzz -- --minutes N --seed S`: fuzzes with fresh seeds, and prints a line that replays a failure. */
+/** `npm run fuzz -- --minutes N --seed S`: runs the fuzzers with new seeds, and prints the command that replays a failure. */
 import process from 'node:process';
 import fc from 'fast-check';
 import sade from 'sade';
--- a/test/mesh-standin.ts
+++ b/test/mesh-standin.ts
@@ -1,13 +1,13 @@
-/** A stand-in of the connections to peers: keeps what is sent, and lets a test say what comes. */
+/** Fake of the mesh of connections to peers: records sent messages, and lets a test inject received ones. */
 import {Emitter} from '../src/base/common/emitter.js';
 import type {PeerMessage} from '../src/peers/node/peer-mesh.js';
 import {encodeFrame, FrameDecoder} from '../src/wire/common/frame-codec.js';
 import type {Message} from '../src/wire/common/messages.js';
 
-/** A message that was sent, to a host or to `all`. */
+/** A message that was sent, with its target: the id of a host, or `all` for a broadcast. */
 export type SentMessage = {readonly to: string; readonly message: Message};
 
-/** Stands in for a mesh. */
+/** Fake mesh: sends always succeed, and events are fired by the test. */
 export class MeshStandin {
 	static create(): MeshStandin {
 		return new MeshStandin();
@@ -34,16 +34,19 @@
 		this.sent.push({to: 'all', message});
 	}
 
-	/** A host connects. */
+	/**
+	Fires the event of a peer that has connected.
+	@param hostId - the peer.
+	*/
 	connect(hostId: string): void {
 		this.connected.fire(hostId);
 	}
 
 	/**
-	A peer's message comes, as it is after its way over a connection.
+	Fires the event of a message received from a peer, after encoding and decoding it as a real connection does.
 	@param hostId - the peer.
-	@param message - as it was sent.
-	@throws Error if it can't be read.
+	@param message - the message as the peer sent it.
+	@throws Error if the encoded frame can't be decoded.
 	*/
 	receive(hostId: string, message: Message): void {
 		const decoded = FrameDecoder.create().push(encodeFrame(message));
--- a/test/request-fuzz.test.ts
+++ b/test/request-fuzz.test.ts
@@ -8,7 +8,7 @@
 
 const seed = 20_261_202;
 
-t.test('no mix of faults breaks a promise', async t => {
+t.test('no combination of faults breaks a promise', async t => {
 	const details = await fc.check(requestProperty(120), {seed, numRuns: 150});
 	t.equal(details.failed, false, fc.defaultReportMessage(details) ?? 'no counterexample');
 });
@@ -18,7 +18,7 @@
 	return details.failed && promise.test(String(details.errorInstance));
 }
 
-t.test('the fuzzer notices a chunk taken twice or out of order', async t => {
+t.test('the fuzzer detects a chunk that is accepted twice or out of order', async t => {
 	const {take} = Attempt.prototype;
 	t.intercept(Attempt.prototype, 'take', {
 		value(this: Attempt, chunk: ChunkMessage) {
@@ -28,24 +28,24 @@
 	t.ok(await isCaught(/promise 1/v));
 });
 
-t.test('the fuzzer notices a cut answer that looks whole', async t => {
+t.test('the fuzzer detects a truncated answer that is taken for complete', async t => {
 	t.intercept(Attempt.prototype, 'isWhole', {value: () => true});
 	t.ok(await isCaught(/promise [12]/v));
 });
 
-t.test('the fuzzer notices work that ran and was refused as not run', async t => {
+t.test('the fuzzer detects work that was executed and then refused as not run', async t => {
 	t.intercept(AttemptList.prototype, 'mayHaveRun', {get: () => false});
 	t.ok(await isCaught(/promise 3/v));
 });
 
-t.test('the fuzzer notices work that ran twice and may not be repeated', async t => {
+t.test('the fuzzer detects a request that must not be repeated and was executed twice', async t => {
 	t.ok(await isCaught(/promise 4/v, 'repeatOnce'));
 });
 
-t.test('the fuzzer notices work started at an upstream that leaves', async t => {
+t.test('the fuzzer detects work started at an upstream that has announced that it is leaving', async t => {
 	t.ok(await isCaught(/promise 5/v, 'ignoreLeaving'));
 });
 
-t.test('the fuzzer notices a planned stop that cuts off work', async t => {
+t.test('the fuzzer detects a planned stop that aborts work', async t => {
 	t.ok(await isCaught(/promise 6/v, 'stopCuts'));
 });
--- a/test/request-fuzz.ts
+++ b/test/request-fuzz.ts
@@ -1,10 +1,10 @@
-/** Commands of the request fuzzer, and the property they must not break. */
+/** Commands of the request fuzzer, and the property that must hold after any sequence of them. */
 import fc from 'fast-check';
 import {RequestWorld, settleMicrotasks, type InjectedDefect} from './request-world.js';
 import {assertNoBreaches, commandsOf, worldProperty} from './world-commands.js';
 import {callSteps} from './world-upstream.js';
 
-/** Time past its last moment within which every request must be answered. */
+/** Time after its hard deadline within which every request must be answered. */
 const answerMarginMs = 200;
 const index = fc.nat(11);
 
@@ -74,7 +74,7 @@
 	}),
 } as const;
 
-/** What makes work go on stands several times, so that faults meet work in every state. */
+/** Commands that let work progress are listed several times, so that faults occur in every state of the work. */
 const commands = [
 	...Object.values(act),
 	act.request,
@@ -94,9 +94,9 @@
 ];
 
 /**
-The property: whatever happens, in any order, no promise is broken, and in the end nothing is left over.
-@param maxCommands - most commands in one run.
-@param defect - breaks a promise on purpose.
+The property: after any sequence of commands, no promise is broken, every request has a result, and no state is left over.
+@param maxCommands - upper bound on the commands in one run.
+@param defect - defect to inject, which breaks a promise on purpose.
 */
 export function requestProperty(maxCommands: number, defect?: InjectedDefect) {
 	return worldProperty(commands, maxCommands, () => new RequestWorld(defect), world => [...world.oracle.breaches(answerMarginMs), ...world.oracle.unanswered(), ...world.leaks()]);
--- a/test/request-oracle.ts
+++ b/test/request-oracle.ts
@@ -1,14 +1,14 @@
-/** The oracle of the request fuzzer: a list of what ran, and of what each caller got. */
+/** Oracle of the request fuzzer: records which calls ran and what each caller received, and reports broken promises. */
 import {tokenAt} from '../src/standins/common/engine-state.js';
 import type {RequestPlan, RequestResult} from '../src/request/common/request-plan.js';
 
-/** One call that an upstream worked on. */
+/** One call that an upstream executed. */
 export type RunRecord = {readonly requestId: string; readonly stage: number; readonly dispatchId: string; readonly upstreamId: string};
 
-/** One request as its caller sees it. */
+/** One request as seen by its caller. */
 export type CallerRecord = {
 	readonly plan: RequestPlan;
-	/** Whether the caller marked it as repeatable; the machine may be told otherwise by a sabotage. */
+	/** Whether the caller marked the request as repeatable; with an injected defect, the plan may claim otherwise. */
 	readonly isRepeatable: boolean;
 	readonly key: string;
 	readonly results: RequestResult[];
@@ -19,21 +19,24 @@
 	isCallerGone: boolean;
 };
 
-/** Work handed to an upstream whose agent had already said that it leaves. */
+/** A call started at an upstream whose agent had already announced that it is leaving. */
 export type LeavingBreach = {readonly upstreamId: string; readonly dispatchId: string};
 
-/** Remembers, and tells what breaks a promise. */
+/** Records calls and results, and derives from them which promises to callers were broken. */
 export class RequestOracle {
 	readonly runs: RunRecord[] = [];
 	readonly callers = new Map<string, CallerRecord>();
 	readonly leavingBreaches: LeavingBreach[] = [];
-	/** Work that was running when a planned stop ended. */
+	/** Dispatch ids of calls that were still running when a planned stop finished. */
 	readonly abortedByStop: string[] = [];
 
-	/** Requests whose machine wanted a tick at a time that had passed, right after a tick. */
+	/** Ids of requests whose state machine asked, right after a tick, for another tick at a time that had already passed. */
 	readonly spinningRequestIds: string[] = [];
 
-	/** Broken promises that can be seen at any time. */
+	/**
+	Returns the broken promises that can be detected at any time, also while requests are running.
+	@param marginMs - time after the hard deadline within which a request must be answered.
+	*/
 	breaches(marginMs: number): string[] {
 		const found: string[] = [];
 		for (const caller of this.callers.values()) {
@@ -42,23 +45,23 @@
 
 		for (const [key, runs] of this.runsByKey()) {
 			if (runs > 1) {
-				found.push(`promise 4: the request with key ${key} ran ${runs} times`);
+				found.push(`promise 4: the request with key ${key} was executed ${runs} times`);
 			}
 		}
 
 		found.push(
-			...this.leavingBreaches.map(breach => `promise 5: ${breach.dispatchId} was started at ${breach.upstreamId}, which was leaving`),
-			...this.spinningRequestIds.map(requestId => `the machine of ${requestId} spins`),
-			...this.abortedByStop.map(dispatchId => `promise 6: a planned stop cut off ${dispatchId}`),
+			...this.leavingBreaches.map(breach => `promise 5: ${breach.dispatchId} was started at ${breach.upstreamId}, which had announced that it is leaving`),
+			...this.spinningRequestIds.map(requestId => `the state machine of ${requestId} asks for ticks at times that have passed`),
+			...this.abortedByStop.map(dispatchId => `promise 6: a planned stop aborted ${dispatchId}`),
 		);
 		return found;
 	}
 
-	/** Requests that should have ended by now and have not. */
+	/** Describes requests that must have a result by now and have none. */
 	unanswered(): string[] {
 		return [...this.callers.values()]
 			.filter(caller => caller.results.length === 0 && !caller.isEntryLost && !(caller.isCallerGone && !caller.isRepeatable))
-			.map(caller => `${caller.plan.requestId} got no answer`);
+			.map(caller => `${caller.plan.requestId} got no result`);
 	}
 
 	private answerBreaches(caller: CallerRecord, marginMs: number): string[] {
@@ -66,12 +69,12 @@
 		const {requestId} = plan;
 		const found: string[] = [];
 		if (results.length > 1) {
-			found.push(`promise 1: ${requestId} got ${results.length} answers`);
+			found.push(`promise 1: ${requestId} got ${results.length} results`);
 		}
 
 		const expected = expectedAnswer(plan);
 		if (!expected.startsWith(delivered)) {
-			found.push(`promise 1: ${requestId} was streamed "${delivered}", not a start of "${expected}"`);
+			found.push(`promise 1: ${requestId} was streamed "${delivered}", which is not a prefix of "${expected}"`);
 		}
 
 		const [result] = results;
@@ -81,15 +84,15 @@
 
 		const answer = plan.isStreaming ? delivered : new TextDecoder().decode(result.body);
 		if (result.outcome === 'completed' && answer !== expected) {
-			found.push(`promise 2: ${requestId} completed with "${answer}" in place of "${expected}"`);
+			found.push(`promise 2: ${requestId} completed with "${answer}" instead of "${expected}"`);
 		}
 
 		if (result.isNotRun && this.runs.some(run => run.requestId === requestId)) {
-			found.push(`promise 3: ${requestId} was refused as not run, and ran`);
+			found.push(`promise 3: ${requestId} was refused as not run, but was executed`);
 		}
 
 		if (endedMs > plan.giveUpMs + marginMs) {
-			found.push(`${requestId} was answered ${endedMs - plan.giveUpMs} ms after its last moment`);
+			found.push(`${requestId} was answered ${endedMs - plan.giveUpMs} ms after its hard deadline`);
 		}
 
 		return found;
@@ -108,7 +111,7 @@
 	}
 }
 
-/** What a stage gives for an input. */
+/** Returns the output of a stage for an input. */
 export function stageOutput(stageKind: string, input: string, seed: number, maxTokens: number): string {
 	if (stageKind !== 'generate') {
 		return `<${input}>`;
@@ -117,7 +120,7 @@
 	return Array.from({length: maxTokens}, (_, index) => tokenAt({prompt: input, seed}, index)).join('');
 }
 
-/** The whole answer that a request must get, if it gets one. */
+/** Returns the complete answer that a request must get if it completes. */
 export function expectedAnswer(plan: RequestPlan): string {
 	let text = new TextDecoder().decode(plan.input);
 	for (const stage of plan.stages) {
--- a/test/request-world.ts
+++ b/test/request-world.ts
@@ -1,4 +1,4 @@
-/** The small world of the request fuzzer: entries, upstreams with their agents, and the connections among them, moved by commands. */
+/** Simulation of the request fuzzer: entries, upstreams with their agents and the connections between them, driven by commands. */
 import {ManualClock} from '../src/base/common/clock.js';
 import {SeededRandom} from '../src/base/common/random.js';
 import {agentRules} from '../src/request/common/attempt-rules.js';
@@ -13,21 +13,21 @@
 } from './world-upstream.js';
 
 const stepMs = 10;
-/** An agent that has slept for longer is cut off. */
+/** The connection to a suspended agent is closed after this time without a message. */
 const maxSilenceMs = 4000;
-/** Rounds of work, and the time of each, in which everything ends that is under way. */
+/** Number of rounds, and the duration of each, in which all running work finishes at the end of a run. */
 const settleRounds = 40;
 const settleRoundMs = 200;
-/** Longer than anything is kept. */
+/** Longer than any retention time, so that all stored state expires. */
 const finalSettleMs = 62_000;
 
 export const entryCount = 2;
 export const upstreamCount = 3;
 
-/** Ways to break the world, to show that the fuzzer notices. */
+/** Defects that a test injects on purpose, to show that the fuzzer detects them. */
 export type InjectedDefect = 'repeatOnce' | 'ignoreLeaving' | 'stopCuts' | undefined;
 
-/** Everything, in one place, moved by commands. Those take any index: it is brought into range. */
+/** The simulated fleet, driven by commands. Commands take any index and reduce it to the valid range. */
 export class RequestWorld {
 	readonly clock = ManualClock.create(1000);
 	readonly oracle = new RequestOracle();
@@ -59,7 +59,7 @@
 		}
 	}
 
-	/** A caller sends a request. */
+	/** A caller sends a request to an entry. */
 	request(entryIndex: number, isRepeatable: boolean, deadlineMs: number, keyNumber: number): void {
 		const requestId = `r${this.nextNumber()}`;
 		const key = isRepeatable ? requestId : `k${keyNumber}`;
@@ -78,14 +78,14 @@
 		this.entryAt(entryIndex).accept(caller);
 	}
 
-	/** A caller goes away. */
+	/** The caller of one running request disconnects. */
 	callerGone(index: number): void {
 		const all = this.entries.flatMap(entry => [...entry.liveRequests.values()].map(live => ({entry, live})));
 		const chosen = all.at(index % Math.max(1, all.length));
 		chosen?.entry.callerGone(chosen.live);
 	}
 
-	/** Messages arrive. */
+	/** Up to `count` messages are delivered in each direction of a connection. */
 	deliver(linkIndex: number, count: number): void {
 		const link = this.linkAt(linkIndex);
 		for (let index = 0; index < count; index++) {
@@ -93,7 +93,7 @@
 		}
 	}
 
-	/** Everything goes on a little: messages arrive, and each call gives a piece. */
+	/** All work makes some progress: messages are delivered, and each call produces a chunk. */
 	progress(rounds: number): void {
 		for (let round = 0; round <= rounds; round++) {
 			for (const index of this.links.keys()) {
@@ -108,7 +108,7 @@
 		}
 	}
 
-	/** A message arrives twice, or before the one ahead of it. */
+	/** A message in transit is duplicated, or swapped with the next one. */
 	duplicateOrReorder(position: number, isDoubled: boolean, isToUpstream: boolean): void {
 		const queues = this.links.map(link => isToUpstream ? link.toUpstream : link.toEntry).filter(queue => queue.length > 1);
 		const queue = queues.at(position % Math.max(1, queues.length));
@@ -124,7 +124,7 @@
 		}
 	}
 
-	/** An upstream goes on with a call. */
+	/** An upstream takes one step in a call. */
 	callStep(upstreamIndex: number, callIndex: number, step: CallStep): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		const {callIds} = upstream;
@@ -134,12 +134,12 @@
 		}
 	}
 
-	/** A connection is lost. */
+	/** A connection is lost, and both sides are notified. */
 	disconnect(linkIndex: number): void {
 		this.linkAt(linkIndex).disconnect(true, this.nowMs);
 	}
 
-	/** A connection is made again. */
+	/** A lost connection is established again, unless the agent is suspended. */
 	reconnect(linkIndex: number): void {
 		const link = this.linkAt(linkIndex);
 		if (!link.isUp && !link.upstream.isPaused) {
@@ -147,7 +147,7 @@
 		}
 	}
 
-	/** An agent dies, and its slot gets a new one; whatever ran on the upstream is cancelled first. */
+	/** An agent crashes and is replaced by a new one; the calls running on its upstream are canceled first. */
 	crashAgent(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		const links = this.linksOf(upstream);
@@ -161,7 +161,7 @@
 		}
 	}
 
-	/** An agent stops as planned once its work is done, and a new one takes the slot. */
+	/** A planned stop: the agent announces that it is leaving and, if it has no work, is replaced by a new one. */
 	stopAgent(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		this.leave(upstreamIndex);
@@ -171,7 +171,7 @@
 		}
 	}
 
-	/** An agent says that it leaves. */
+	/** An agent announces to all connected entries that it is leaving. */
 	leave(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		if (upstream.isPaused) {
@@ -188,7 +188,7 @@
 		}
 	}
 
-	/** An entry's process dies, and a new one begins. */
+	/** The process of an entry crashes, and a new one starts. */
 	crashEntry(entryIndex: number): void {
 		const entry = this.entryAt(entryIndex);
 		const links = this.linksOf(entry);
@@ -203,14 +203,14 @@
 		}
 	}
 
-	/** An agent's host falls asleep. */
+	/** The host of an agent is suspended. */
 	pause(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		upstream.isPaused = true;
 		upstream.pausedMs = this.nowMs;
 	}
 
-	/** An agent's host wakes. */
+	/** The host of an agent resumes. */
 	resume(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		if (!upstream.isPaused) {
@@ -220,14 +220,14 @@
 		upstream.isPaused = false;
 		for (const link of this.linksOf(upstream)) {
 			link.isStale = true;
-			// The answer to the ping sent on waking comes after all that waited.
+			// The reply to the ping that the agent sends on resuming arrives after all messages that queued up meanwhile.
 			link.toUpstream.push({
 				type: 'pong', nonce: 1, settingsRevision: 1, state: 'serving',
 			});
 		}
 	}
 
-	/** Time passes. */
+	/** Advances the clock in small steps, with a tick of all state machines after each. */
 	advance(byMs: number): void {
 		for (let passedMs = 0; passedMs < byMs; passedMs += stepMs) {
 			this.clock.advance(stepMs);
@@ -235,7 +235,7 @@
 		}
 	}
 
-	/** Lets everything come to its end. */
+	/** Ends all faults and lets all running work finish. */
 	async settle(): Promise<void> {
 		this.table.isDown = false;
 		this.table.dieAfterWrite = false;
@@ -268,18 +268,18 @@
 		await settleMicrotasks();
 	}
 
-	/** What should be empty once everything has ended, and is not. */
+	/** Describes state that is left over although all work has finished. */
 	leaks(): string[] {
 		const found: string[] = [];
 		for (const entry of this.entries) {
 			for (const requestId of entry.liveRequests.keys()) {
-				found.push(`${requestId} is still held by its entry`);
+				found.push(`${requestId} is still in the table of its entry`);
 			}
 
 			for (const {upstreamId} of this.upstreams) {
 				const inFlight = entry.router.statsOf(upstreamId)?.inFlight ?? 0;
 				if (inFlight !== 0) {
-					found.push(`${upstreamId} still counts ${inFlight} in flight`);
+					found.push(`${upstreamId} still has ${inFlight} calls counted in flight`);
 				}
 			}
 		}
@@ -346,7 +346,7 @@
 		const stage = (index: number, kind: StagePlan['kind']): StagePlan => ({
 			name: `s${index}`, index, kind, pool: 'pool', slots: 2, key: `s${index}/${kind}`, budgetKey: `s${index}/${kind}`, policy,
 		});
-		// What may not be repeated is one call of a plain service; the others are pipelines that end in a stream.
+		// A request that must not be repeated is a single call of a service; the others are pipelines that end in a stream.
 		const isOnce = key !== requestId;
 		return {
 			requestId,
@@ -370,7 +370,7 @@
 	}
 }
 
-/** Lets what was promised come about, up to the next timer. */
+/** Runs all pending microtasks, so that settled promises take effect; timers are not advanced. */
 export async function settleMicrotasks(): Promise<void> {
 	await new Promise(resolve => {
 		setImmediate(resolve);
--- a/test/settings-fuzz.test.ts
+++ b/test/settings-fuzz.test.ts
@@ -4,7 +4,7 @@
 
 const seed = 20_261_202;
 
-t.test('no accepted change is lost, doubled or undone, whatever fails', async t => {
+t.test('no accepted change is lost, applied twice or reverted under any faults', async t => {
 	const details = await fc.check(settingsProperty(80), {seed, numRuns: 200});
 	t.equal(details.failed, false, fc.defaultReportMessage(details) ?? 'no counterexample');
 });
@@ -14,10 +14,10 @@
 	return details.failed && promise.test(String(details.errorInstance));
 }
 
-t.test('the fuzzer notices a change that takes effect twice', async t => {
+t.test('the fuzzer detects a change that takes effect twice', async t => {
 	t.ok(await isCaught(/took effect 2 times/v, 'forgetChangeIds'));
 });
 
-t.test('the fuzzer notices a host that goes back', async t => {
+t.test('the fuzzer detects a host that returns to an older revision', async t => {
 	t.ok(await isCaught(/went back/v, 'goBack'));
 });
--- a/test/settings-fuzz.ts
+++ b/test/settings-fuzz.ts
@@ -1,4 +1,4 @@
-/** Fuzzer of settings: racing editors, lost answers, outages, replaced hosts, stale peers; the oracle is a list of accepted changes. */
+/** Fuzzer of settings: concurrent editors, lost responses, outages, replaced hosts and stale peers; the oracle is the list of accepted changes. */
 import fc from 'fast-check';
 import {ManualClock} from '../src/base/common/clock.js';
 import type {ChangeRequest} from '../src/settings/common/change.js';
@@ -13,7 +13,7 @@
 
 type AttemptedChange = {readonly request: ChangeRequest; isAccepted: boolean; mayHaveTakenEffect: boolean; revision: number};
 
-/** Ways to break the store on purpose. */
+/** Defects that a test injects on purpose, to show that the fuzzer detects them. */
 export type InjectedSettingsDefect = 'forgetChangeIds' | 'goBack' | undefined;
 
 class SettingsWorld {
@@ -22,9 +22,9 @@
 	readonly clock = ManualClock.create();
 	readonly store = SettingsStore.create(this.table, this.objects);
 	readonly hosts: StoredSettingsService[] = [];
-	/** Highest revision seen in force on each host since it started. */
+	/** Highest revision seen in effect on each host since the host started. */
 	readonly highestRevisions: number[] = [];
-	/** The oracle: every change that was tried, and what the editor was told. */
+	/** The oracle: every attempted change, with the result that its editor received. */
 	readonly attemptedChanges: AttemptedChange[] = [];
 	private serial = 0;
 
@@ -40,12 +40,12 @@
 		this.highestRevisions[host] = 0;
 	}
 
-	/** Two editors change at the same time, each through a host, from what that host has in force. */
+	/** Two editors make a change concurrently, each through a host and based on the settings in effect there. */
 	async race(firstHost: number, secondHost: number, firstPath: number, secondPath: number): Promise<void> {
 		await Promise.all([this.edit(firstHost, firstPath), this.edit(secondHost, secondPath)]);
 	}
 
-	/** An editor that got no clear answer asks again, perhaps through another host. */
+	/** An editor whose change is not known to be accepted sends it again, possibly through another host. */
 	async retry(hostIndex: number, changeIndex: number): Promise<void> {
 		const notAccepted = this.attemptedChanges.filter(item => !item.isAccepted);
 		const item = notAccepted.at(changeIndex % Math.max(1, notAccepted.length));
@@ -61,7 +61,7 @@
 		}
 	}
 
-	/** A host hears from a peer, which may be behind it. */
+	/** A host receives the settings of a peer, which may be older than its own. */
 	gossip(fromIndex: number, toIndex: number): void {
 		const from = this.hosts[fromIndex % hostCount];
 		const to = this.hosts[toIndex % hostCount];
@@ -113,15 +113,15 @@
 			}
 
 			if (isAccepted && count === 0) {
-				found.push(`change ${request.changeId} was accepted and is lost`);
+				found.push(`change ${request.changeId} was accepted but is lost`);
 			}
 
 			if (!isAccepted && !mayHaveTakenEffect && count > 0) {
-				found.push(`change ${request.changeId} was refused and took effect`);
+				found.push(`change ${request.changeId} was refused but took effect`);
 			}
 		}
 
-		// Every host must be what replaying the accepted changes gives.
+		// Every host must have the settings that result from replaying the accepted changes.
 		const expected = new Map<string, string>();
 		for (const change of accepted) {
 			for (const edit of change.edits) {
@@ -137,7 +137,7 @@
 		for (const [index, host] of this.hosts.entries()) {
 			const has = JSON.stringify(host.tree.snapshot().nodes.map(node => `${node.path} ${JSON.stringify(node.fields)}`).toSorted(compareTexts));
 			if (has !== expectedText) {
-				found.push(`host ${index} has ${has}, the accepted changes give ${expectedText}`);
+				found.push(`host ${index} has ${has}, but the accepted changes result in ${expectedText}`);
 			}
 		}
 
@@ -173,7 +173,7 @@
 		}
 	}
 
-	/** Deletes the trace of an id, and moves the edit on to the node's newest revision, as a careless retry would. */
+	/** Deletes the record of a change id and rebases the edit on the newest revision of the node, as a retry without idempotency would. */
 	private async forgetChangeId(request: ChangeRequest): Promise<void> {
 		await this.table.transact({conditions: [], writes: [{key: `settings/change-id/${request.changeId}`}]});
 		await Promise.all(this.hosts.map(async host => host.refresh()));
@@ -233,9 +233,9 @@
 ];
 
 /**
-The property: no accepted change is lost or doubled, no refused one takes effect, no host goes back.
-@param maxCommands - most commands in one run.
-@param defect - breaks a promise on purpose.
+The property: no accepted change is lost or takes effect twice, no refused change takes effect, and no host returns to an older revision.
+@param maxCommands - upper bound on the commands in one run.
+@param defect - defect to inject, which breaks the property on purpose.
 */
 export function settingsProperty(maxCommands: number, defect?: InjectedSettingsDefect) {
 	return worldProperty(commands, maxCommands, () => new SettingsWorld(defect), async world => world.breaches(true));
--- a/test/stub-router.ts
+++ b/test/stub-router.ts
@@ -1,12 +1,13 @@
-/** A router for tests of what is above it: allows everything, learns nothing, and names dispatches `d0`, `d1` and so on. */
+/** Stub of the request router for tests of the layers above it: allows everything, records nothing, and names dispatches `d0`, `d1` and so on. */
 import {clearStanding} from '../src/quarantine/common/quarantine.js';
 import type {RequestRouter} from '../src/request/common/request-router.js';
 import {UpstreamStats} from '../src/routing/common/upstream-stats.js';
 
 /**
-Makes one.
-@param upstreams - that are chosen, the first one that is not excluded.
-@param overrides - what the test decides itself.
+Creates a stub.
+@param upstreams - upstreams to choose from; the first one that is not excluded is chosen.
+@param overrides - methods that the test replaces.
+@returns the router.
 */
 export function stubRouter(upstreams: readonly string[], overrides: Partial<RequestRouter> = {}): RequestRouter {
 	let serial = 0;
--- a/test/world-commands.ts
+++ b/test/world-commands.ts
@@ -1,10 +1,10 @@
-/** Commands of the fuzzers: something happens in a world, then the world is checked. */
+/** Commands of the fuzzers: each performs an action in a simulated world, and checks the world afterwards. */
 import fc from 'fast-check';
 
-/** The model is the world's own oracle, so fast-check's is empty. */
+/** fast-check's model is unused, because each world has its own oracle. */
 type Model = Record<string, never>;
 
-/** One thing that happens. */
+/** A command that performs one action in a world. */
 class WorldCommand<World> implements fc.AsyncCommand<Model, World> {
 	constructor(private readonly text: string, private readonly act: (world: World) => Promise<void>) {}
 
@@ -21,12 +21,13 @@
 	}
 }
 
-/** What a command does with its values. */
+/** The action of a command, called with its generated arguments. */
 export type Act<World, T extends unknown[]> = (world: World, ...args: T) => Promise<void> | void;
 
 /**
-Fails the run where a promise is broken.
-@param breaches - what the oracle found.
+Fails the run if a promise is broken.
+@param breaches - broken promises that the oracle found.
+@throws Error that lists them.
 */
 export function assertNoBreaches(breaches: readonly string[]): void {
 	if (breaches.length > 0) {
@@ -35,9 +36,9 @@
 }
 
 /**
-Makes the function that makes commands of one kind of world.
-@param check - run after each command.
-@returns name, values and act in, an arbitrary command out.
+Creates a factory of commands for one kind of world.
+@param check - check that runs after each command.
+@returns function that takes a name, the arbitrary arguments and an action, and returns the arbitrary command.
 */
 export function commandsOf<World>(check: (world: World) => Promise<void>) {
 	return <T extends unknown[]>(name: string, values: fc.Arbitrary<T>, act: Act<World, T>) =>
@@ -47,18 +48,18 @@
 		}));
 }
 
-/** A world that commands move. */
+/** A world whose running work can be brought to an end. */
 type SettleableWorld = {
-	/** Lets everything come to its end. */
+	/** Ends all faults and lets all running work finish. */
 	settle(): Promise<void>;
 };
 
 /**
-Makes a property: in a new world some commands happen, it comes to its end, and then no promise is broken.
-@param commands - what may happen.
-@param maxCommands - most commands in one run.
-@param makeWorld - makes a world.
-@param breaches - tells what is broken in a world that has come to its end.
+Creates a property: after any sequence of commands in a new world, once its work has finished, no promise is broken.
+@param commands - arbitrary commands to choose from.
+@param maxCommands - upper bound on the commands in one run.
+@param makeWorld - creates a world.
+@param breaches - returns the broken promises of a world whose work has finished.
 */
 export function worldProperty<World extends SettleableWorld>(
 	commands: ReadonlyArray<fc.Arbitrary<fc.AsyncCommand<Model, World>>>,
--- a/test/world-entry.ts
+++ b/test/world-entry.ts
@@ -1,4 +1,4 @@
-/** An entry and its callers, in the world of the request fuzzer: real machines of requests around a fake store and fake callers. */
+/** Entry with its callers in the simulation of the request fuzzer: real request state machines with a fake store and fake callers. */
 import type {Clock} from '../src/base/common/clock.js';
 import type {SeededRandom} from '../src/base/common/random.js';
 import {FleetRouter} from '../src/entry/common/fleet-router.js';
@@ -17,28 +17,28 @@
 
 const claimMs = 10_000;
 const claimSpacingMs = 10;
-/** How soon the entry hears that it could not send. */
+/** Delay after which the entry is notified that a message could not be sent. */
 const sendFailureDelayMs = 1;
 
-/** A request that the entry has. */
+/** A request that the entry is processing. */
 export type LiveRequest = {readonly machine: RequestMachine; readonly caller: CallerRecord; granted: GrantedClaim | undefined};
 
-/** What an entry is made of. */
+/** Dependencies of an entry. */
 export type WorldEntryOptions = {
 	readonly clock: Clock;
 	readonly random: SeededRandom;
 	readonly table: MemoryTable;
 	readonly oracle: RequestOracle;
-	/** A number that is new in this world. */
+	/** Returns a number that is unique in the simulation. */
 	readonly nextNumber: () => number;
 	readonly linkTo: (entry: WorldEntry, upstreamId: string) => WorldLink;
 };
 
-/** One entry; its process may die and come back. */
+/** One entry, whose process can crash and be started again. */
 export class WorldEntry {
 	members!: MemberTable;
 	router!: FleetRouter;
-	/** By request id. */
+	/** Requests in progress, by request id. */
 	readonly liveRequests = new Map<string, LiveRequest>();
 	private incarnation!: string;
 	private claims!: ClaimStore;
@@ -47,7 +47,7 @@
 		this.start();
 	}
 
-	/** A new process begins, knowing nothing. */
+	/** Starts a new process without any state of the former one. */
 	start(): void {
 		const {random, table, clock, nextNumber} = this.options;
 		const prefixes = PrefixIndex.create();
@@ -61,7 +61,7 @@
 		});
 	}
 
-	/** The process dies; its callers get nothing more. */
+	/** The process crashes; its callers receive nothing more. */
 	crash(): void {
 		for (const {caller} of this.liveRequests.values()) {
 			caller.isEntryLost = true;
@@ -70,7 +70,7 @@
 		this.liveRequests.clear();
 	}
 
-	/** A caller's request comes. */
+	/** Accepts a request of a caller and starts its state machine. */
 	accept(caller: CallerRecord): void {
 		const {plan} = caller;
 		const live: LiveRequest = {machine: RequestMachine.create(plan, this.router), caller, granted: undefined};
@@ -78,15 +78,15 @@
 		this.feed(live, {type: 'start'});
 	}
 
-	/** A caller goes away. */
+	/** The caller of a request disconnects. */
 	callerGone(live: LiveRequest): void {
 		live.caller.isCallerGone = true;
 		this.feed(live, {type: 'callerGone'});
 	}
 
 	/**
-	A connection to an upstream's agent has come up.
-	@returns whether this agent was not known.
+	Registers a connection to the agent of an upstream.
+	@returns whether this incarnation of the agent was unknown.
 	*/
 	connected({upstreamId, incarnation}: WorldUpstream): boolean {
 		const isNew = this.members.connected({
@@ -99,7 +99,7 @@
 		return isNew;
 	}
 
-	/** Takes a message from an upstream's agent. */
+	/** Handles a message from the agent of an upstream. */
 	receive(message: Message, upstreamId: string): void {
 		if (message.type === 'report') {
 			this.members.heard(upstreamId, message.state, this.nowMs);
@@ -111,14 +111,14 @@
 		}
 	}
 
-	/** Tells all requests. */
+	/** Passes an event to all requests. */
 	broadcast(event: RequestEvent): void {
 		for (const live of [...this.liveRequests.values()]) {
 			this.feed(live, event);
 		}
 	}
 
-	/** Wakes the requests whose time has come. */
+	/** Sends a tick to the requests that are due, and reports those that are still due afterwards to the oracle. */
 	tick(): void {
 		for (const live of [...this.liveRequests.values()]) {
 			if (live.machine.wakeAtMs <= this.nowMs) {
@@ -148,7 +148,7 @@
 			}
 
 			case 'prepare': {
-				throw new Error('Plans of this world need no work before the request.');
+				throw new Error('Plans of this simulation need no preparation.');
 			}
 
 			case 'dispatch': {
--- a/test/world-link.ts
+++ b/test/world-link.ts
@@ -1,21 +1,21 @@
-/** The connection of an entry to an agent, in the world of the request fuzzer: messages wait on it until they are delivered. */
+/** Connection of an entry to an agent in the simulation of the request fuzzer; messages queue on it until a command delivers them. */
 import type {Message} from '../src/wire/common/messages.js';
 import type {WorldEntry} from './world-entry.js';
 import type {WorldUpstream} from './world-upstream.js';
 
-/** One connection, which may be cut and made again. */
+/** One connection, which can be lost and established again. */
 export class WorldLink {
 	isUp = false;
-	/** New each time it is made. */
+	/** A new number each time the connection is established. */
 	connectionId = 0;
-	/** Whether the agent has slept since it last heard from the entry. */
+	/** Whether the agent was suspended since it last received the reply of the entry to a ping. */
 	isStale = false;
 	toUpstream: Message[] = [];
 	toEntry: Message[] = [];
 
 	constructor(readonly entry: WorldEntry, readonly upstream: WorldUpstream) {}
 
-	/** Makes the connection. */
+	/** Establishes the connection, and notifies the requests of the entry. */
 	connect(connectionId: number): void {
 		this.isUp = true;
 		this.connectionId = connectionId;
@@ -27,8 +27,9 @@
 	}
 
 	/**
-	Breaks the connection.
-	@param isAgentNotified - false for an agent that is dead.
+	Closes the connection and drops the messages on it.
+	@param isAgentNotified - false if the agent has crashed.
+	@param nowMs - current time.
 	*/
 	disconnect(isAgentNotified: boolean, nowMs: number): void {
 		if (!this.isUp) {
@@ -47,14 +48,14 @@
 		entry.broadcast({type: 'connectionLost', upstreamId: upstream.upstreamId});
 	}
 
-	/** Sends a message to the agent, if the connection is up. */
+	/** Queues a message for the agent; without a connection, it is dropped. */
 	send(message: Message): void {
 		if (this.isUp) {
 			this.toUpstream.push(message);
 		}
 	}
 
-	/** One message each way arrives. */
+	/** Delivers one message in each direction. */
 	deliver(): void {
 		this.deliverToUpstream();
 		this.deliverToEntry();
--- a/test/world-upstream.ts
+++ b/test/world-upstream.ts
@@ -1,4 +1,4 @@
-/** An upstream and the agent before it, in the world of the request fuzzer: the agent's real machine around a fake upstream. */
+/** Upstream with its agent in the simulation of the request fuzzer: the agent's real state machine with a fake upstream. */
 import type {Clock} from '../src/base/common/clock.js';
 import type {CallEnd, GateAction} from '../src/request/common/gate-actions.js';
 import {GateMachine} from '../src/request/common/gate-machine.js';
@@ -6,28 +6,28 @@
 import type {DispatchMessage, Message} from '../src/wire/common/messages.js';
 import {stageOutput, type RequestOracle} from './request-oracle.js';
 
-/** Tokens of each answer of an upstream that generates. */
+/** Number of tokens in each answer of a generating upstream. */
 export const tokensPerAnswer = 4;
-/** What the answers of all upstreams are generated with. */
+/** Seed of the answers of all upstreams, so that every upstream generates the same answer for an input. */
 export const generationSeed = 5;
 
-/** What an upstream may do with a call. */
+/** Steps that an upstream can take in a call; `piece` stands three times and `complete` twice, so that calls usually progress. */
 export const callSteps = ['piece', 'piece', 'piece', 'complete', 'complete', 'fail', 'notRun', 'unknown'] as const;
 export type CallStep = typeof callSteps[number];
 
 type Call = {readonly dispatch: DispatchMessage; produced: number; isStarted: boolean};
 
-/** What an upstream is made of. */
+/** Dependencies of an upstream. */
 export type WorldUpstreamOptions = {
 	readonly upstreamId: string;
 	readonly clock: Clock;
 	readonly oracle: RequestOracle;
 	readonly newIncarnation: () => string;
-	/** Sends a message on the connection with a number, if that is up. */
+	/** Sends a message on the connection with the given number, if it is up. */
 	readonly send: (connectionId: number, message: Message) => void;
 };
 
-/** One upstream; its agent may die and come back. */
+/** One upstream, whose agent can crash and be replaced. */
 export class WorldUpstream {
 	readonly upstreamId: string;
 	incarnation: string;
@@ -35,7 +35,7 @@
 	isPaused = false;
 	pausedMs = 0;
 	private hasAnnouncedLeaving = false;
-	/** By dispatch id. */
+	/** Running calls, by dispatch id. */
 	private readonly calls = new Map<string, Call>();
 
 	constructor(private readonly options: WorldUpstreamOptions) {
@@ -43,12 +43,12 @@
 		this.incarnation = options.newIncarnation();
 	}
 
-	/** Dispatch ids of the calls that it has. */
+	/** Dispatch ids of the running calls. */
 	get callIds(): readonly string[] {
 		return [...this.calls.keys()];
 	}
 
-	/** Goes on with a call as it usually does: a piece, or the end once nothing is left. */
+	/** Takes the usual next step in a call: produces a chunk, or completes the call once all chunks are produced. */
 	progress(dispatchId: string): void {
 		const call = this.calls.get(dispatchId);
 		if (call) {
@@ -56,7 +56,7 @@
 		}
 	}
 
-	/** Does one thing with a call. */
+	/** Takes one step in a call. */
 	step(dispatchId: string, step: CallStep): void {
 		const call = this.calls.get(dispatchId);
 		if (!call || this.isPaused) {
@@ -64,7 +64,7 @@
 		}
 
 		if (step === 'notRun' && !call.isStarted) {
-			// The upstream was never reached.
+			// The call never reached the upstream, so it does not count as executed.
 			const {runs} = this.options.oracle;
 			runs.splice(runs.findIndex(run => run.dispatchId === dispatchId), 1);
 			this.endCall(dispatchId, {state: 'notRun'});
@@ -80,7 +80,7 @@
 			this.produce(call);
 		} else if (step === 'complete') {
 			while (this.produce(call)) {
-				// Until everything is produced.
+				// Repeats until all chunks are produced.
 			}
 
 			this.endCall(dispatchId, {state: 'completed'});
@@ -90,12 +90,12 @@
 		}
 	}
 
-	/** Says that it leaves. */
+	/** Records that the agent has announced that it is leaving; from then on, a started call is a breach. */
 	announceLeaving(): void {
 		this.hasAnnouncedLeaving = true;
 	}
 
-	/** A new agent takes the place of one that died; what ran on the upstream is cancelled first. */
+	/** Replaces a crashed agent by a new one; the calls running on the upstream are canceled first. */
 	replaceAgent(): void {
 		this.calls.clear();
 		this.incarnation = this.options.newIncarnation();
@@ -104,7 +104,7 @@
 		this.hasAnnouncedLeaving = false;
 	}
 
-	/** Takes a message from an entry. */
+	/** Passes a message from an entry to the state machine of the agent. */
 	receive(message: Message, connectionId: number, isStale: boolean): void {
 		switch (message.type) {
 			case 'dispatch': {
@@ -133,7 +133,7 @@
 		}
 	}
 
-	/** Does what the agent's machine asks for. */
+	/** Performs the actions that the state machine of the agent returned. */
 	perform(actions: readonly GateAction[]): void {
 		for (const action of actions) {
 			switch (action.type) {
@@ -183,7 +183,10 @@
 		}
 	}
 
-	/** Gives the next piece; false once there is none. */
+	/**
+	Produces the next chunk of a call.
+	@returns false once all chunks are produced.
+	*/
 	private produce(call: Call): boolean {
 		const {dispatchId, call: work} = call.dispatch;
 		const isGenerating = work.kind === 'generate';
