--- a/examples/local-fleet.ts
+++ b/examples/local-fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet on embedded stand-ins in one process: for the quickstart, tests and benches. */
+/** A complete fleet with simulated upstreams and platform in one process, for the quickstart, tests and benchmarks. */
 import {randomBytes} from 'node:crypto';
 import type {DependencyContainer} from 'tsyringe';
 import {type Disposable, DisposableStore} from '../src/base/common/disposable.js';
@@ -15,7 +15,7 @@
 const address = '127.0.0.1';
 const halls = ['hall-a', 'hall-b', 'hall-c'] as const;
 
-/** A pool of upstreams to start. */
+/** A pool of simulated upstreams to start. */
 export type PoolSpec = {
 	readonly pool: string;
 	readonly kind: 'engine' | 'worker' | 'service';
@@ -25,7 +25,7 @@
 	readonly isReporting?: boolean;
 };
 
-/** What to start. */
+/** Hosts and upstreams of a fleet to start. */
 export type FleetSpec = {
 	readonly entries: number;
 	readonly pools: readonly PoolSpec[];
@@ -33,11 +33,11 @@
 	readonly engineSpeed?: EnginePace;
 	readonly logLevel?: 'debug' | 'info' | 'warn' | 'error';
 	readonly stopGraceMs?: number;
-	/** Registers other parts in each daemon before it starts. */
+	/** Registers replacement components in the container of each daemon before it starts. */
 	readonly adjust?: (parts: DependencyContainer) => void;
 };
 
-/** One started upstream with the agent beside it. */
+/** A started upstream with its agent. */
 export type FleetUpstream = {
 	readonly upstreamId: string;
 	readonly pool: string;
@@ -73,26 +73,26 @@
 	];
 }
 
-/** The venture's fleet at the size of today. */
+/** Fleet of the Kaolack venture at its present size. */
 export const kaolackFleet: FleetSpec = {
 	entries: 2,
 	models: kaolackModels,
 	pools: [{pool: 'models', kind: 'engine', count: 13}, ...stagePools, ...servicePools('stock', ['invoicing', 'yard-gate', 'ledger'])],
 };
 
-/** Kookpakket's fleet at the size of today. */
+/** Fleet of Kookpakket at its present size. */
 export const kookpakketFleet: FleetSpec = {
 	entries: 2,
 	models: kookpakketModels,
 	pools: [{pool: 'models', kind: 'engine', count: 8}, ...stagePools, ...servicePools('orders', ['pantry', 'billing', 'partner-gateway'])],
 };
 
-/** A running fleet. */
+/** A running fleet; disposing it stops everything. */
 export class LocalFleet implements Disposable {
 	/**
 	Starts a fleet.
-	@param spec - what to start.
-	@returns the fleet, with every agent known to the platform's list.
+	@param spec - hosts and upstreams to start.
+	@returns the fleet, with every host in the host list of the simulated platform.
 	*/
 	static async create(spec: FleetSpec): Promise<LocalFleet> {
 		const fleet = new LocalFleet(spec, await PlatformServer.create());
@@ -135,8 +135,9 @@
 	}
 
 	/**
-	Starts one more entry host.
-	@param index - its number; its hall follows from it.
+	Starts an entry host.
+	@param index - index of the entry, which also determines its data hall.
+	@returns its daemon.
 	*/
 	async startEntry(index: number): Promise<Daemon> {
 		const hostId = `entry-${index}`;
@@ -163,8 +164,8 @@
 	}
 
 	/**
-	Starts the agent beside an upstream again, as a new incarnation.
-	@param upstream - whose agent was stopped.
+	Starts the stopped agent of an upstream again, as a new incarnation.
+	@param upstream - upstream whose agent was stopped.
 	*/
 	async restartAgent(upstream: FleetUpstream): Promise<void> {
 		upstream.daemon = await this.startAgent(upstream, this.upstreams.indexOf(upstream));
--- a/examples/quickstart.ts
+++ b/examples/quickstart.ts
@@ -1,4 +1,4 @@
-/** The main job on embedded stand-ins: starts a fleet, applies a declaration, sends real requests. */
+/** Quickstart: starts a fleet with simulated upstreams, applies a declaration and sends real requests. */
 import {fileURLToPath} from 'node:url';
 import process from 'node:process';
 import {request} from 'undici';
@@ -84,7 +84,7 @@
 		});
 		writeLine(`  entry ${entry}: HTTP ${answer.status}, outcome ${String(answer.headers['x-outcome'])}, replay ${String(answer.headers['idempotent-replay'] ?? false)}: ${answer.text}`);
 		check(answer.status === 200, 'the reservation is answered');
-		// The first outcome is written within one batch of claims.
+		// Waits until the outcome of the first request is stored, which takes one batch of claims.
 		await new Promise(resolve => {
 			setTimeout(resolve, 200);
 		});
--- a/test/bad-http-input.test.ts
+++ b/test/bad-http-input.test.ts
@@ -13,9 +13,9 @@
 	const fleet = await startFleet();
 	t.teardown(() => {
 		fleet.dispose();
-		// A process that does not end once all is disposed of tells what keeps it.
+		// If the process does not exit after everything is disposed, prints the resources that keep it running.
 		setTimeout(() => {
-			process.stderr.write(`${process.pid} is still there: ${process.getActiveResourcesInfo().join(' ')}\n`);
+			process.stderr.write(`${process.pid} is still running: ${process.getActiveResourcesInfo().join(' ')}\n`);
 		}, reportAfterMs).unref();
 	});
 	const origin = fleet.callersOrigin(0);
@@ -44,11 +44,11 @@
 		t.match(await refusal('pipelines/nothing/requests', {body: '{}'}), {status: 404, code: 'unknownPipeline', notRun: true});
 		t.match(await refusal('services/nothing/x', {body: '{}'}), {status: 404, code: 'unknownService', notRun: true});
 		t.match(await refusal('/v2/nothing', {}), {status: 404, code: 'notFound'});
-		t.match(await refusal(quotePath, {body: '{}', headers: {'x-long': 'x'.repeat(20_000)}}), {status: 431}, 'headers beyond their limit');
-		t.match(await refusal('/v1/workspaces/%ZZ/pipelines/quote/requests', {body: '{}'}), {type: 'application/problem+json; charset=utf-8'}, 'foreign bytes in the path');
+		t.match(await refusal(quotePath, {body: '{}', headers: {'x-long': 'x'.repeat(20_000)}}), {status: 431}, 'headers over the size limit');
+		t.match(await refusal('/v1/workspaces/%ZZ/pipelines/quote/requests', {body: '{}'}), {type: 'application/problem+json; charset=utf-8'}, 'invalid escape sequence in the path');
 	});
 
-	await t.test('bytes that are no HTTP', async t => {
+	await t.test('bytes that are not HTTP', async t => {
 		const {hostname, port} = new URL(origin);
 		const text = await new Promise<string>(resolve => {
 			const socket = connect(Number(port), hostname);
@@ -104,5 +104,5 @@
 		t.equal(await runCommandLine(['node', 'pumicehatch', 'status', '--entry', 'http://127.0.0.1:1']), 4);
 	});
 
-	t.equal((await call(origin, quotePath, {body: '{"lot": "teak-17"}'})).body.outcome, 'completed', 'after all this the entry still serves');
+	t.equal((await call(origin, quotePath, {body: '{"lot": "teak-17"}'})).body.outcome, 'completed', 'the entry still serves requests afterwards');
 });
--- a/test/daemon-process.test.ts
+++ b/test/daemon-process.test.ts
@@ -20,7 +20,7 @@
 
 type StartedDaemon = {readonly child: ChildProcess; readonly line: z.infer<typeof lineSchema>; readonly exit: Promise<number | string>};
 
-/** Starts a daemon as a process of its own, and waits for the log line that says that it is ready. */
+/** Starts a daemon in a separate process, and waits for the log line that reports that it is ready. */
 async function startDaemonProcess(t: Test, settings: Record<string, unknown>, readyMessage: string): Promise<StartedDaemon> {
 	const folder = t.testdir({host: JSON.stringify(settings)});
 	const child = spawn(process.execPath, [daemonProgram, '--settings', `${folder}/host`], {
@@ -56,7 +56,7 @@
 	};
 }
 
-t.test('daemons as processes of their own, killed, frozen and stopped', async t => {
+t.test('daemons in separate processes are killed, suspended and stopped', async t => {
 	const platform = await PlatformServer.create();
 	const service = await ServiceServer.create({
 		serviceMs: 20, slots: 4, isReporting: true, answer: (_path, body) => ({got: body}),
@@ -98,40 +98,40 @@
 	const ran = (name: string) => service.ran.filter(body => body === name).length;
 	await waitUntil(isServing);
 
-	await t.test('an agent that is frozen does not run, on waking, what it was sent meanwhile', async t => {
+	await t.test('a suspended agent does not execute, when it resumes, requests sent to it meanwhile', async t => {
 		agent.child.kill('SIGSTOP');
 		const answer = await reserve('frozen', {'deadline-ms': '600'});
-		t.equal(answer.body.outcome, 'unknown', 'nobody can tell yet');
+		t.equal(answer.body.outcome, 'unknown', 'whether it was executed is not known yet');
 		agent.child.kill('SIGCONT');
 		await waitUntil(isServing);
 		t.equal(ran('frozen'), 0);
 		await waitUntil(async () => (await reserve('frozen')).status === 200);
-		t.equal(ran('frozen'), 1, 'known as not run by then, it ran when sent again, once');
+		t.equal(ran('frozen'), 1, 'it is then known as not executed, and runs once when sent again');
 	});
 
-	await t.test('an agent that is killed takes nothing with it that may be repeated', async t => {
+	await t.test('a repeatable request survives the kill of an agent, or ends with an accurate error', async t => {
 		const reading = call(callers, 'services/stock/lots', {method: 'GET', headers: {'deadline-ms': '20000'}});
 		agent.child.kill('SIGKILL');
 		await agent.exit;
 		agent = await startAgent();
 		await waitUntil(isServing);
 		const answer = await reading;
-		t.ok(answer.status === 200 || answer.body.outcome === 'refused' || answer.body.outcome === 'failed', 'an answer, or an honest error');
+		t.ok(answer.status === 200 || answer.body.outcome === 'refused' || answer.body.outcome === 'failed', 'a response, or an accurate error');
 		t.equal((await reserve('after-kill')).status, 200);
 		t.equal(ran('after-kill'), 1);
 	});
 
-	await t.test('a planned stop answers what is in flight, and ends with exit code 0', async t => {
+	await t.test('a planned stop answers the requests in flight, and exits with code 0', async t => {
 		const requestCount = 20;
 		let answered = 0;
-		// Slow enough that hardly any is answered before all have come.
+		// Slow enough that hardly any request is answered before all of them have arrived.
 		service.faults.slowFactor = 25;
 		const pending = Promise.all(Array.from({length: requestCount}, async (_, number) => {
 			const answer = await reserve(`stop-${number}`, {'deadline-ms': '30000'});
 			answered++;
 			return answer;
 		}));
-		// A request that comes once the entry takes no more is refused: all must have come before it is told to stop.
+		// A request that arrives after the entry has stopped accepting is refused, so all must have arrived before the stop signal.
 		await waitUntil(async () => {
 			const {body} = await call(operators, '/v1/status', {method: 'GET', token: 'demo-operator'});
 			return Number(body.requestsInFlight) + answered === requestCount;
@@ -146,7 +146,7 @@
 	});
 });
 
-t.test('wrong settings end the daemon with exit code 2 before anything starts', async t => {
+t.test('invalid settings end the daemon with exit code 2 before it starts anything', async t => {
 	const folder = t.testdir({host: '{"role": "entry", "zone": "a"}'});
 	const child = spawn(process.execPath, [daemonProgram, '--settings', `${folder}/host`], {stdio: ['ignore', 'ignore', 'pipe']});
 	let text = '';
--- a/test/fleet-changes.test.ts
+++ b/test/fleet-changes.test.ts
@@ -7,7 +7,7 @@
 const quotePath = 'pipelines/quote/requests';
 const streamed = {body: quoteBody, headers: {accept: 'text/event-stream', 'deadline-ms': '20000'}};
 
-t.test('an upstream that is drained finishes its work and gets none', async t => {
+t.test('a draining upstream finishes its running work and gets no new work', async t => {
 	const fleet = await startFleet();
 	t.teardown(() => {
 		fleet.dispose();
@@ -25,7 +25,7 @@
 		t.equal(readEvents(answer.text).last, 'end');
 	}
 
-	// Counted only now: a call that the gate let through just before may still have been on its way to the engine.
+	// Counted only now, because a call that the gate admitted just before the drain may have reached the engine late.
 	const started = leaving.engine!.startedIds.length;
 
 	for (const entry of [0, 1]) {
@@ -36,7 +36,7 @@
 	t.equal(leaving.engine!.startedIds.length, started);
 });
 
-t.test('an upstream that the host list or the settings name as leaving gets no work', async t => {
+t.test('an upstream that is leaving by the host list or by the settings gets no work', async t => {
 	const fleet = await startFleet();
 	t.teardown(() => {
 		fleet.dispose();
@@ -62,7 +62,7 @@
 	t.equal(named.service!.ran.length, ran);
 });
 
-t.test('a planned stop of an agent and of an entry cuts off no request', async t => {
+t.test('a planned stop of an agent and of an entry aborts no request', async t => {
 	const fleet = await startFleet();
 	t.teardown(() => {
 		fleet.dispose();
@@ -80,7 +80,7 @@
 	t.equal((await call(fleet.callersOrigin(1), quotePath, {body: quoteBody})).body.outcome, 'completed');
 });
 
-t.test('settings reach every host, survive an outage, and come from peers while the store is down', async t => {
+t.test('settings reach every host, survive a store outage, and are read from peers during it', async t => {
 	const fleet = await startFleet();
 	t.teardown(() => {
 		fleet.dispose();
@@ -110,7 +110,7 @@
 	await fleet.startEntry(2);
 	await waitUntil(async () => (await readStatus(fleet, 2)).settingsRevision === 2);
 	await waitUntil(async () => (await call(fleet.callersOrigin(2), quotePath, {body: quoteBody})).body.outcome === 'completed');
-	t.pass('an entry that starts while the store is down serves with its peers\' settings');
+	t.pass('an entry that starts during a store outage serves with the settings of its peers');
 	fleet.platform.table.isDown = false;
 
 	const history = await call(fleet.operatorsOrigin(1), '/v1/settings/history?after=1', {method: 'GET', token: 'demo-operator'});
@@ -121,7 +121,7 @@
 	});
 });
 
-t.test('engines are brought to what the settings want, one holder giving the orders', async t => {
+t.test('engines load the models in the settings, ordered by a single lease holder', async t => {
 	const fleet = await startFleet();
 	t.teardown(() => {
 		fleet.dispose();
@@ -141,5 +141,5 @@
 		t.equal(new Set(engine.orders.map(order => order.epoch)).size, 1);
 	}
 
-	t.equal(fleet.platform.weightFetches, engines.flatMap(engine => engine.orders).filter(order => order.kind === 'load').length, 'nothing was loaded twice');
+	t.equal(fleet.platform.weightFetches, engines.flatMap(engine => engine.orders).filter(order => order.kind === 'load').length, 'no weights were loaded twice');
 });
--- a/test/fleet-harness.ts
+++ b/test/fleet-harness.ts
@@ -1,4 +1,4 @@
-/** A small fleet for tests across processes' borders: real daemons and real sockets on loopback. */
+/** Harness for integration tests: a small fleet of real daemons on real loopback sockets. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {fileURLToPath} from 'node:url';
@@ -9,7 +9,7 @@
 
 const declarationFile = fileURLToPath(new URL('../../examples/kaolack.jsonc', import.meta.url));
 
-/** Two of everything that a quote and a reservation need. */
+/** Two entries, and two upstreams in each pool that a quote and a reservation need. */
 export const smallFleet: FleetSpec = {
 	entries: 2,
 	models: [{model: 'sawmill-7b', version: 'v3', adapters: ['quotes', 'tallies']}],
@@ -29,7 +29,7 @@
 	],
 };
 
-/** An answer as a caller sees it. */
+/** A response as its caller receives it; `body` is empty if the text is not a JSON object. */
 export type CallResponse = {readonly status: number; readonly headers: Record<string, unknown>; readonly text: string; readonly body: Record<string, unknown>};
 
 export type CallOptions = {readonly headers?: Record<string, string>; readonly body?: string; readonly method?: 'GET' | 'POST'; readonly token?: string};
@@ -37,10 +37,11 @@
 const objectSchema = z.record(z.string(), z.unknown());
 
 /**
-Calls an entry.
-@param origin - where.
-@param path - below the workspace `buyers`, or from the root if it starts with a slash.
-@param options - headers, body, method.
+Sends a request to an entry.
+@param origin - origin of the entry.
+@param path - path below the workspace `buyers`, or from the root if it starts with a slash.
+@param options - headers, body, method and token.
+@returns the response.
 */
 export async function call(origin: string, path: string, options: CallOptions = {}): Promise<CallResponse> {
 	const httpResponse = await request(`${origin}${path.startsWith('/') ? path : `/v1/workspaces/buyers/${path}`}`, {
@@ -53,7 +54,7 @@
 	try {
 		body = objectSchema.parse(JSON.parse(text));
 	} catch {
-		// A stream of events, or text.
+		// Not JSON: an event stream or plain text.
 	}
 
 	return {
@@ -62,8 +63,8 @@
 }
 
 /**
-Waits until something holds; fails the test by its own time limit if it never does.
-@param condition - what should hold.
+Waits until a condition holds. There is no time-out of its own: if it never holds, the time-out of the test fails the test.
+@param condition - the condition, checked every 10 ms.
 */
 export async function waitUntil(condition: () => boolean | Promise<boolean>): Promise<void> {
 	while (!await condition()) {
@@ -72,9 +73,10 @@
 }
 
 /**
-Applies the venture's declaration through an entry.
+Applies the declaration of `examples/kaolack.jsonc` through an entry.
 @param fleet - the fleet.
-@param entry - number of the entry.
+@param entry - index of the entry.
+@throws Error if the declaration is invalid or the change is refused.
 */
 export async function applyDeclaration(fleet: LocalFleet, entry = 0): Promise<void> {
 	const nodes = readDeclaration(readFileSync(declarationFile), declarationFile);
@@ -82,7 +84,7 @@
 		throw new Error(JSON.stringify(nodes.error));
 	}
 
-	// These tests fail more often than the example allows retries for.
+	// These tests cause more failures than the retry share of the example covers.
 	nodes.value.set('/', {...nodes.value.get('/'), retryShare: 1});
 	const change = requestOf(planEdits(nodes.value, new Map()), 'initial', 'test');
 	const answer = await call(fleet.operatorsOrigin(entry), '/v1/settings/changes', {body: JSON.stringify(change), token: 'demo-operator'});
@@ -98,9 +100,10 @@
 });
 
 /**
-Reads an entry's status.
+Reads the status of an entry.
 @param fleet - the fleet.
-@param entry - number of the entry.
+@param entry - index of the entry.
+@returns the status.
 */
 export async function readStatus(fleet: LocalFleet, entry: number) {
 	const answer = await call(fleet.operatorsOrigin(entry), '/v1/status', {method: 'GET', token: 'demo-operator'});
@@ -108,8 +111,9 @@
 }
 
 /**
-Starts a fleet whose settings are in force everywhere.
-@param spec - what to start.
+Starts a fleet, and waits until its settings are in effect on every host.
+@param spec - hosts and upstreams to start.
+@returns the fleet.
 */
 export async function startFleet(spec: FleetSpec = smallFleet): Promise<LocalFleet> {
 	const fleet = await LocalFleet.create(spec);
@@ -125,9 +129,9 @@
 }
 
 /**
-Reads the events of a streamed answer.
-@param text - the body.
-@returns the text of its chunks, and the name of its last event.
+Parses the events of a streamed response.
+@param text - body of the response.
+@returns the joined text of its chunks, and the name of its last event.
 */
 export function readEvents(text: string): {readonly answer: string; readonly last: string} {
 	const events = text.split('\n\n').filter(event => event !== '');
--- a/test/fleet-requests.test.ts
+++ b/test/fleet-requests.test.ts
@@ -16,7 +16,7 @@
 	const engines = fleet.poolOf('models').map(upstream => upstream.engine!);
 	const stock = () => fleet.poolOf('stock').flatMap(upstream => upstream.service!.ran);
 
-	await t.test('the same request gets the same answer, streamed or whole, from any entry', async t => {
+	await t.test('the same request gets the same answer from any entry, streamed or in one response', async t => {
 		const headers = {'x-request-id': 'same-1'};
 		const whole = await call(first, quotePath, {body: quoteBody, headers});
 		const streamed = await call(second, quotePath, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
@@ -24,7 +24,7 @@
 		t.strictSame(readEvents(streamed.text), {answer: whole.body.answer, last: 'end'});
 	});
 
-	await t.test('a stream that is cut on one engine goes on on another, with nothing lost or doubled', async t => {
+	await t.test('a stream interrupted on one engine resumes on another without lost or repeated tokens', async t => {
 		const headers = {'x-request-id': 'cut-1'};
 		const expected = await call(first, quotePath, {body: quoteBody, headers});
 		engines[0].faults.cutAfterTokens = 7;
@@ -34,7 +34,7 @@
 		engines[1].faults.cutAfterTokens = Infinity;
 		const {answer, last} = readEvents(cut.text);
 		t.ok(String(expected.body.answer).startsWith(answer));
-		t.equal(last, 'error', 'three attempts were not enough, and the caller is told');
+		t.equal(last, 'error', 'three attempts were not enough, and the stream ends with an error');
 		engines[0].faults.cutAfterTokens = 30;
 		engines[1].faults.cutAfterTokens = 30;
 		const resumed = await call(first, quotePath, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
@@ -55,19 +55,19 @@
 			const again = await call(second, 'services/stock/reservations', options);
 			return again.status === 200 && again.headers['idempotent-replay'] === 'true';
 		});
-		t.equal(stock().filter(item => item === body).length, 1, 'a later repeat gets the same answer and runs nothing');
+		t.equal(stock().filter(item => item === body).length, 1, 'a later repeat gets the stored response and executes nothing');
 		const other = await call(first, 'services/stock/reservations', {...options, body: JSON.stringify({reserve: 'oak-3'})});
 		t.equal(other.body.code, 'idempotencyKeyReused');
 	});
 
-	await t.test('copies of one request, ids and all, that reach one entry at the same moment run once', async t => {
+	await t.test('copies of one request with the same ids that reach one entry concurrently run once', async t => {
 		const body = JSON.stringify({reserve: 'copies'});
 		const headers = {'idempotency-key': 'copies', 'not-repeatable': 'true', 'x-request-id': 'copies'};
 		await Promise.all(Array.from({length: 20}, async () => call(first, 'services/stock/reservations', {body, headers})));
 		t.equal(stock().filter(item => item === body).length, 1);
 	});
 
-	await t.test('a reservation whose answer is lost is told as unknown, and never run again', async t => {
+	await t.test('a reservation whose response is lost is reported as unknown and never executed again', async t => {
 		const body = JSON.stringify({reserve: 'lost-answer'});
 		const options = {body, headers: {'idempotency-key': 'lost-1', 'not-repeatable': 'true'}};
 		for (const upstream of fleet.poolOf('stock')) {
@@ -88,7 +88,7 @@
 		t.equal(stock().filter(item => item === body).length, 1);
 	});
 
-	await t.test('a post to a service is not retried once it may have run, marked or not', async t => {
+	await t.test('a POST to a service that may have been executed is not retried, even if not marked as not repeatable', async t => {
 		const body = JSON.stringify({note: 'unmarked'});
 		for (const upstream of fleet.poolOf('stock')) {
 			upstream.service!.faults.isDroppingAnswers = true;
@@ -103,7 +103,7 @@
 		t.equal(stock().filter(item => item === body).length, 1);
 	});
 
-	await t.test('with the store down, what must be registered is refused as not run, and the rest goes on', async t => {
+	await t.test('during a store outage, requests that need a claim are refused as not run, and others are served', async t => {
 		fleet.platform.table.isDown = true;
 		const body = JSON.stringify({reserve: 'store-down'});
 		const refused = await call(first, 'services/stock/reservations', {body, headers: {'idempotency-key': 'down-1', 'not-repeatable': 'true'}});
@@ -115,7 +115,7 @@
 		t.notOk(stock().includes(body));
 	});
 
-	await t.test('a lost answer of the store neither loses nor doubles a reservation', async t => {
+	await t.test('a lost response of the store neither loses nor repeats a reservation', async t => {
 		const body = JSON.stringify({reserve: 'lost-write'});
 		fleet.platform.table.loseAnswers = 1;
 		const answer = await call(first, 'services/stock/reservations', {body, headers: {'idempotency-key': 'lost-write', 'not-repeatable': 'true'}});
@@ -123,14 +123,14 @@
 		t.equal(stock().filter(item => item === body).length, 1);
 	});
 
-	await t.test('an engine that fails is passed by', async t => {
+	await t.test('requests complete on other engines while one engine fails', async t => {
 		engines[0].faults.isFailing = true;
 		const answers = await Promise.all(Array.from({length: 6}, async () => call(first, quotePath, {body: quoteBody})));
 		engines[0].faults.isFailing = false;
 		t.ok(answers.every(answer => answer.body.outcome === 'completed'));
 	});
 
-	await t.test('an agent that dies in the middle of an answer costs nothing but time', async t => {
+	await t.test('requests complete although an agent crashes while its engine generates', async t => {
 		const isWorking = (upstream: FleetUpstream) => upstream.engine!.state.batch.size > 0;
 		const pending = Promise.all(Array.from({length: 4}, async () => call(first, quotePath, {body: quoteBody, headers: {'deadline-ms': '10000'}})));
 		await waitUntil(() => fleet.poolOf('models').some(upstream => isWorking(upstream)));
@@ -139,11 +139,11 @@
 		const answers = await pending;
 		t.ok(answers.every(answer => answer.body.outcome === 'completed'));
 		await fleet.restartAgent(victim);
-		t.equal(victim.engine!.state.batch.size, 0, 'what ran without an owner was cancelled before the new agent took work');
+		t.equal(victim.engine!.state.batch.size, 0, 'calls left by the crashed agent were canceled before the new one accepted work');
 		await waitUntil(async () => (await readStatus(fleet, 0)).upstreams.every(upstream => upstream.state === 'live'));
 	});
 
-	await t.test('a request that can\'t end in time is refused at once, as not run', async t => {
+	await t.test('a request that can\'t meet its deadline is refused immediately as not run', async t => {
 		for (let count = 0; count < 10; count++) {
 			await call(first, quotePath, {body: quoteBody});
 		}
@@ -154,7 +154,7 @@
 		t.equal(engines.reduce((sum, engine) => sum + engine.startedIds.length, 0), runs);
 	});
 
-	await t.test('a caller that goes away frees the engine', async t => {
+	await t.test('the engine is freed when a caller disconnects', async t => {
 		const controller = new AbortController();
 		const gone = fetch(`${first}/v1/workspaces/buyers/${quotePath}`, {
 			method: 'POST', body: quoteBody, signal: controller.signal, headers: {authorization: 'Bearer demo-buyers'},
@@ -163,6 +163,6 @@
 		controller.abort();
 		await t.rejects(gone);
 		await waitUntil(() => engines.every(engine => engine.state.batch.size === 0));
-		t.pass('cancelled');
+		t.pass('canceled');
 	});
 });
