--- a/bench/attainment.ts
+++ b/bench/attainment.ts
@@ -1,4 +1,4 @@
-/** Attainment, latency and cost of a policy under a scenario, over real sockets on loopback. */
+/** Measures attainment, latency and cost of a policy in a scenario, over real loopback sockets. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {request} from 'undici';
@@ -12,7 +12,7 @@
 
 const warmUpMs = 1500;
 
-/** One measured run. */
+/** Results of one measured run. */
 export type AttainmentRun = {
 	readonly deployment: string;
 	readonly scenario: string;
@@ -25,22 +25,22 @@
 	readonly p50Ms: number;
 	readonly p95Ms: number;
 	readonly p99Ms: number;
-	/** Upstream time for each attained request, and the share of it that came to nothing. */
+	/** Upstream time for each attained request, and the share of the upstream time that was wasted. */
 	readonly costMs: number;
 	readonly wastedShare: number;
-	/** Share of the time the one process was busy; above 0.9 the figures say little. */
+	/** Share of time in which the event loop of the only process was busy; above 0.9 the results mean little. */
 	readonly busyShare: number;
 };
 
 const reportSchema = z.object({stages: z.array(z.object({usefulMs: z.number(), wastedMs: z.number()}))});
 
-/** What a run is made of. */
+/** Parameters of a run. */
 export type AttainmentOptions = {readonly deployment: Deployment; readonly scenario: Scenario; readonly policy: Policy; readonly durationMs: number; readonly seed: number};
 
 /**
 Measures one run.
-@param options - deployment, scenario, policy, length and seed.
-@returns the figures.
+@param options - deployment, scenario, policy, duration and seed.
+@returns the results.
 */
 export async function measureAttainment(options: AttainmentOptions): Promise<AttainmentRun> {
 	const {deployment, scenario, policy, durationMs, seed} = options;
@@ -52,7 +52,7 @@
 		kinds: deployment.kinds(scenario.isSharingPrefixes === true),
 		deadlineMs: deployment.deadlineMs,
 	};
-	// A short load first, so that every policy has connections and estimates.
+	// A short warm-up load, so that every policy starts with open connections and estimates.
 	await new LoadRun({
 		...plan, rateAt: () => deployment.steadyRate, durationMs: warmUpMs, seed: seed + 1,
 	}).run();
--- a/bench/check.ts
+++ b/bench/check.ts
@@ -1,4 +1,4 @@
-/** Checks kept results against the bounds. */
+/** Checks the saved results against the bounds in bench/bounds.jsonc. */
 import {readFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import {z} from 'zod';
@@ -45,7 +45,11 @@
 	});
 }
 
-/** @returns each bound that the results kept last do not hold. */
+/**
+Checks the results saved last.
+@returns a description of each violated bound.
+@throws Error if the file of the bounds is invalid.
+*/
 export function checkResults(): string[] {
 	const bounds = readBounds();
 	const decisions = readResults('decisions') ?? [];
--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -1,4 +1,4 @@
-/** What one decision costs, and how it grows with the number of upstreams. */
+/** Measures the time of single decisions, and how it grows with the number of upstreams. */
 import {Bench} from 'tinybench';
 import {ManualClock} from '../src/base/common/clock.js';
 import {SeededRandom} from '../src/base/common/random.js';
@@ -20,7 +20,7 @@
 
 const workload = {tokens: 48, startMs: 1000};
 
-/** One measured decision. */
+/** Measured time of one decision: the median, and the median absolute deviation as a share of it. */
 export type DecisionMeasurement = {readonly name: string; readonly microseconds: number; readonly spreadShare: number};
 
 function makeRouter(upstreams: number, clock: ManualClock): FleetRouter {
@@ -56,12 +56,12 @@
 	return plan.value;
 }
 
-/** A part that all engines keep before one that each has for itself, as a few instructions before many documents. */
+/** Prompt with a first part that all engines have cached and a second one that each has for itself, as where many documents share their instructions. */
 function promptOf(document: string): PromptPart[] {
 	return makePrompt([{id: 'instructions', tokens: 2500}, {id: document, tokens: 3800}, {id: 'own', tokens: 2900}]);
 }
 
-/** Gives the choice among engines that have been in use for a while. */
+/** Returns a function that chooses among engines that already have prompts in their caches. */
 function makeEngineChoice(count: number): () => void {
 	const engines = EngineChooser.create(EngineLoads.create());
 	const candidates = Array.from({length: count}, (_, number): Candidate => ({
@@ -77,12 +77,12 @@
 	};
 }
 
-/** Runs a whole request of one generating stage through its machine, with a token in each chunk. */
+/** Runs a complete request with one generating stage through its state machine, with one token in each chunk. */
 function runRequest(plan: RequestPlan, router: FleetRouter): void {
 	const machine = RequestMachine.create(plan, router);
 	const [action] = machine.handle({type: 'start'}, workload.startMs);
 	if (action.type !== 'dispatch') {
-		throw new Error(`expected a dispatch, got ${action.type}`);
+		throw new Error(`expected a dispatch action, got ${action.type}`);
 	}
 
 	const {dispatchId} = action.message;
@@ -108,9 +108,9 @@
 }
 
 /**
-Measures each decision.
-@param timeMs - time spent on each.
-@returns the figures.
+Measures all decisions.
+@param timeMs - time to spend on each.
+@returns the measurements.
 */
 export async function measureDecisions(timeMs: number): Promise<DecisionMeasurement[]> {
 	const clock = ManualClock.create(workload.startMs);
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -1,4 +1,4 @@
-/** Both users' deployments at the size of today, with the mix of requests they send. */
+/** The deployments of both users at their present size, with the mix of requests that their callers send. */
 import {fileURLToPath} from 'node:url';
 import {kaolackFleet, kookpakketFleet, type FleetSpec} from '../examples/local-fleet.js';
 import type {Random} from '../src/base/common/random.js';
@@ -12,11 +12,11 @@
 	readonly workspaces: ReadonlyArray<{readonly name: string; readonly share: number}>;
 	readonly kinds: (isSharingPrefixes: boolean) => LoadKind[];
 	readonly deadlineMs: number;
-	/** Requests a second that keep the engines about two thirds busy. */
+	/** Requests per second that keep the engines about two thirds busy. */
 	readonly steadyRate: number;
 };
 
-/** Slower engines than the quickstart's, so that one process carries engines, agents, entries and load. */
+/** Slower than the engines of the quickstart, so that one process can run engines, agents, entries and the load generator. */
 const benchEngineSpeed = {
 	slots: 4, stepMs: 20, batchShare: 0.05, prefillSteps: 4,
 };
--- a/bench/hop.ts
+++ b/bench/hop.ts
@@ -1,4 +1,4 @@
-/** What the way through entry and agent adds to a call, against calling the upstream itself. */
+/** Measures the time that entry and agent add to a call, compared with calling the upstream directly. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {fileURLToPath} from 'node:url';
@@ -8,10 +8,10 @@
 
 const callCount = 300;
 const stageMs = 20;
-/** Calls before the measurement, so that the compiler has done its work. */
+/** Batches of calls before the measurement, so that the code has been compiled by the JIT compiler. */
 const warmUpBatches = 60;
 
-/** The hop against a stage of 20 ms. */
+/** Median times of direct calls and of calls through the fleet, and the added time as a share of a stage of 20 ms. */
 export type HopMeasurement = {readonly directMs: number; readonly throughMs: number; readonly addedShare: number};
 
 function median(values: readonly number[]): number {
@@ -19,8 +19,8 @@
 }
 
 /**
-Measures the hop: calls of both kinds in turn, one at a time.
-@returns middle times, and what is added as a share of a stage of 20 ms.
+Measures the hop with calls of both kinds in turn, one at a time.
+@returns the median times, and the added time as a share of a stage of 20 ms.
 */
 export async function measureHop(): Promise<HopMeasurement> {
 	const fleet = await LocalFleet.create({
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,4 +1,4 @@
-/** Open-loop load: arrivals come when they are due, however slow the answers. */
+/** Open-loop load generator: requests are sent when they are due, regardless of how slow the responses are. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {build, type Histogram} from 'hdr-histogram-js';
 import {Agent, request} from 'undici';
@@ -7,7 +7,7 @@
 /** One kind of request in the mix. */
 export type LoadKind = {
 	readonly name: string;
-	/** Share of all requests. */
+	/** Weight of this kind in the mix of requests. */
 	readonly share: number;
 	readonly path: string;
 	readonly method: 'GET' | 'POST';
@@ -15,27 +15,27 @@
 	readonly body: (number: number, random: Random) => string | undefined;
 };
 
-/** What is sent. */
+/** Parameters of a load. */
 export type LoadPlan = {
 	readonly origins: readonly string[];
-	/** Workspaces with their share of the requests. */
+	/** Workspaces with their weight in the mix of requests. */
 	readonly workspaces: ReadonlyArray<{readonly name: string; readonly share: number}>;
 	readonly kinds: readonly LoadKind[];
 	readonly deadlineMs: number;
-	/** Requests a second at a time since the start. */
+	/** Returns the requests per second at a time since the start. */
 	readonly rateAt: (atMs: number) => number;
 	readonly durationMs: number;
 	readonly seed: number;
 };
 
-/** How the requests of one workspace fared, as its callers saw it. */
+/** Outcomes of the requests of one workspace or one kind, as seen by the callers. */
 export type OutcomeCounts = {requests: number; attained: number; refused: number; late: number; other: number};
 
-/** What came of a load. */
+/** Results of a load. */
 export type LoadResult = {
 	readonly workspaces: ReadonlyMap<string, OutcomeCounts>;
 	readonly latency: Histogram;
-	/** Times of answers by kind. */
+	/** Outcomes by kind of request. */
 	readonly byKind: ReadonlyMap<string, OutcomeCounts>;
 };
 
@@ -57,7 +57,7 @@
 	};
 }
 
-/** Sends a load and waits for all its answers. */
+/** Sends a load, and waits for all responses. */
 export class LoadRun {
 	readonly latency = build({lowestDiscernibleValue: 1, highestTrackableValue: 600_000, numberOfSignificantValueDigits: 2});
 	readonly workspaces = new Map<string, OutcomeCounts>();
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`: figures on decisions, the hop, attainment and slopes, kept and written into the docs. */
+/** `npm run bench`: measures decisions, the hop, attainment and slopes, saves the results, and writes them into the docs. */
 import process from 'node:process';
 import sade from 'sade';
 import {measureAttainment, type AttainmentRun} from './attainment.js';
@@ -64,7 +64,7 @@
 	}
 
 	if (flags.keep) {
-		// Other deployments, and other scenarios, keep what was measured of them before.
+		// Saved runs of combinations of deployment, scenario and policy that were not measured now are kept.
 		const isMeasured = (old: AttainmentRun) => runs.some(run => run.deployment === old.deployment && run.scenario === old.scenario && run.policy === old.policy);
 		saveResults('attainment', [...(readResults('attainment') ?? []).filter(old => !isMeasured(old)), ...runs]);
 	}
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -1,4 +1,4 @@
-/** The policies that are measured against each other: the product's, and plain ones as baselines. */
+/** The policies that are compared: that of the product, and simple baselines. */
 import {instanceCachingFactory, type DependencyContainer} from 'tsyringe';
 import {defaultLimits} from '../src/agent/node/agent-service.js';
 import {randomToken} from '../src/base/common/random.js';
@@ -13,10 +13,10 @@
 } from '../src/routing/common/chooser.js';
 import {ArrivalQueue} from '../src/routing/common/fair-queue.js';
 
-/** A policy by name, and how it is put into a daemon. */
+/** A named policy, with a function that registers its components in the container of a daemon; none for the default policy. */
 export type Policy = {readonly name: string; readonly adjust?: (parts: DependencyContainer) => void};
 
-/** A baseline: a plain choice, first come first served, no ejection, no refusal by predicted time. */
+/** Creates a baseline policy: a simple choice of upstreams and FIFO queues, without ejection and without refusals by predicted time. */
 function baseline(name: string, chooserOf: (parts: DependencyContainer) => UpstreamChooser): Policy {
 	return {
 		name,
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -1,4 +1,4 @@
-/** Results as files and as the tables of docs/MEASUREMENTS.md. */
+/** Saves results to files, and renders them as the tables of docs/MEASUREMENTS.md. */
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import type {AttainmentRun} from './attainment.js';
@@ -6,7 +6,7 @@
 import type {HopMeasurement} from './hop.js';
 import type {SlopeMeasurement} from './slopes.js';
 
-/** Everything measured, as kept in bench/results. */
+/** All results; each part is saved in a file of its own in bench/results. */
 export type Results = {
 	readonly decisions: DecisionMeasurement[];
 	readonly hop: HopMeasurement;
@@ -23,8 +23,8 @@
 }
 
 /**
-Keeps results of one part.
-@param part - which.
+Saves the results of one part, replacing the former ones.
+@param part - the part.
 @param value - the results.
 */
 export function saveResults<K extends keyof Results>(part: K, value: Results[K]): void {
@@ -33,9 +33,9 @@
 }
 
 /**
-Reads the results kept last.
-@param part - which.
-@returns them, or nothing where there are none.
+Reads the results of one part that were saved last.
+@param part - the part.
+@returns the results, or undefined if there are none.
 */
 export function readResults<K extends keyof Results>(part: K): Results[K] | undefined {
 	try {
@@ -60,13 +60,13 @@
 	return sorted.length % 2 === 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2;
 }
 
-/** One policy's runs of one scenario, joined. */
+/** The rounds of one deployment, scenario and policy, aggregated; `lowest` and `highest` are attainments. */
 export type AggregatedRun = AttainmentRun & {readonly lowest: number; readonly highest: number; readonly rounds: number};
 
 /**
-Joins the rounds of each deployment, scenario and policy.
+Aggregates the rounds of each deployment, scenario and policy.
 @param runs - all runs.
-@returns the median of each figure, with the lowest and highest attainment.
+@returns the median of each value over the rounds, the highest `busyShare`, and the lowest and highest attainment.
 */
 export function aggregateRounds(runs: readonly AttainmentRun[]): AggregatedRun[] {
 	return Array.from(groupRuns(runs).values(), group => {
@@ -131,7 +131,7 @@
 	return value && to > from ? `${text.slice(0, from)}\n${renderers[part](value)}\n${text.slice(to)}` : text;
 }
 
-/** Writes the tables between their marks in docs/MEASUREMENTS.md. */
+/** Replaces the tables between their marker comments in docs/MEASUREMENTS.md. */
 export function writePage(): void {
 	let text = readFileSync(page, 'utf8');
 	text = fillTable(text, 'decisions');
--- a/bench/scenarios.ts
+++ b/bench/scenarios.ts
@@ -1,23 +1,23 @@
-/** What happens to a fleet while it is measured. */
+/** Scenarios in which a fleet is measured. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {LocalFleet} from '../examples/local-fleet.js';
 
-/** A scenario: how much load comes, and what goes wrong. */
+/** A scenario: the load over time, and the faults that are injected. */
 export type Scenario = {
 	readonly name: string;
-	/** Load against the steady one, at a share of the whole time. */
+	/** Returns the load relative to the steady rate, at a point in time given as a share of the duration. */
 	readonly loadFactorAt: (share: number) => number;
-	/** Brings the trouble about; called when the load starts. */
+	/** Injects the faults; called when the load starts. */
 	readonly injectFaults: (fleet: LocalFleet, durationMs: number) => Promise<void> | void;
-	/** Requests share prompt prefixes. */
+	/** Whether requests share prompt prefixes. */
 	readonly isSharingPrefixes?: boolean;
 };
 
 const steady = () => 1;
 
 export const scenarios: readonly Scenario[] = [
-	{name: 'steady', loadFactorAt: steady, injectFaults() {/* Nothing goes wrong. */}},
-	{name: 'burst of 3×', loadFactorAt: share => (share > 0.3 && share < 0.6 ? 3 : 1), injectFaults() {/* The load is the trouble. */}},
+	{name: 'steady', loadFactorAt: steady, injectFaults() {/* No faults. */}},
+	{name: 'burst of 3×', loadFactorAt: share => (share > 0.3 && share < 0.6 ? 3 : 1), injectFaults() {/* No faults besides the load. */}},
 	{
 		name: 'one slow engine',
 		loadFactorAt: steady,
@@ -57,7 +57,7 @@
 		},
 	},
 	{
-		name: 'shared prefixes', loadFactorAt: steady, isSharingPrefixes: true, injectFaults() {/* Nothing goes wrong. */},
+		name: 'shared prefixes', loadFactorAt: steady, isSharingPrefixes: true, injectFaults() {/* No faults. */},
 	},
 	{
 		name: 'an agent killed',
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,4 +1,4 @@
-/** How state, time and traffic grow: the slopes that docs/CAPACITY.md is worked out from. */
+/** Measures how memory, time and traffic grow with the size of a fleet; docs/CAPACITY.md is derived from these slopes. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
@@ -14,14 +14,14 @@
 import {MemberTable} from '../src/membership/common/member-table.js';
 import {makeSnapshot, makeTree} from './synthetic-settings.js';
 
-/** Copies that memory is measured over, so that the collector's noise is small against it. */
+/** Number of copies over which memory is measured, so that the noise of the garbage collector is small compared with their size. */
 const treeCopies = 20;
 
-/** One measured point. */
+/** One measured value: what was measured, at which size, and its unit. */
 export type SlopeMeasurement = {readonly what: string; readonly at: string; readonly value: number; readonly unit: string};
 
 setFlagsFromString('--expose_gc');
-// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- the flag above brings this function
+// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- the flag above exposes this function
 const collectGarbage = runInNewContext('gc') as () => void;
 
 function heapBytes(): number {
@@ -40,7 +40,10 @@
 	return times.toSorted((a, b) => a - b)[2];
 }
 
-/** Settings at three sizes: memory, taking over a snapshot, checking a change, looking up. */
+/**
+Measures settings of three sizes: their memory, and the times to restore a snapshot, check a change and look up a policy.
+@returns the measurements.
+*/
 export function measureSettings(): SlopeMeasurement[] {
 	return [5, 500, 4800].flatMap(workspaces => {
 		const at = `${workspaces} workspaces`;
@@ -90,7 +93,10 @@
 	});
 }
 
-/** Bytes of the control messages on one link. */
+/**
+Measures the encoded size of the control messages on one connection.
+@returns the measurements.
+*/
 export function measureControlFrames(): SlopeMeasurement[] {
 	const load = {
 		running: 7, queued: 3, slots: 8, serviceMs: 512.25, models: [{model: 'sawmill-7b', version: 'v3', adapters: ['quotes', 'tallies']}],
@@ -109,7 +115,10 @@
 	}));
 }
 
-/** An idle fleet's processor time and memory against its number of links. */
+/**
+Measures the processor time and memory of an idle fleet against its number of connections.
+@returns the measurements.
+*/
 export async function measureIdleFleet(): Promise<SlopeMeasurement[]> {
 	const figures: SlopeMeasurement[] = [];
 	for (const [entries, count] of [[2, 0], [34, 0], [1, 8], [1, 32], [1, 96], [5, 96]]) {
@@ -141,7 +150,10 @@
 	return figures;
 }
 
-/** Memory of an entry's knowledge of upstreams. */
+/**
+Measures the memory of the member table in which an entry tracks the upstreams.
+@returns the measurements.
+*/
 export function measureMembers(): SlopeMeasurement[] {
 	return [8, 730].map(count => {
 		const clock = ManualClock.create();
@@ -161,7 +173,10 @@
 	});
 }
 
-/** Time from the acceptance of a change until it is in force on every entry. */
+/**
+Measures the time from sending a change of the settings until it is in effect on every entry, and the load on the table service meanwhile.
+@returns the measurements.
+*/
 export async function measureInForce(): Promise<SlopeMeasurement[]> {
 	const figures: SlopeMeasurement[] = [];
 	for (const hosts of [2, 8, 32, 100]) {
@@ -214,9 +229,12 @@
 	return performance.now() - startMs;
 }
 
-/** @returns all slopes. */
+/**
+Measures everything in this file.
+@returns the measurements.
+*/
 export async function measureSlopes(): Promise<SlopeMeasurement[]> {
-	// The tree is made once before, so that what is measured does not include the schemas.
+	// Makes one tree first, so that the measured memory does not include that of the schemas.
 	makeTree(5);
 	return [
 		...measureSettings(), ...measureMembers(), ...measureControlFrames(), ...await measureIdleFleet(), ...await measureInForce(),
--- a/bench/synthetic-settings.ts
+++ b/bench/synthetic-settings.ts
@@ -1,4 +1,4 @@
-/** Trees of settings at any size, for slopes. */
+/** Synthetic settings trees of any size, for the benchmarks. */
 import {flatten} from '../src/settings/common/node-path.js';
 import {SettingsTree, type SettingsSnapshot} from '../src/settings/common/settings-tree.js';
 
@@ -6,7 +6,7 @@
 
 /**
 Makes the settings of a fleet: 34 pipelines of four stages, and workspaces that override some of them.
-@param workspaces - how many.
+@param workspaces - number of workspaces.
 @returns a snapshot.
 */
 export function makeSnapshot(workspaces: number): SettingsSnapshot {
@@ -36,8 +36,9 @@
 }
 
 /**
-Makes a tree of that size.
-@param workspaces - how many.
+Makes a settings tree from such a snapshot.
+@param workspaces - number of workspaces.
+@returns the tree.
 */
 export function makeTree(workspaces: number): SettingsTree {
 	const tree = SettingsTree.create();
--- a/scripts/bundle.js
+++ b/scripts/bundle.js
@@ -1,5 +1,5 @@
 /**
-Makes the program of the users' platform: one file with all it needs, the compiled code of what runs at
+Builds the program of the users' platform: a bundle with all of its dependencies, a code cache of the functions that run at
 each start, and the launcher that runs them.
 */
 import {copyFileSync, mkdirSync, writeFileSync} from 'node:fs';
@@ -10,7 +10,7 @@
 
 const folder = process.argv[2] ?? 'target';
 
-/** Modules of Node.js are had by `require`: the program is run as one function, which can't import. */
+/** Loads the built-in modules of Node.js with `require`, because the bundle runs as one function, which can't contain imports. */
 const requireBuiltins = {
 	name: 'require-builtins',
 	setup(builder) {
@@ -22,8 +22,8 @@
 };
 
 /**
-Of the HTTP client only the parts that this program uses, put together as the library's own index does it:
-the rest of it (fetch, sockets of the web, caches, mocks) takes a third of a start.
+Only the parts of the HTTP client that the program uses, combined as in the library's own index. Loading the other parts
+(fetch, WebSocket, caches, mocks) takes a third of the start time.
 */
 const usedClientParts = `
 	import Dispatcher from 'undici/lib/dispatcher/dispatcher.js';
@@ -40,27 +40,27 @@
 	},
 };
 
-/** All modules as the text of one function; it hands over the program's `main` once they have run. */
+/** Returns the source of one function that contains all modules and passes the program's `main` to a callback once they have run. */
 async function bundle() {
 	const {outputFiles: [{text}]} = await build({
-		stdin: {contents: 'import {main} from \'./platform/main.js\'; handOver(main);', resolveDir: '.', loader: 'ts'},
+		stdin: {contents: 'import {main} from \'./platform/main.js\'; onLoaded(main);', resolveDir: '.', loader: 'ts'},
 		bundle: true,
 		platform: 'node',
 		format: 'esm',
 		target: 'node20',
 		minifyWhitespace: true,
-		// Licences stand beside the libraries, which are installed for the build.
+		// Licenses are omitted from the bundle; they are next to the libraries, which are installed for the build.
 		legalComments: 'none',
 		write: false,
 		logLevel: 'warning',
-		// A function has no address of its own: libraries look for optional addons, which are not there, from the launcher's.
+		// A function has no module URL, so libraries get that of the launcher, from which they look for optional addons (there are none).
 		define: {'import.meta.url': 'programUrl'},
 		plugins: [requireBuiltins, useClientParts],
 	});
-	return `(async function (require, programUrl, handOver) {${text}\n})`;
+	return `(async function (require, programUrl, onLoaded) {${text}\n})`;
 }
 
-/** The modules are run once, so that the functions they call meanwhile are in the compiled code; the program is not started. */
+/** Creates the code cache. Runs the modules once, so that it includes the functions that are called on loading; the program is not started. */
 async function compile(program) {
 	const script = new Script(program, {filename: 'program.txt'});
 	await new Promise((resolve, reject) => {
--- a/scripts/launcher.cjs
+++ b/scripts/launcher.cjs
@@ -1,6 +1,7 @@
 /*
-Runs the bundled program with its compiled code, which `bundle.js` has put beside it: compiling it anew
-took more than half of a start. Code of another version of Node.js is not taken; it is compiled then.
+Runs the bundled program with the code cache that `bundle.js` has written next to it, because compiling the program
+took more than half of the start time. A cache made by another version
+of Node.js, or with other V8 options, is rejected, and the program is then compiled.
 */
 const {readFileSync} = require('node:fs');
 const path = require('node:path');
@@ -14,8 +15,8 @@
 	cachedData: readFileSync(path.join(__dirname, 'program.cache')),
 });
 if (script.cachedDataRejected) {
-	process.stderr.write('pumicehatch: the compiled code was not taken; it is of another version of Node.js.\n');
+	process.stderr.write('pumicehatch: the code cache was rejected because it was created by another version of Node.js or with other V8 options.\n');
 }
 
-// The program hands over its `main` once its modules are there.
+// The program passes its `main` to the callback once its modules are loaded.
 script.runInThisContext()(require, pathToFileURL(__filename).href, main => main());
--- a/test/platform/bundled-program.test.ts
+++ b/test/platform/bundled-program.test.ts
@@ -71,7 +71,7 @@
 	await until(() => [server.serverId, startedMessage, 'in force'].every(text => readOutput().includes(text)));
 	const answer = await ask({callers: callersOf(readOutput())}, {path: '/look/1'});
 	t.equal(answer.status, 200);
-	t.notMatch(readOutput(), /compiled code was not taken/v);
+	t.notMatch(readOutput(), /code cache was rejected/v);
 	child.kill('SIGTERM');
 	t.same(await exit, [0, null], 'it ends by itself, by no signal');
 });
--- a/test/world-commands.ts
+++ b/test/world-commands.ts
@@ -1,7 +1,7 @@
 /** Commands of the fuzzers: each performs an action in a simulated world, and checks the world afterwards. */
 import fc from 'fast-check';
 
-/** fast-check's model is unused, because each world has its own oracle. */
+/** The model of fast-check commands is empty, because each world has its own oracle. */
 type Model = Record<string, never>;
 
 /** A command that performs one action in a world. */
@@ -67,7 +67,7 @@
 	makeWorld: () => World,
 	breaches: (world: World) => Promise<readonly string[]> | readonly string[],
 ) {
-	return fc.asyncProperty(fc.commands([...commands], {maxCommands: maxCommands, size: 'max'}), async run => {
+	return fc.asyncProperty(fc.commands([...commands], {maxCommands, size: 'max'}), async run => {
 		const world = makeWorld();
 		await fc.asyncModelRun(() => ({model: {}, real: world}), run);
 		await world.settle();
--- a/tools/caller-value-main.ts
+++ b/tools/caller-value-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run caller-value -- WORTHS < LOGS`: sums what a run was worth to callers; WORTHS is JSON with comments. */
+/** `npm run caller-value -- WORTHS < LOGS`: computes the value of a run to its callers; WORTHS is a file of request values, JSON with comments. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import {parse} from 'jsonc-parser';
--- a/tools/caller-value.test.ts
+++ b/tools/caller-value.test.ts
@@ -16,14 +16,14 @@
 	outcome: 'completed', status: 200, firstMs, tookMs: firstMs + 500, sinceFirstTryMs, attempts: 'e1 first completed 0+1',
 });
 
-t.test('credit counts from the first try, and only first tries are owed', async t => {
+t.test('the time to an answer counts from the first try, and only first tries add to the maximum credit', async t => {
 	t.match(sumCallerValue([served(900, 0)], worths), {owed: 4, credit: 4, share: 1});
 	t.match(sumCallerValue([served(1100, 0)], worths), {owed: 4, credit: 1});
 	const cameBack = [line(refusedAtDoor, {sinceFirstTryMs: 0}), served(300, 800)];
-	t.match(sumCallerValue(cameBack, worths), {owed: 4, credit: 1}, 'in time for itself, late for its caller');
+	t.match(sumCallerValue(cameBack, worths), {owed: 4, credit: 1}, 'in time after this try, but late after the first one');
 });
 
-t.test('waiting that ends unserved is charged by its length, a failed second try besides', async t => {
+t.test('waiting without being served is charged by its length, and a failed repeated try in addition', async t => {
 	const given = (tookMs: number, sinceFirstTryMs = 0) => line(ended, {
 		outcome: 'refused', tookMs, sinceFirstTryMs, attempts: '',
 	});
@@ -34,6 +34,6 @@
 	t.equal(whole, 0.4);
 	t.equal(sumCallerValue([given(100, 800)], worths).failedAgain, 1.2);
 	const offered = line(ended, {outcome: 'failed', tookMs: 5000, attempts: 'e1 first unknown 0+1'});
-	t.equal(sumCallerValue([offered], worths).waited, 0, 'an upstream had it');
+	t.equal(sumCallerValue([offered], worths).waited, 0, 'it was sent to an upstream');
 	t.equal(sumCallerValue([line(ended, {targetMs: 7})], worths).owed, 0, 'another target');
 });
--- a/tools/caller-value.ts
+++ b/tools/caller-value.ts
@@ -1,41 +1,42 @@
 /**
-What a run was worth to callers, summed from the log lines of all hosts. Credit counts from a caller's first try;
-waiting that ends unserved is charged by its length, without steps; a second try that fails is charged like a second
-refusal. What never reached a host is not in its logs, and so not in the sum.
+Computes the value of a run to its callers from the log lines of all hosts. The time to an answer counts from the caller's
+first try. Waiting that ends unserved is charged in proportion to its length, without steps; a repeated try that fails is
+charged like a second refusal. Requests that never reached a host are in no log, and so not in the sum.
 */
 import {numberOf, textOf, type LogLine} from '../src/cli/common/log-lines.js';
 import {isFinal, judge, verdicts} from '../src/cli/common/verdicts.js';
 import {requestLogMessages} from '../src/request/common/request-log-messages.js';
 
-/** What requests with one target are worth. */
+/** Value of a request with a certain target time: if it is answered in time, and if it is answered late. */
 export type RequestValue = {readonly targetMs: number; readonly inTime: number; readonly late: number};
 
-/** The parts of a sum, in the unit of the worths. */
+/** The parts of the sum, in the unit of the request values. */
 export type CallerValue = {
-	/** What first tries could have earned. */
+	/** Maximum credit: the value of all first tries if they had been answered in time. */
 	readonly owed: number;
 	readonly credit: number;
 	readonly waited: number;
 	readonly failedAgain: number;
-	/** Credit less charges, as a share of what was owed. */
+	/** Credit less charges, as a share of the maximum credit. */
 	readonly share: number;
 };
 
-/** Waiting up to this part of the target is free: a caller that is refused at once has lost nothing. */
+/** Waiting up to this share of the target is not charged, because a caller that is refused immediately has lost nothing. */
 const freeWaitShare = 0.125;
-/** Waiting this part of the target and ending unserved costs all that the request was worth, less the share below. */
+/** Waiting for this share of the target or longer, without being served, is charged in full. */
 const fullChargeWaitShare = 0.75;
-/** What unserved waiting of full length costs, as a share of what the request was worth. */
+/** Full charge for waiting without being served, as a share of the value of the request. */
 const maxWaitCostShare = 0.1;
-/** What a try costs that came back and was not served either. */
+/** Charge for a repeated try that is not served either, as a share of the value of the request. */
 const failedRetryCostShare = 0.3;
-/** Clocks of callers and the way here: a try that began less than this ago is a first one. */
+/** A try with a smaller age than this counts as the first one; allows for differences between the callers' clocks and for network latency. */
 const maxFirstTryAgeMs = 150;
 
 /**
-Sums what callers got.
-@param lines - of all hosts.
-@param requestValues - by target; requests with another target count for nothing.
+Sums the value to callers.
+@param lines - log lines of all hosts.
+@param requestValues - request values by target; requests with any other target are ignored.
+@returns the sum and its parts.
 */
 export function sumCallerValue(lines: readonly LogLine[], requestValues: readonly RequestValue[]): CallerValue {
 	const sum = {
@@ -69,7 +70,7 @@
 	}
 }
 
-/** Whether an upstream was asked to run the request itself: time there is not waiting. */
+/** Whether the request itself was sent to an upstream; time spent there is not charged as waiting. */
 function wasSentToUpstream(line: LogLine): boolean {
 	return line.message === requestLogMessages.ended && textOf(line, 'attempts') !== '';
 }
--- a/tools/settings-page.ts
+++ b/tools/settings-page.ts
@@ -1,4 +1,4 @@
-/** Makes docs/SETTINGS.md of the schemas, so that the page can't differ from what is checked. */
+/** Generates docs/SETTINGS.md from the schemas, so that the page can't differ from the validation. */
 import {z} from 'zod';
 import {hostSettingsSchema} from '../src/daemon/common/host-settings.js';
 import {
@@ -23,7 +23,7 @@
 const defaults: Readonly<Record<string, unknown>> = policyDefaults;
 
 function schemaOf(schema: z.ZodType): JsonSchema {
-	// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- the part of JSON Schema that this page needs
+	// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- the subset of JSON Schema that this page uses
 	return z.toJSONSchema(schema, {io: 'input', unrepresentable: 'any'}) as JsonSchema;
 }
 
@@ -101,7 +101,10 @@
 	}).join('\n\n');
 }
 
-/** @returns the text of docs/SETTINGS.md. */
+/**
+Generates the page.
+@returns the text of docs/SETTINGS.md.
+*/
 export function makeSettingsPage(): string {
 	return `# Settings
 
--- a/tools/test-verdict.ts
+++ b/tools/test-verdict.ts
@@ -1,46 +1,46 @@
 /**
-The verdict over a whole run of the tests: a run passes if every test did, but for those listed as known to fail.
-Reads the lines that tap writes: files stand at the margin, their tests four spaces deep.
+Decides whether a run of all tests passes: every test must pass, except those listed as known to fail.
+Reads the output of tap, in which lines of files are not indented and lines of their tests are indented by four spaces.
 */
 
-/** Most tests that may be listed at a time; what more fails must be mended before it lands. */
+/** Maximum number of listed tests; any further failing test must be fixed before a change is merged. */
 export const maxKnownFailures = 3;
 
 /** A test that is known to fail. */
 export type KnownFailure = {readonly test: string; readonly cause: string; readonly issue: string};
 
 const testLine = /^ {4}(?<not>not )?ok \d+ - (?<name>.*?)(?: # .*)?(?: \{)?$/v;
-/** How many tests a file had; it comes after them, and not at all where the file's process was ended from outside. */
+/** Number of tests in a file. It follows the tests, and is missing if the process of the file was terminated from outside. */
 const planLine = /^ {4}1\.\.(?<count>\d+)$/v;
 const fileLine = /^(?<not>not )?ok \d+ - (?<name>.*?)(?: # .*)?(?: \{)?$/v;
 
 /**
 Reads the list of tests that are known to fail.
-@param text - one line for each: the test, its cause and its issue, between bars.
+@param text - one line for each test: its name, cause and issue, separated by `|`.
 @returns the tests.
-@throws Error for a line that lacks a part, and for too many lines.
+@throws Error if a line lacks a field, or if there are too many lines.
 */
 export function readKnownFailures(text: string): KnownFailure[] {
 	const lines = text.split('\n').filter(line => line.trim() !== '');
 	if (lines.length > maxKnownFailures) {
-		throw new Error(`${lines.length} tests are listed as known to fail; ${maxKnownFailures} may be.`);
+		throw new Error(`${lines.length} tests are listed as known to fail; the maximum is ${maxKnownFailures}.`);
 	}
 
 	return lines.map(line => {
 		const [test = '', cause = '', issue = ''] = line.split('|').map(part => part.trim());
 		if (test === '' || cause === '' || issue === '') {
-			throw new Error(`A test that is known to fail is listed as "test | cause | issue"; this line is not: ${line}`);
+			throw new Error(`A known failure must be listed as "test | cause | issue", but this line is not: ${line}`);
 		}
 
 		return {test, cause, issue};
 	});
 }
 
-/** Counts tests as they end. */
+/** Counts passed and failed tests from the output of tap. */
 export class TestVerdict {
 	/**
-	Makes a verdict over nothing so far.
-	@param known - tests that may fail.
+	Creates a verdict without any results yet.
+	@param known - tests that are allowed to fail.
 	*/
 	static create(known: readonly KnownFailure[]): TestVerdict {
 		return new TestVerdict(known);
@@ -51,21 +51,21 @@
 	/** Listed tests that failed, and listed tests that passed. */
 	readonly listedFailed: KnownFailure[] = [];
 	readonly listedPassed: KnownFailure[] = [];
-	/** Files that failed without a failing test that tells why, as when their process ended early. */
+	/** Number of failed files whose failure is not explained by a failed test, such as files whose process exited early. */
 	private unexplainedCount = 0;
-	/** Tests of the file being read: all, those that failed, and how many there should be. */
+	/** Tests of the current file: number read, number failed, and number planned. */
 	private countInFile = 0;
 	private failedInFile = 0;
 	private plannedInFile: number | undefined;
 
 	private constructor(private readonly known: readonly KnownFailure[]) {}
 
-	/** Whether only listed tests failed, and something passed. */
+	/** Whether only listed tests failed and at least one other test passed. */
 	get hasPassed(): boolean {
 		return this.failedCount === 0 && this.unexplainedCount === 0 && this.passedCount > 0;
 	}
 
-	/** Takes one line of the output. */
+	/** Processes one line of the output. */
 	read(line: string): void {
 		const test = testLine.exec(line)?.groups;
 		const plan = planLine.exec(line)?.groups;
@@ -79,7 +79,7 @@
 		}
 	}
 
-	/** A file that failed is explained by its tests only if all of them were run. */
+	/** A failed file is explained by its failed tests only if all of its planned tests were run. */
 	private endFile(isPassed: boolean): void {
 		const isExplained = this.failedInFile > 0 && this.countInFile === this.plannedInFile;
 		this.unexplainedCount += isPassed || isExplained ? 0 : 1;
