--- a/scripts/launcher.cjs
+++ b/scripts/launcher.cjs
@@ -1,7 +1,7 @@
 /*
 Runs the bundled program with the code cache that `bundle.js` has written next to it, because compiling the program
-took more than half of the start time. A cache made by another version
-of Node.js, or with other V8 options, is rejected, and the program is then compiled.
+took more than half of the start time. A cache created by another version of Node.js, or with other
+V8 options, is rejected, and the program is then compiled.
 */
 const {readFileSync} = require('node:fs');
 const path = require('node:path');
--- a/test/fleet-requests.test.ts
+++ b/test/fleet-requests.test.ts
@@ -163,6 +163,6 @@
 		controller.abort();
 		await t.rejects(gone);
 		await waitUntil(() => engines.every(engine => engine.state.batch.size === 0));
-		t.pass('canceled');
+		t.pass('cancelled');
 	});
 });
--- a/tools/test-verdict.ts
+++ b/tools/test-verdict.ts
@@ -23,7 +23,7 @@
 export function readKnownFailures(text: string): KnownFailure[] {
 	const lines = text.split('\n').filter(line => line.trim() !== '');
 	if (lines.length > maxKnownFailures) {
-		throw new Error(`${lines.length} tests are listed as known to fail; the maximum is ${maxKnownFailures}.`);
+		throw new Error(`${lines.length} tests are listed as known to fail; at most ${maxKnownFailures} may be listed.`);
 	}
 
 	return lines.map(line => {
