--- a/bench/attainment.ts
+++ b/bench/attainment.ts
@@ -32,7 +32,7 @@
 	readonly busyShare: number;
 };
 
-const reportSchema = z.object({stages: z.array(z.object({usefulMs: z.number(), wastedMs: z.number()}))});
+const costReportSchema = z.object({stages: z.array(z.object({usefulMs: z.number(), wastedMs: z.number()}))});
 
 /** Parameters of a run. */
 export type AttainmentOptions = {readonly deployment: Deployment; readonly scenario: Scenario; readonly policy: Policy; readonly durationMs: number; readonly seed: number};
@@ -67,10 +67,10 @@
 	const after = await readCost(fleet);
 	fleet.dispose();
 
-	const loads = [...result.workspaces].filter(([, load]) => load.requests > 0);
-	const requests = loads.reduce((sum, [, load]) => sum + load.requests, 0);
-	const attained = loads.reduce((sum, [, load]) => sum + load.attained, 0);
-	const workspaces = Object.fromEntries(loads.map(([name, load]) => [name, load.attained / load.requests]));
+	const countsByWorkspace = [...result.workspaces].filter(([, load]) => load.requests > 0);
+	const requests = countsByWorkspace.reduce((sum, [, load]) => sum + load.requests, 0);
+	const attained = countsByWorkspace.reduce((sum, [, load]) => sum + load.attained, 0);
+	const workspaces = Object.fromEntries(countsByWorkspace.map(([name, load]) => [name, load.attained / load.requests]));
 	const usefulMs = after.usefulMs - before.usefulMs;
 	const wastedMs = after.wastedMs - before.wastedMs;
 	return {
@@ -114,7 +114,7 @@
 async function readCost(fleet: LocalFleet): Promise<{usefulMs: number; wastedMs: number}> {
 	const cost = {usefulMs: 0, wastedMs: 0};
 	for (const index of fleet.entries.keys()) {
-		for (const stage of reportSchema.parse(await call(fleet.operatorsOrigin(index), '/v1/report')).stages) {
+		for (const stage of costReportSchema.parse(await call(fleet.operatorsOrigin(index), '/v1/report')).stages) {
 			cost.usefulMs += stage.usefulMs;
 			cost.wastedMs += stage.wastedMs;
 		}
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -100,10 +100,10 @@
 		const {origins, workspaces, kinds, deadlineMs} = this.plan;
 		const workspace = pickByShare(workspaces, random);
 		const kind = pickByShare(kinds, random);
-		const loads = [this.workspaces.get(workspace.name)!, this.byKind.get(kind.name)!];
+		const counts = [this.workspaces.get(workspace.name)!, this.byKind.get(kind.name)!];
 		const body = kind.body(number, random);
 		const sentMs = performance.now();
-		for (const load of loads) {
+		for (const load of counts) {
 			load.requests++;
 		}
 
@@ -117,13 +117,13 @@
 				...(kind.isRepeatForbidden && {'idempotency-key': `bench-${this.plan.seed}-${number}`, 'not-repeatable': 'true'}),
 			},
 		});
-		const tookMs = performance.now() - sentMs;
+		const latencyMs = performance.now() - sentMs;
 		if (outcome === 'completed') {
-			this.latency.recordValue(Math.max(1, Math.round(tookMs)));
+			this.latency.recordValue(Math.max(1, Math.round(latencyMs)));
 		}
 
-		for (const load of loads) {
-			countOutcome(load, outcome, tookMs <= deadlineMs);
+		for (const load of counts) {
+			countOutcome(load, outcome, latencyMs <= deadlineMs);
 		}
 	}
 
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -30,7 +30,7 @@
 	process.stdout.write(`${line}\n`);
 }
 
-function format(run: AttainmentRun): string {
+function formatRun(run: AttainmentRun): string {
 	const share = (value: number) => `${(value * 100).toFixed(1)}%`;
 	return [
 		run.deployment.padEnd(11),
@@ -57,7 +57,7 @@
 						deployment, scenario, policy, durationMs: flags.seconds * 1000, seed: 100 + round,
 					});
 					runs.push(run);
-					writeLine(format(run));
+					writeLine(formatRun(run));
 				}
 			}
 		}
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -70,16 +70,16 @@
 */
 export function aggregateRounds(runs: readonly AttainmentRun[]): AggregatedRun[] {
 	return Array.from(groupRuns(runs).values(), group => {
-		const middle = (of: (run: AttainmentRun) => number) => median(group.map(run => of(run)));
+		const medianOf = (of: (run: AttainmentRun) => number) => median(group.map(run => of(run)));
 		return {
 			...group[0],
-			attainment: middle(run => run.attainment),
-			worstWorkspace: middle(run => run.worstWorkspace),
-			p50Ms: middle(run => run.p50Ms),
-			p95Ms: middle(run => run.p95Ms),
-			p99Ms: middle(run => run.p99Ms),
-			costMs: middle(run => run.costMs),
-			wastedShare: middle(run => run.wastedShare),
+			attainment: medianOf(run => run.attainment),
+			worstWorkspace: medianOf(run => run.worstWorkspace),
+			p50Ms: medianOf(run => run.p50Ms),
+			p95Ms: medianOf(run => run.p95Ms),
+			p99Ms: medianOf(run => run.p99Ms),
+			costMs: medianOf(run => run.costMs),
+			wastedShare: medianOf(run => run.wastedShare),
 			busyShare: Math.max(...group.map(run => run.busyShare)),
 			lowest: Math.min(...group.map(run => run.attainment)),
 			highest: Math.max(...group.map(run => run.attainment)),
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -58,15 +58,15 @@
 		});
 		const bytes = (heapBytes() - beforeBytes) / copies.length;
 		const planner = Planner.create(tree);
-		const ask = (number: number) => ({
+		const requestParameters = (number: number) => ({
 			requestId: 'r', workspace: `w${number % workspaces}`, target: 'p1', isRepeatable: true, hasKey: false, isStreaming: false, input: new Uint8Array(0),
 		});
-		const first = medianTimeMs(() => {
+		const lookupMs = medianTimeMs(() => {
 			for (let number = 0; number < 100; number++) {
 				tree.policyAt(`/workspaces/w${number % workspaces}/pipelines/p1/stages/generate`);
 			}
 		}) / 100;
-		planner.plan(ask(0), 0);
+		planner.plan(requestParameters(0), 0);
 		return [
 			{
 				what: 'snapshot as sent', at, value: text.length / 1024, unit: 'KiB',
@@ -87,7 +87,7 @@
 				}), unit: 'ms',
 			})),
 			{
-				what: 'look up one effective policy', at, value: first * 1000, unit: 'us',
+				what: 'look up one effective policy', at, value: lookupMs * 1000, unit: 'us',
 			},
 		];
 	});
--- a/test/bad-http-input.test.ts
+++ b/test/bad-http-input.test.ts
@@ -53,8 +53,8 @@
 		const text = await new Promise<string>(resolve => {
 			const socket = connect(Number(port), hostname);
 			let received = '';
-			socket.on('data', piece => {
-				received += String(piece);
+			socket.on('data', chunk => {
+				received += String(chunk);
 			});
 			socket.on('close', () => {
 				resolve(received);
--- a/test/daemon-process.test.ts
+++ b/test/daemon-process.test.ts
@@ -33,10 +33,10 @@
 		});
 	});
 	const line = await new Promise<z.infer<typeof lineSchema>>(resolve => {
-		let rest = '';
-		child.stderr.on('data', piece => {
-			const lines = `${rest}${String(piece)}`.split('\n');
-			rest = lines.pop() ?? '';
+		let partialLine = '';
+		child.stderr.on('data', chunk => {
+			const lines = `${partialLine}${String(chunk)}`.split('\n');
+			partialLine = lines.pop() ?? '';
 			const ready = lines.map(text => lineSchema.parse(JSON.parse(text))).find(item => item.message === readyMessage);
 			if (ready) {
 				resolve(ready);
@@ -95,7 +95,7 @@
 	const isServing = async () => (await call(callers, 'services/stock/lots', {method: 'GET'})).status === 200;
 	const reserve = async (name: string, headers: Record<string, string> = {}) =>
 		call(callers, 'services/stock/reservations', {body: name, headers: {'idempotency-key': name, 'not-repeatable': 'true', ...headers}});
-	const ran = (name: string) => service.ran.filter(body => body === name).length;
+	const runCount = (name: string) => service.ran.filter(body => body === name).length;
 	await waitUntil(isServing);
 
 	await t.test('a suspended agent does not execute, when it resumes, requests sent to it meanwhile', async t => {
@@ -104,9 +104,9 @@
 		t.equal(answer.body.outcome, 'unknown', 'whether it was executed is not known yet');
 		agent.child.kill('SIGCONT');
 		await waitUntil(isServing);
-		t.equal(ran('frozen'), 0);
+		t.equal(runCount('frozen'), 0);
 		await waitUntil(async () => (await reserve('frozen')).status === 200);
-		t.equal(ran('frozen'), 1, 'it is then known as not executed, and runs once when sent again');
+		t.equal(runCount('frozen'), 1, 'it is then known as not executed, and runs once when sent again');
 	});
 
 	await t.test('a repeatable request survives the kill of an agent, or ends with an accurate error', async t => {
@@ -118,7 +118,7 @@
 		const answer = await reading;
 		t.ok(answer.status === 200 || answer.body.outcome === 'refused' || answer.body.outcome === 'failed', 'a response, or an accurate error');
 		t.equal((await reserve('after-kill')).status, 200);
-		t.equal(ran('after-kill'), 1);
+		t.equal(runCount('after-kill'), 1);
 	});
 
 	await t.test('a planned stop answers the requests in flight, and exits with code 0', async t => {
@@ -150,8 +150,8 @@
 	const folder = t.testdir({host: '{"role": "entry", "zone": "a"}'});
 	const child = spawn(process.execPath, [daemonProgram, '--settings', `${folder}/host`], {stdio: ['ignore', 'ignore', 'pipe']});
 	let text = '';
-	child.stderr.on('data', piece => {
-		text += String(piece);
+	child.stderr.on('data', chunk => {
+		text += String(chunk);
 	});
 	const code = await new Promise(resolve => {
 		child.on('close', resolve);
--- a/test/fleet-requests.test.ts
+++ b/test/fleet-requests.test.ts
@@ -14,14 +14,14 @@
 	});
 	const [first, second] = [fleet.callersOrigin(0), fleet.callersOrigin(1)];
 	const engines = fleet.poolOf('models').map(upstream => upstream.engine!);
-	const stock = () => fleet.poolOf('stock').flatMap(upstream => upstream.service!.ran);
+	const stockRuns = () => fleet.poolOf('stock').flatMap(upstream => upstream.service!.ran);
 
 	await t.test('the same request gets the same answer from any entry, streamed or in one response', async t => {
 		const headers = {'x-request-id': 'same-1'};
-		const whole = await call(first, quotePath, {body: quoteBody, headers});
+		const unstreamed = await call(first, quotePath, {body: quoteBody, headers});
 		const streamed = await call(second, quotePath, {body: quoteBody, headers: {...headers, accept: 'text/event-stream'}});
-		t.equal(whole.body.outcome, 'completed');
-		t.strictSame(readEvents(streamed.text), {answer: whole.body.answer, last: 'end'});
+		t.equal(unstreamed.body.outcome, 'completed');
+		t.strictSame(readEvents(streamed.text), {answer: unstreamed.body.answer, last: 'end'});
 	});
 
 	await t.test('a stream interrupted on one engine resumes on another without lost or repeated tokens', async t => {
@@ -48,14 +48,14 @@
 		const options = {body, headers: {'idempotency-key': 'race-1', 'not-repeatable': 'true'}};
 		const answers = await Promise.all([1, 2, 3, 4, 5, 6].map(async number =>
 			call(number % 2 === 0 ? first : second, 'services/stock/reservations', options)));
-		t.equal(stock().filter(item => item === body).length, 1);
+		t.equal(stockRuns().filter(item => item === body).length, 1);
 		t.equal(answers.filter(answer => answer.status === 200 && !answer.headers['idempotent-replay']).length, 1);
 		t.ok(answers.every(answer => answer.status === 200 || answer.body.code === 'requestInProgress'));
 		await waitUntil(async () => {
 			const again = await call(second, 'services/stock/reservations', options);
 			return again.status === 200 && again.headers['idempotent-replay'] === 'true';
 		});
-		t.equal(stock().filter(item => item === body).length, 1, 'a later repeat gets the stored response and executes nothing');
+		t.equal(stockRuns().filter(item => item === body).length, 1, 'a later repeat gets the stored response and executes nothing');
 		const other = await call(first, 'services/stock/reservations', {...options, body: JSON.stringify({reserve: 'oak-3'})});
 		t.equal(other.body.code, 'idempotencyKeyReused');
 	});
@@ -64,7 +64,7 @@
 		const body = JSON.stringify({reserve: 'copies'});
 		const headers = {'idempotency-key': 'copies', 'not-repeatable': 'true', 'x-request-id': 'copies'};
 		await Promise.all(Array.from({length: 20}, async () => call(first, 'services/stock/reservations', {body, headers})));
-		t.equal(stock().filter(item => item === body).length, 1);
+		t.equal(stockRuns().filter(item => item === body).length, 1);
 	});
 
 	await t.test('a reservation whose response is lost is reported as unknown and never executed again', async t => {
@@ -85,7 +85,7 @@
 			const again = await call(second, 'services/stock/reservations', options);
 			return again.body.code === 'duplicateRequest' && again.body.outcome === 'unknown';
 		});
-		t.equal(stock().filter(item => item === body).length, 1);
+		t.equal(stockRuns().filter(item => item === body).length, 1);
 	});
 
 	await t.test('a POST to a service that may have been executed is not retried, even if not marked as not repeatable', async t => {
@@ -100,7 +100,7 @@
 		}
 
 		t.equal(answer.body.outcome, 'unknown');
-		t.equal(stock().filter(item => item === body).length, 1);
+		t.equal(stockRuns().filter(item => item === body).length, 1);
 	});
 
 	await t.test('during a store outage, requests that need a claim are refused as not run, and others are served', async t => {
@@ -112,7 +112,7 @@
 		const served = await call(first, quotePath, {body: quoteBody});
 		t.equal(served.body.outcome, 'completed');
 		fleet.platform.table.isDown = false;
-		t.notOk(stock().includes(body));
+		t.notOk(stockRuns().includes(body));
 	});
 
 	await t.test('a lost response of the store neither loses nor repeats a reservation', async t => {
@@ -120,7 +120,7 @@
 		fleet.platform.table.loseAnswers = 1;
 		const answer = await call(first, 'services/stock/reservations', {body, headers: {'idempotency-key': 'lost-write', 'not-repeatable': 'true'}});
 		t.equal(answer.status, 200);
-		t.equal(stock().filter(item => item === body).length, 1);
+		t.equal(stockRuns().filter(item => item === body).length, 1);
 	});
 
 	await t.test('requests complete on other engines while one engine fails', async t => {
@@ -156,12 +156,12 @@
 
 	await t.test('the engine is freed when a caller disconnects', async t => {
 		const controller = new AbortController();
-		const gone = fetch(`${first}/v1/workspaces/buyers/${quotePath}`, {
+		const abortedCall = fetch(`${first}/v1/workspaces/buyers/${quotePath}`, {
 			method: 'POST', body: quoteBody, signal: controller.signal, headers: {authorization: 'Bearer demo-buyers'},
 		});
 		await waitUntil(() => engines.some(engine => engine.state.batch.size > 0));
 		controller.abort();
-		await t.rejects(gone);
+		await t.rejects(abortedCall);
 		await waitUntil(() => engines.every(engine => engine.state.batch.size === 0));
 		t.pass('cancelled');
 	});
--- a/test/request-fuzz.test.ts
+++ b/test/request-fuzz.test.ts
@@ -4,7 +4,7 @@
 import {Attempt} from '../src/request/common/attempt.js';
 import {AttemptList} from '../src/request/common/attempt-list.js';
 import {requestProperty} from './request-fuzz.js';
-import type {InjectedDefect} from './request-world.js';
+import type {InjectedDefect} from './request-simulation.js';
 
 const seed = 20_261_202;
 
--- a/test/request-fuzz.ts
+++ b/test/request-fuzz.ts
@@ -1,19 +1,19 @@
 /** Commands of the request fuzzer, and the property that must hold after any sequence of them. */
 import fc from 'fast-check';
-import {RequestWorld, settleMicrotasks, type InjectedDefect} from './request-world.js';
-import {assertNoBreaches, commandsOf, worldProperty} from './world-commands.js';
-import {callSteps} from './world-upstream.js';
+import {RequestSimulation, settleMicrotasks, type InjectedDefect} from './request-simulation.js';
+import {assertNoBreaches, commandFactory, simulationProperty} from './simulation-commands.js';
+import {callSteps} from './simulated-upstream.js';
 
 /** Time after its hard deadline within which every request must be answered. */
 const answerMarginMs = 200;
 const index = fc.nat(11);
 
-const command = commandsOf<RequestWorld>(async world => {
+const command = commandFactory<RequestSimulation>(async world => {
 	await settleMicrotasks();
 	assertNoBreaches(world.oracle.breaches(answerMarginMs));
 });
 
-const act = {
+const commandsByName = {
 	request: command('request', fc.tuple(index, fc.boolean(), fc.integer({min: 20, max: 1500}), fc.nat(5)), (world, ...args) => {
 		world.request(...args);
 	}),
@@ -76,21 +76,21 @@
 
 /** Commands that let work progress are listed several times, so that faults occur in every state of the work. */
 const commands = [
-	...Object.values(act),
-	act.request,
-	act.request,
-	act.request,
-	act.deliver,
-	act.deliver,
-	act.call,
-	act.call,
-	act.goOn,
-	act.goOn,
-	act.goOn,
-	act.goOn,
-	act.reconnect,
-	act.resume,
-	act.disturb,
+	...Object.values(commandsByName),
+	commandsByName.request,
+	commandsByName.request,
+	commandsByName.request,
+	commandsByName.deliver,
+	commandsByName.deliver,
+	commandsByName.call,
+	commandsByName.call,
+	commandsByName.goOn,
+	commandsByName.goOn,
+	commandsByName.goOn,
+	commandsByName.goOn,
+	commandsByName.reconnect,
+	commandsByName.resume,
+	commandsByName.disturb,
 ];
 
 /**
@@ -99,5 +99,5 @@
 @param defect - defect to inject, which breaks a promise on purpose.
 */
 export function requestProperty(maxCommands: number, defect?: InjectedDefect) {
-	return worldProperty(commands, maxCommands, () => new RequestWorld(defect), world => [...world.oracle.breaches(answerMarginMs), ...world.oracle.unanswered(), ...world.leaks()]);
+	return simulationProperty(commands, maxCommands, () => new RequestSimulation(defect), world => [...world.oracle.breaches(answerMarginMs), ...world.oracle.unanswered(), ...world.leaks()]);
 }
--- a/test/request-world.ts
+++ b/test/request-simulation.ts
@@ -6,11 +6,11 @@
 import {policyDefaults, type EffectivePolicy} from '../src/settings/common/schema.js';
 import {MemoryTable} from '../src/standins/common/memory-table.js';
 import {RequestOracle, type CallerRecord} from './request-oracle.js';
-import {WorldEntry} from './world-entry.js';
-import {WorldLink} from './world-link.js';
+import {SimulatedEntry} from './simulated-entry.js';
+import {SimulatedLink} from './simulated-link.js';
 import {
-	generationSeed, tokensPerAnswer, WorldUpstream, type CallStep,
-} from './world-upstream.js';
+	generationSeed, tokensPerAnswer, SimulatedUpstream, type CallStep,
+} from './simulated-upstream.js';
 
 const stepMs = 10;
 /** The connection to a suspended agent is closed after this time without a message. */
@@ -28,20 +28,20 @@
 export type InjectedDefect = 'repeatOnce' | 'ignoreLeaving' | 'stopCuts' | undefined;
 
 /** The simulated fleet, driven by commands. Commands take any index and reduce it to the valid range. */
-export class RequestWorld {
+export class RequestSimulation {
 	readonly clock = ManualClock.create(1000);
 	readonly oracle = new RequestOracle();
 	readonly table = MemoryTable.create();
-	private readonly entries: readonly WorldEntry[];
-	private readonly upstreams: readonly WorldUpstream[];
-	private readonly links: readonly WorldLink[];
+	private readonly entries: readonly SimulatedEntry[];
+	private readonly upstreams: readonly SimulatedUpstream[];
+	private readonly links: readonly SimulatedLink[];
 	private serial = 0;
 
 	constructor(private readonly defect?: InjectedDefect) {
 		const {clock, oracle, table} = this;
 		const random = SeededRandom.create(7);
 		const nextNumber = () => this.nextNumber();
-		this.upstreams = Array.from({length: upstreamCount}, (_, index) => new WorldUpstream({
+		this.upstreams = Array.from({length: upstreamCount}, (_, index) => new SimulatedUpstream({
 			upstreamId: `u${index}`,
 			clock,
 			oracle,
@@ -50,10 +50,10 @@
 				this.links.find(link => link.isUp && link.connectionId === connectionId)?.toEntry.push(message);
 			},
 		}));
-		this.entries = Array.from({length: entryCount}, () => new WorldEntry({
+		this.entries = Array.from({length: entryCount}, () => new SimulatedEntry({
 			clock, oracle, table, random, nextNumber, linkTo: (entry, upstreamId) => this.linksOf(entry).find(link => link.upstream.upstreamId === upstreamId)!,
 		}));
-		this.links = this.entries.flatMap(entry => this.upstreams.map(upstream => new WorldLink(entry, upstream)));
+		this.links = this.entries.flatMap(entry => this.upstreams.map(upstream => new SimulatedLink(entry, upstream)));
 		for (const link of this.links) {
 			link.connect(this.nextNumber());
 		}
@@ -116,11 +116,11 @@
 			return;
 		}
 
-		const at = position % (queue.length - 1);
+		const messageIndex = position % (queue.length - 1);
 		if (isDoubled) {
-			queue.splice(at, 0, queue[at]);
+			queue.splice(messageIndex, 0, queue[messageIndex]);
 		} else {
-			[queue[at], queue[at + 1]] = [queue[at + 1], queue[at]];
+			[queue[messageIndex], queue[messageIndex + 1]] = [queue[messageIndex + 1], queue[messageIndex]];
 		}
 	}
 
@@ -302,20 +302,20 @@
 		return this.serial;
 	}
 
-	private entryAt(index: number): WorldEntry {
+	private entryAt(index: number): SimulatedEntry {
 		return this.entries[index % entryCount];
 	}
 
-	private upstreamAt(index: number): WorldUpstream {
+	private upstreamAt(index: number): SimulatedUpstream {
 		return this.upstreams[index % upstreamCount];
 	}
 
-	private linkAt(index: number): WorldLink {
+	private linkAt(index: number): SimulatedLink {
 		return this.links[index % this.links.length];
 	}
 
-	private linksOf(end: WorldEntry | WorldUpstream): readonly WorldLink[] {
-		return this.links.filter(({entry, upstream}) => entry === end || upstream === end);
+	private linksOf(side: SimulatedEntry | SimulatedUpstream): readonly SimulatedLink[] {
+		return this.links.filter(({entry, upstream}) => entry === side || upstream === side);
 	}
 
 	private tick(): void {
--- a/test/settings-fuzz.ts
+++ b/test/settings-fuzz.ts
@@ -6,7 +6,7 @@
 import {SettingsStore} from '../src/settings/common/settings-store.js';
 import {MemoryObjects} from '../src/standins/common/memory-objects.js';
 import {MemoryTable} from '../src/standins/common/memory-table.js';
-import {assertNoBreaches, commandsOf, worldProperty} from './world-commands.js';
+import {assertNoBreaches, commandFactory, simulationProperty} from './simulation-commands.js';
 
 const hostCount = 3;
 const paths = ['/', '/workspaces/a', '/workspaces/b', '/pools/p'] as const;
@@ -16,7 +16,7 @@
 /** Defects that a test injects on purpose, to show that the fuzzer detects them. */
 export type InjectedSettingsDefect = 'forgetChangeIds' | 'goBack' | undefined;
 
-class SettingsWorld {
+class SettingsSimulation {
 	readonly table = MemoryTable.create();
 	readonly objects = MemoryObjects.create();
 	readonly clock = ManualClock.create();
@@ -135,9 +135,9 @@
 
 		const expectedText = JSON.stringify(Array.from(expected, ([path, text]) => `${path} ${text}`).toSorted(compareTexts));
 		for (const [index, host] of this.hosts.entries()) {
-			const has = JSON.stringify(host.tree.snapshot().nodes.map(node => `${node.path} ${JSON.stringify(node.fields)}`).toSorted(compareTexts));
-			if (has !== expectedText) {
-				found.push(`host ${index} has ${has}, but the accepted changes result in ${expectedText}`);
+			const actualText = JSON.stringify(host.tree.snapshot().nodes.map(node => `${node.path} ${JSON.stringify(node.fields)}`).toSorted(compareTexts));
+			if (actualText !== expectedText) {
+				found.push(`host ${index} has ${actualText}, but the accepted changes result in ${expectedText}`);
 			}
 		}
 
@@ -199,7 +199,7 @@
 
 const index = fc.nat(11);
 
-const command = commandsOf<SettingsWorld>(async world => {
+const command = commandFactory<SettingsSimulation>(async world => {
 	assertNoBreaches(await world.breaches(false));
 });
 
@@ -238,5 +238,5 @@
 @param defect - defect to inject, which breaks the property on purpose.
 */
 export function settingsProperty(maxCommands: number, defect?: InjectedSettingsDefect) {
-	return worldProperty(commands, maxCommands, () => new SettingsWorld(defect), async world => world.breaches(true));
+	return simulationProperty(commands, maxCommands, () => new SettingsSimulation(defect), async world => world.breaches(true));
 }
--- a/test/world-entry.ts
+++ b/test/simulated-entry.ts
@@ -12,8 +12,8 @@
 import type {MemoryTable} from '../src/standins/common/memory-table.js';
 import type {Message} from '../src/wire/common/messages.js';
 import type {CallerRecord, RequestOracle} from './request-oracle.js';
-import type {WorldLink} from './world-link.js';
-import type {WorldUpstream} from './world-upstream.js';
+import type {SimulatedLink} from './simulated-link.js';
+import type {SimulatedUpstream} from './simulated-upstream.js';
 
 const claimMs = 10_000;
 const claimSpacingMs = 10;
@@ -24,18 +24,18 @@
 export type LiveRequest = {readonly machine: RequestMachine; readonly caller: CallerRecord; granted: GrantedClaim | undefined};
 
 /** Dependencies of an entry. */
-export type WorldEntryOptions = {
+export type SimulatedEntryOptions = {
 	readonly clock: Clock;
 	readonly random: SeededRandom;
 	readonly table: MemoryTable;
 	readonly oracle: RequestOracle;
 	/** Returns a number that is unique in the simulation. */
 	readonly nextNumber: () => number;
-	readonly linkTo: (entry: WorldEntry, upstreamId: string) => WorldLink;
+	readonly linkTo: (entry: SimulatedEntry, upstreamId: string) => SimulatedLink;
 };
 
 /** One entry, whose process can crash and be started again. */
-export class WorldEntry {
+export class SimulatedEntry {
 	members!: MemberTable;
 	router!: FleetRouter;
 	/** Requests in progress, by request id. */
@@ -43,7 +43,7 @@
 	private incarnation!: string;
 	private claims!: ClaimStore;
 
-	constructor(private readonly options: WorldEntryOptions) {
+	constructor(private readonly options: SimulatedEntryOptions) {
 		this.start();
 	}
 
@@ -88,7 +88,7 @@
 	Registers a connection to the agent of an upstream.
 	@returns whether this incarnation of the agent was unknown.
 	*/
-	connected({upstreamId, incarnation}: WorldUpstream): boolean {
+	connected({upstreamId, incarnation}: SimulatedUpstream): boolean {
 		const isNew = this.members.connected({
 			hostId: upstreamId, incarnation, role: 'agent', hall: 'a', upstreamId, pool: 'pool',
 		}, this.nowMs);
--- a/test/world-link.ts
+++ b/test/simulated-link.ts
@@ -1,10 +1,10 @@
 /** Connection of an entry to an agent in the simulation of the request fuzzer; messages queue on it until a command delivers them. */
 import type {Message} from '../src/wire/common/messages.js';
-import type {WorldEntry} from './world-entry.js';
-import type {WorldUpstream} from './world-upstream.js';
+import type {SimulatedEntry} from './simulated-entry.js';
+import type {SimulatedUpstream} from './simulated-upstream.js';
 
 /** One connection, which can be lost and established again. */
-export class WorldLink {
+export class SimulatedLink {
 	isUp = false;
 	/** A new number each time the connection is established. */
 	connectionId = 0;
@@ -13,7 +13,7 @@
 	toUpstream: Message[] = [];
 	toEntry: Message[] = [];
 
-	constructor(readonly entry: WorldEntry, readonly upstream: WorldUpstream) {}
+	constructor(readonly entry: SimulatedEntry, readonly upstream: SimulatedUpstream) {}
 
 	/** Establishes the connection, and notifies the requests of the entry. */
 	connect(connectionId: number): void {
--- a/test/world-upstream.ts
+++ b/test/simulated-upstream.ts
@@ -18,7 +18,7 @@
 type Call = {readonly dispatch: DispatchMessage; produced: number; isStarted: boolean};
 
 /** Dependencies of an upstream. */
-export type WorldUpstreamOptions = {
+export type SimulatedUpstreamOptions = {
 	readonly upstreamId: string;
 	readonly clock: Clock;
 	readonly oracle: RequestOracle;
@@ -28,7 +28,7 @@
 };
 
 /** One upstream, whose agent can crash and be replaced. */
-export class WorldUpstream {
+export class SimulatedUpstream {
 	readonly upstreamId: string;
 	incarnation: string;
 	gate = makeGate();
@@ -38,7 +38,7 @@
 	/** Running calls, by dispatch id. */
 	private readonly calls = new Map<string, Call>();
 
-	constructor(private readonly options: WorldUpstreamOptions) {
+	constructor(private readonly options: SimulatedUpstreamOptions) {
 		this.upstreamId = options.upstreamId;
 		this.incarnation = options.newIncarnation();
 	}
--- a/test/world-commands.ts
+++ b/test/simulation-commands.ts
@@ -5,15 +5,15 @@
 type Model = Record<string, never>;
 
 /** A command that performs one action in a world. */
-class WorldCommand<World> implements fc.AsyncCommand<Model, World> {
-	constructor(private readonly text: string, private readonly act: (world: World) => Promise<void>) {}
+class SimulationCommand<Simulation> implements fc.AsyncCommand<Model, Simulation> {
+	constructor(private readonly text: string, private readonly act: (world: Simulation) => Promise<void>) {}
 
 	check(): boolean {
 		return true;
 	}
 
-	async run(_model: Model, world: World): Promise<void> {
-		await this.act(world);
+	async run(_model: Model, simulation: Simulation): Promise<void> {
+		await this.act(simulation);
 	}
 
 	toString(): string {
@@ -22,7 +22,7 @@
 }
 
 /** The action of a command, called with its generated arguments. */
-export type Act<World, T extends unknown[]> = (world: World, ...args: T) => Promise<void> | void;
+export type CommandAction<Simulation, T extends unknown[]> = (world: Simulation, ...args: T) => Promise<void> | void;
 
 /**
 Fails the run if a promise is broken.
@@ -40,16 +40,16 @@
 @param check - check that runs after each command.
 @returns function that takes a name, the arbitrary arguments and an action, and returns the arbitrary command.
 */
-export function commandsOf<World>(check: (world: World) => Promise<void>) {
-	return <T extends unknown[]>(name: string, values: fc.Arbitrary<T>, act: Act<World, T>) =>
-		values.map(args => new WorldCommand<World>(`${name}(${args.join(',')})`, async world => {
+export function commandFactory<Simulation>(check: (world: Simulation) => Promise<void>) {
+	return <T extends unknown[]>(name: string, values: fc.Arbitrary<T>, act: CommandAction<Simulation, T>) =>
+		values.map(args => new SimulationCommand<Simulation>(`${name}(${args.join(',')})`, async world => {
 			await act(world, ...args);
 			await check(world);
 		}));
 }
 
 /** A world whose running work can be brought to an end. */
-type SettleableWorld = {
+type SettleableSimulation = {
 	/** Ends all faults and lets all running work finish. */
 	settle(): Promise<void>;
 };
@@ -58,17 +58,17 @@
 Creates a property: after any sequence of commands in a new world, once its work has finished, no promise is broken.
 @param commands - arbitrary commands to choose from.
 @param maxCommands - upper bound on the commands in one run.
-@param makeWorld - creates a world.
+@param createSimulation - creates a world.
 @param breaches - returns the broken promises of a world whose work has finished.
 */
-export function worldProperty<World extends SettleableWorld>(
-	commands: ReadonlyArray<fc.Arbitrary<fc.AsyncCommand<Model, World>>>,
+export function simulationProperty<Simulation extends SettleableSimulation>(
+	commands: ReadonlyArray<fc.Arbitrary<fc.AsyncCommand<Model, Simulation>>>,
 	maxCommands: number,
-	makeWorld: () => World,
-	breaches: (world: World) => Promise<readonly string[]> | readonly string[],
+	createSimulation: () => Simulation,
+	breaches: (world: Simulation) => Promise<readonly string[]> | readonly string[],
 ) {
 	return fc.asyncProperty(fc.commands([...commands], {maxCommands, size: 'max'}), async run => {
-		const world = makeWorld();
+		const world = createSimulation();
 		await fc.asyncModelRun(() => ({model: {}, real: world}), run);
 		await world.settle();
 		assertNoBreaches(await breaches(world));
--- a/tools/caller-value.test.ts
+++ b/tools/caller-value.test.ts
@@ -3,7 +3,7 @@
 import {requestLogMessages} from '../src/request/common/request-log-messages.js';
 import {sumCallerValue} from './caller-value.js';
 
-const worths = [{targetMs: 1000, inTime: 4, late: 1}];
+const requestValues = [{targetMs: 1000, inTime: 4, late: 1}];
 const {ended, refusedAtDoor} = requestLogMessages;
 
 function line(message: string, fields: Record<string, unknown>): LogLine {
@@ -17,23 +17,23 @@
 });
 
 t.test('the time to an answer counts from the first try, and only first tries add to the maximum credit', async t => {
-	t.match(sumCallerValue([served(900, 0)], worths), {owed: 4, credit: 4, share: 1});
-	t.match(sumCallerValue([served(1100, 0)], worths), {owed: 4, credit: 1});
-	const cameBack = [line(refusedAtDoor, {sinceFirstTryMs: 0}), served(300, 800)];
-	t.match(sumCallerValue(cameBack, worths), {owed: 4, credit: 1}, 'in time after this try, but late after the first one');
+	t.match(sumCallerValue([served(900, 0)], requestValues), {owed: 4, credit: 4, share: 1});
+	t.match(sumCallerValue([served(1100, 0)], requestValues), {owed: 4, credit: 1});
+	const repeatedTry = [line(refusedAtDoor, {sinceFirstTryMs: 0}), served(300, 800)];
+	t.match(sumCallerValue(repeatedTry, requestValues), {owed: 4, credit: 1}, 'in time after this try, but late after the first one');
 });
 
 t.test('waiting without being served is charged by its length, and a failed repeated try in addition', async t => {
-	const given = (tookMs: number, sinceFirstTryMs = 0) => line(ended, {
+	const refusedAfter = (tookMs: number, sinceFirstTryMs = 0) => line(ended, {
 		outcome: 'refused', tookMs, sinceFirstTryMs, attempts: '',
 	});
-	t.equal(sumCallerValue([given(100)], worths).waited, 0);
-	const half = sumCallerValue([given(400)], worths).waited;
-	const whole = sumCallerValue([given(5000)], worths).waited;
-	t.ok(half > 0 && half < whole);
-	t.equal(whole, 0.4);
-	t.equal(sumCallerValue([given(100, 800)], worths).failedAgain, 1.2);
+	t.equal(sumCallerValue([refusedAfter(100)], requestValues).waited, 0);
+	const half = sumCallerValue([refusedAfter(400)], requestValues).waited;
+	const full = sumCallerValue([refusedAfter(5000)], requestValues).waited;
+	t.ok(half > 0 && half < full);
+	t.equal(full, 0.4);
+	t.equal(sumCallerValue([refusedAfter(100, 800)], requestValues).failedAgain, 1.2);
 	const offered = line(ended, {outcome: 'failed', tookMs: 5000, attempts: 'e1 first unknown 0+1'});
-	t.equal(sumCallerValue([offered], worths).waited, 0, 'it was sent to an upstream');
-	t.equal(sumCallerValue([line(ended, {targetMs: 7})], worths).owed, 0, 'another target');
+	t.equal(sumCallerValue([offered], requestValues).waited, 0, 'it was sent to an upstream');
+	t.equal(sumCallerValue([line(ended, {targetMs: 7})], requestValues).owed, 0, 'another target');
 });
