--- a/test/request-fuzz.ts
+++ b/test/request-fuzz.ts
@@ -8,68 +8,68 @@
 const answerMarginMs = 200;
 const index = fc.nat(11);
 
-const command = commandFactory<RequestSimulation>(async world => {
+const command = commandFactory<RequestSimulation>(async simulation => {
 	await settleMicrotasks();
-	assertNoBreaches(world.oracle.breaches(answerMarginMs));
+	assertNoBreaches(simulation.oracle.breaches(answerMarginMs));
 });
 
 const commandsByName = {
-	request: command('request', fc.tuple(index, fc.boolean(), fc.integer({min: 20, max: 1500}), fc.nat(5)), (world, ...args) => {
-		world.request(...args);
+	request: command('request', fc.tuple(index, fc.boolean(), fc.integer({min: 20, max: 1500}), fc.nat(5)), (simulation, ...args) => {
+		simulation.request(...args);
 	}),
-	deliver: command('deliver', fc.tuple(index, fc.integer({min: 1, max: 6})), (world, ...args) => {
-		world.deliver(...args);
+	deliver: command('deliver', fc.tuple(index, fc.integer({min: 1, max: 6})), (simulation, ...args) => {
+		simulation.deliver(...args);
 	}),
-	call: command('call', fc.tuple(index, index, fc.constantFrom(...callSteps)), (world, ...args) => {
-		world.callStep(...args);
+	call: command('call', fc.tuple(index, index, fc.constantFrom(...callSteps)), (simulation, ...args) => {
+		simulation.callStep(...args);
 	}),
-	goOn: command('goOn', fc.tuple(fc.nat(3)), (world, rounds) => {
-		world.progress(rounds);
+	goOn: command('goOn', fc.tuple(fc.nat(3)), (simulation, rounds) => {
+		simulation.progress(rounds);
 	}),
-	advance: command('advance', fc.tuple(fc.constantFrom(10, 10, 30, 30, 100, 300, 1000)), (world, byMs) => {
-		world.advance(byMs);
+	advance: command('advance', fc.tuple(fc.constantFrom(10, 10, 30, 30, 100, 300, 1000)), (simulation, byMs) => {
+		simulation.advance(byMs);
 	}),
-	disturb: command('disturb', fc.tuple(index, fc.boolean(), fc.boolean()), (world, ...args) => {
-		world.duplicateOrReorder(...args);
+	disturb: command('disturb', fc.tuple(index, fc.boolean(), fc.boolean()), (simulation, ...args) => {
+		simulation.duplicateOrReorder(...args);
 	}),
-	cut: command('cut', fc.tuple(index), (world, link) => {
-		world.disconnect(link);
+	cut: command('cut', fc.tuple(index), (simulation, link) => {
+		simulation.disconnect(link);
 	}),
-	reconnect: command('reconnect', fc.tuple(index), (world, link) => {
-		world.reconnect(link);
+	reconnect: command('reconnect', fc.tuple(index), (simulation, link) => {
+		simulation.reconnect(link);
 	}),
-	crashAgent: command('crashAgent', fc.tuple(index), (world, agent) => {
-		world.crashAgent(agent);
+	crashAgent: command('crashAgent', fc.tuple(index), (simulation, agent) => {
+		simulation.crashAgent(agent);
 	}),
-	crashEntry: command('crashEntry', fc.tuple(index), (world, entry) => {
-		world.crashEntry(entry);
+	crashEntry: command('crashEntry', fc.tuple(index), (simulation, entry) => {
+		simulation.crashEntry(entry);
 	}),
-	stopAgent: command('stopAgent', fc.tuple(index), (world, agent) => {
-		world.stopAgent(agent);
+	stopAgent: command('stopAgent', fc.tuple(index), (simulation, agent) => {
+		simulation.stopAgent(agent);
 	}),
-	leave: command('leave', fc.tuple(index), (world, agent) => {
-		world.leave(agent);
+	leave: command('leave', fc.tuple(index), (simulation, agent) => {
+		simulation.leave(agent);
 	}),
-	pause: command('pause', fc.tuple(index), (world, agent) => {
-		world.pause(agent);
+	pause: command('pause', fc.tuple(index), (simulation, agent) => {
+		simulation.pause(agent);
 	}),
-	resume: command('resume', fc.tuple(index), (world, agent) => {
-		world.resume(agent);
+	resume: command('resume', fc.tuple(index), (simulation, agent) => {
+		simulation.resume(agent);
 	}),
-	callerGone: command('callerGone', fc.tuple(index), (world, caller) => {
-		world.callerGone(caller);
+	callerGone: command('callerGone', fc.tuple(index), (simulation, caller) => {
+		simulation.callerGone(caller);
 	}),
-	store: command('store', fc.tuple(fc.constantFrom(true, false, false)), (world, isDown) => {
-		world.table.isDown = isDown;
+	store: command('store', fc.tuple(fc.constantFrom(true, false, false)), (simulation, isDown) => {
+		simulation.table.isDown = isDown;
 	}),
-	dieAfterWrite: command('dieAfterWrite', fc.tuple(), world => {
-		world.table.dieAfterWrite = true;
+	dieAfterWrite: command('dieAfterWrite', fc.tuple(), simulation => {
+		simulation.table.dieAfterWrite = true;
 	}),
-	loseAnswer: command('loseAnswer', fc.tuple(fc.boolean()), (world, isBefore) => {
+	loseAnswer: command('loseAnswer', fc.tuple(fc.boolean()), (simulation, isBefore) => {
 		if (isBefore) {
-			world.table.loseRequests++;
+			simulation.table.loseRequests++;
 		} else {
-			world.table.loseAnswers++;
+			simulation.table.loseAnswers++;
 		}
 	}),
 } as const;
@@ -99,5 +99,5 @@
 @param defect - defect to inject, which breaks a promise on purpose.
 */
 export function requestProperty(maxCommands: number, defect?: InjectedDefect) {
-	return simulationProperty(commands, maxCommands, () => new RequestSimulation(defect), world => [...world.oracle.breaches(answerMarginMs), ...world.oracle.unanswered(), ...world.leaks()]);
+	return simulationProperty(commands, maxCommands, () => new RequestSimulation(defect), simulation => [...simulation.oracle.breaches(answerMarginMs), ...simulation.oracle.unanswered(), ...simulation.leaks()]);
 }
--- a/test/settings-fuzz.ts
+++ b/test/settings-fuzz.ts
@@ -199,35 +199,35 @@
 
 const index = fc.nat(11);
 
-const command = commandFactory<SettingsSimulation>(async world => {
-	assertNoBreaches(await world.breaches(false));
+const command = commandFactory<SettingsSimulation>(async simulation => {
+	assertNoBreaches(await simulation.breaches(false));
 });
 
 const commands = [
-	command('race', fc.tuple(index, index, index, index), async (world, ...args) => world.race(...args)),
-	command('race', fc.tuple(index, index, index, index), async (world, ...args) => world.race(...args)),
-	command('retry', fc.tuple(index, index), async (world, ...args) => world.retry(...args)),
-	command('refresh', fc.tuple(index), async (world, host) => world.refresh(host)),
-	command('gossip', fc.tuple(index, index), (world, ...args) => {
-		world.gossip(...args);
+	command('race', fc.tuple(index, index, index, index), async (simulation, ...args) => simulation.race(...args)),
+	command('race', fc.tuple(index, index, index, index), async (simulation, ...args) => simulation.race(...args)),
+	command('retry', fc.tuple(index, index), async (simulation, ...args) => simulation.retry(...args)),
+	command('refresh', fc.tuple(index), async (simulation, host) => simulation.refresh(host)),
+	command('gossip', fc.tuple(index, index), (simulation, ...args) => {
+		simulation.gossip(...args);
 	}),
-	command('replaceHost', fc.tuple(index), (world, host) => {
-		world.replaceHost(host);
+	command('replaceHost', fc.tuple(index), (simulation, host) => {
+		simulation.replaceHost(host);
 	}),
-	command('store', fc.tuple(fc.constantFrom(true, false, false)), (world, isDown) => {
-		world.table.isDown = isDown;
+	command('store', fc.tuple(fc.constantFrom(true, false, false)), (simulation, isDown) => {
+		simulation.table.isDown = isDown;
 	}),
-	command('dieAfterWrite', fc.tuple(), world => {
-		world.table.dieAfterWrite = true;
+	command('dieAfterWrite', fc.tuple(), simulation => {
+		simulation.table.dieAfterWrite = true;
 	}),
-	command('objects', fc.tuple(fc.constantFrom(true, false, false)), (world, isDown) => {
-		world.objects.isDown = isDown;
+	command('objects', fc.tuple(fc.constantFrom(true, false, false)), (simulation, isDown) => {
+		simulation.objects.isDown = isDown;
 	}),
-	command('loseAnswer', fc.tuple(fc.integer({min: 1, max: 3}), fc.boolean()), (world, count, isBefore) => {
+	command('loseAnswer', fc.tuple(fc.integer({min: 1, max: 3}), fc.boolean()), (simulation, count, isBefore) => {
 		if (isBefore) {
-			world.table.loseRequests = count;
+			simulation.table.loseRequests = count;
 		} else {
-			world.table.loseAnswers = count;
+			simulation.table.loseAnswers = count;
 		}
 	}),
 ];
@@ -238,5 +238,5 @@
 @param defect - defect to inject, which breaks the property on purpose.
 */
 export function settingsProperty(maxCommands: number, defect?: InjectedSettingsDefect) {
-	return simulationProperty(commands, maxCommands, () => new SettingsSimulation(defect), async world => world.breaches(true));
+	return simulationProperty(commands, maxCommands, () => new SettingsSimulation(defect), async simulation => simulation.breaches(true));
 }
--- a/test/simulation-commands.ts
+++ b/test/simulation-commands.ts
@@ -6,7 +6,7 @@
 
 /** A command that performs one action in a world. */
 class SimulationCommand<Simulation> implements fc.AsyncCommand<Model, Simulation> {
-	constructor(private readonly text: string, private readonly act: (world: Simulation) => Promise<void>) {}
+	constructor(private readonly text: string, private readonly act: (simulation: Simulation) => Promise<void>) {}
 
 	check(): boolean {
 		return true;
@@ -22,7 +22,7 @@
 }
 
 /** The action of a command, called with its generated arguments. */
-export type CommandAction<Simulation, T extends unknown[]> = (world: Simulation, ...args: T) => Promise<void> | void;
+export type CommandAction<Simulation, T extends unknown[]> = (simulation: Simulation, ...args: T) => Promise<void> | void;
 
 /**
 Fails the run if a promise is broken.
@@ -40,11 +40,11 @@
 @param check - check that runs after each command.
 @returns function that takes a name, the arbitrary arguments and an action, and returns the arbitrary command.
 */
-export function commandFactory<Simulation>(check: (world: Simulation) => Promise<void>) {
+export function commandFactory<Simulation>(check: (simulation: Simulation) => Promise<void>) {
 	return <T extends unknown[]>(name: string, values: fc.Arbitrary<T>, act: CommandAction<Simulation, T>) =>
-		values.map(args => new SimulationCommand<Simulation>(`${name}(${args.join(',')})`, async world => {
-			await act(world, ...args);
-			await check(world);
+		values.map(args => new SimulationCommand<Simulation>(`${name}(${args.join(',')})`, async simulation => {
+			await act(simulation, ...args);
+			await check(simulation);
 		}));
 }
 
@@ -65,12 +65,12 @@
 	commands: ReadonlyArray<fc.Arbitrary<fc.AsyncCommand<Model, Simulation>>>,
 	maxCommands: number,
 	createSimulation: () => Simulation,
-	breaches: (world: Simulation) => Promise<readonly string[]> | readonly string[],
+	breaches: (simulation: Simulation) => Promise<readonly string[]> | readonly string[],
 ) {
 	return fc.asyncProperty(fc.commands([...commands], {maxCommands, size: 'max'}), async run => {
-		const world = createSimulation();
-		await fc.asyncModelRun(() => ({model: {}, real: world}), run);
-		await world.settle();
-		assertNoBreaches(await breaches(world));
+		const simulation = createSimulation();
+		await fc.asyncModelRun(() => ({model: {}, real: simulation}), run);
+		await simulation.settle();
+		assertNoBreaches(await breaches(simulation));
 	});
 }
