--- a/test/request-fuzz.ts
+++ b/test/request-fuzz.ts
@@ -99,5 +99,6 @@
 @param defect - defect to inject, which breaks a promise on purpose.
 */
 export function requestProperty(maxCommands: number, defect?: InjectedDefect) {
-	return simulationProperty(commands, maxCommands, () => new RequestSimulation(defect), simulation => [...simulation.oracle.breaches(answerMarginMs), ...simulation.oracle.unanswered(), ...simulation.leaks()]);
+	return simulationProperty(commands, maxCommands, () => new RequestSimulation(defect), simulation =>
+		[...simulation.oracle.breaches(answerMarginMs), ...simulation.oracle.unanswered(), ...simulation.leaks()]);
 }
--- a/test/simulated-upstream.ts
+++ b/test/simulated-upstream.ts
@@ -11,7 +11,7 @@
 /** Seed of the answers of all upstreams, so that every upstream generates the same answer for an input. */
 export const generationSeed = 5;
 
-/** Steps that an upstream can take in a call; `piece` stands three times and `complete` twice, so that calls usually progress. */
+/** Steps that an upstream can take in a call; `piece` is listed three times and `complete` twice, so that calls usually progress. */
 export const callSteps = ['piece', 'piece', 'piece', 'complete', 'complete', 'fail', 'notRun', 'unknown'] as const;
 export type CallStep = typeof callSteps[number];
 
--- a/test/simulation-commands.ts
+++ b/test/simulation-commands.ts
@@ -1,10 +1,10 @@
-/** Commands of the fuzzers: each performs an action in a simulated world, and checks the world afterwards. */
+/** Commands of the fuzzers: each performs an action in a simulation, and checks the simulation afterwards. */
 import fc from 'fast-check';
 
-/** The model of fast-check commands is empty, because each world has its own oracle. */
+/** The model of fast-check commands is empty, because each simulation has its own oracle. */
 type Model = Record<string, never>;
 
-/** A command that performs one action in a world. */
+/** A command that performs one action in a simulation. */
 class SimulationCommand<Simulation> implements fc.AsyncCommand<Model, Simulation> {
 	constructor(private readonly text: string, private readonly act: (simulation: Simulation) => Promise<void>) {}
 
@@ -36,7 +36,7 @@
 }
 
 /**
-Creates a factory of commands for one kind of world.
+Creates a factory of commands for one kind of simulation.
 @param check - check that runs after each command.
 @returns function that takes a name, the arbitrary arguments and an action, and returns the arbitrary command.
 */
@@ -48,18 +48,18 @@
 		}));
 }
 
-/** A world whose running work can be brought to an end. */
+/** A simulation whose running work can be brought to an end. */
 type SettleableSimulation = {
 	/** Ends all faults and lets all running work finish. */
 	settle(): Promise<void>;
 };
 
 /**
-Creates a property: after any sequence of commands in a new world, once its work has finished, no promise is broken.
+Creates a property: after any sequence of commands in a new simulation, once its work has finished, no promise is broken.
 @param commands - arbitrary commands to choose from.
 @param maxCommands - upper bound on the commands in one run.
-@param createSimulation - creates a world.
-@param breaches - returns the broken promises of a world whose work has finished.
+@param createSimulation - creates a simulation.
+@param breaches - returns the broken promises of a simulation whose work has finished.
 */
 export function simulationProperty<Simulation extends SettleableSimulation>(
 	commands: ReadonlyArray<fc.Arbitrary<fc.AsyncCommand<Model, Simulation>>>,
--- a/tools/caller-value.ts
+++ b/tools/caller-value.ts
@@ -23,7 +23,7 @@
 
 /** Waiting up to this share of the target is not charged, because a caller that is refused immediately has lost nothing. */
 const freeWaitShare = 0.125;
-/** Waiting for this share of the target or longer, without being served, is charged in full. */
+/** Waiting for this share of the target or longer, without being served, is charged in full, by the share below. */
 const fullChargeWaitShare = 0.75;
 /** Full charge for waiting without being served, as a share of the value of the request. */
 const maxWaitCostShare = 0.1;
