--- a/bench/report.ts
+++ b/bench/report.ts
@@ -39,7 +39,7 @@
 */
 export function readResults<K extends keyof Results>(part: K): Results[K] | undefined {
 	try {
-		// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- written by keepResults
+		// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- written by saveResults
 		return JSON.parse(readFileSync(fileOf(part), 'utf8')) as Results[K];
 	} catch {
 		return undefined;
