--- a/bench/attainment.ts
+++ b/bench/attainment.ts
@@ -1,4 +1,4 @@
-/** Attainment, latency and cost of a policy under a scenario, over real sockets on loopback. */
+/** Measures attainment, latency and cost of a policy in a scenario, over real loopback sockets. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {request} from 'undici';
@@ -12,7 +12,7 @@
 
 const warmUpMs = 1500;
 
-/** One measured run. */
+/** Results of one measured run. */
 export type AttainmentRun = {
 	readonly deployment: string;
 	readonly scenario: string;
@@ -25,52 +25,52 @@
 	readonly p50Ms: number;
 	readonly p95Ms: number;
 	readonly p99Ms: number;
-	/** Upstream time for each attained request, and the share of it that came to nothing. */
+	/** Upstream time for each attained request, and the share of the upstream time that was wasted. */
 	readonly costMs: number;
 	readonly wastedShare: number;
-	/** Share of the time the one process was busy; above 0.9 the figures say little. */
+	/** Share of time in which the event loop of the only process was busy; above 0.9 the results mean little. */
 	readonly busyShare: number;
 };
 
-const reportSchema = z.object({stages: z.array(z.object({usefulMs: z.number(), wastedMs: z.number()}))});
+const costReportSchema = z.object({stages: z.array(z.object({usefulMs: z.number(), wastedMs: z.number()}))});
 
-/** What a run is made of. */
+/** Parameters of a run. */
 export type AttainmentOptions = {readonly deployment: Deployment; readonly scenario: Scenario; readonly policy: Policy; readonly durationMs: number; readonly seed: number};
 
 /**
 Measures one run.
-@param options - deployment, scenario, policy, length and seed.
-@returns the figures.
+@param options - deployment, scenario, policy, duration and seed.
+@returns the results.
 */
 export async function measureAttainment(options: AttainmentOptions): Promise<AttainmentRun> {
 	const {deployment, scenario, policy, durationMs, seed} = options;
 	const fleet = await LocalFleet.create({...deployment.spec, ...(policy.adjust && {adjust: policy.adjust})});
-	await apply(fleet, deployment.declaration);
+	await applyDeclaration(fleet, deployment.declaration);
 	const plan = {
 		origins: fleet.entries.map((_, index) => fleet.callersOrigin(index)),
 		workspaces: deployment.workspaces,
 		kinds: deployment.kinds(scenario.isSharingPrefixes === true),
 		deadlineMs: deployment.deadlineMs,
 	};
-	// A short load first, so that every policy has connections and estimates.
+	// A short warm-up load, so that every policy starts with open connections and estimates.
 	await new LoadRun({
 		...plan, rateAt: () => deployment.steadyRate, durationMs: warmUpMs, seed: seed + 1,
 	}).run();
-	const before = await costOf(fleet);
+	const before = await readCost(fleet);
 	const startUtilization = performance.eventLoopUtilization();
-	const trouble = scenario.disturb(fleet, durationMs);
+	const faults = scenario.injectFaults(fleet, durationMs);
 	const result = await new LoadRun({
-		...plan, rateAt: atMs => deployment.steadyRate * scenario.factorAt(atMs / durationMs), durationMs, seed,
+		...plan, rateAt: atMs => deployment.steadyRate * scenario.loadFactorAt(atMs / durationMs), durationMs, seed,
 	}).run();
-	await trouble;
+	await faults;
 	const busyShare = performance.eventLoopUtilization(startUtilization).utilization;
-	const after = await costOf(fleet);
+	const after = await readCost(fleet);
 	fleet.dispose();
 
-	const loads = [...result.workspaces].filter(([, load]) => load.requests > 0);
-	const requests = loads.reduce((sum, [, load]) => sum + load.requests, 0);
-	const attained = loads.reduce((sum, [, load]) => sum + load.attained, 0);
-	const workspaces = Object.fromEntries(loads.map(([name, load]) => [name, load.attained / load.requests]));
+	const countsByWorkspace = [...result.workspaces].filter(([, load]) => load.requests > 0);
+	const requests = countsByWorkspace.reduce((sum, [, load]) => sum + load.requests, 0);
+	const attained = countsByWorkspace.reduce((sum, [, load]) => sum + load.attained, 0);
+	const workspaces = Object.fromEntries(countsByWorkspace.map(([name, load]) => [name, load.attained / load.requests]));
 	const usefulMs = after.usefulMs - before.usefulMs;
 	const wastedMs = after.wastedMs - before.wastedMs;
 	return {
@@ -90,7 +90,7 @@
 	};
 }
 
-async function apply(fleet: LocalFleet, declaration: string): Promise<void> {
+async function applyDeclaration(fleet: LocalFleet, declaration: string): Promise<void> {
 	const nodes = readDeclaration(readFileSync(declaration), declaration);
 	if (!nodes.ok) {
 		throw new Error(JSON.stringify(nodes.error));
@@ -98,7 +98,7 @@
 
 	await call(fleet.operatorsOrigin(0), '/v1/settings/changes', JSON.stringify(toChangeRequest(planEdits(nodes.value, new Map()), 'bench', 'bench')));
 	for (;;) {
-		const statuses = await Promise.all(fleet.entries.map(async (_, index) => statusOf(fleet, index)));
+		const statuses = await Promise.all(fleet.entries.map(async (_, index) => readStatus(fleet, index)));
 		if (statuses.every(status => status.settingsRevision > 0 && status.upstreams.length === fleet.upstreams.length)) {
 			return;
 		}
@@ -107,14 +107,14 @@
 	}
 }
 
-async function statusOf(fleet: LocalFleet, index: number) {
+async function readStatus(fleet: LocalFleet, index: number) {
 	return z.object({settingsRevision: z.number(), upstreams: z.array(z.unknown())}).parse(await call(fleet.operatorsOrigin(index), '/v1/status'));
 }
 
-async function costOf(fleet: LocalFleet): Promise<{usefulMs: number; wastedMs: number}> {
+async function readCost(fleet: LocalFleet): Promise<{usefulMs: number; wastedMs: number}> {
 	const cost = {usefulMs: 0, wastedMs: 0};
 	for (const index of fleet.entries.keys()) {
-		for (const stage of reportSchema.parse(await call(fleet.operatorsOrigin(index), '/v1/report')).stages) {
+		for (const stage of costReportSchema.parse(await call(fleet.operatorsOrigin(index), '/v1/report')).stages) {
 			cost.usefulMs += stage.usefulMs;
 			cost.wastedMs += stage.wastedMs;
 		}
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -1,4 +1,4 @@
-/** Both users' deployments at the size of today, with the mix of requests they send. */
+/** The deployments of both users at their present size, with the mix of requests that their callers send. */
 import {fileURLToPath} from 'node:url';
 import {kaolackFleet, kookpakketFleet, type FleetSpec} from '../examples/local-fleet.js';
 import type {Random} from '../src/base/common/random.js';
@@ -12,12 +12,12 @@
 	readonly workspaces: ReadonlyArray<{readonly name: string; readonly share: number}>;
 	readonly kinds: (isSharingPrefixes: boolean) => LoadKind[];
 	readonly deadlineMs: number;
-	/** Requests a second that keep the engines about two thirds busy. */
+	/** Requests per second that keep the engines about two thirds busy. */
 	readonly steadyRate: number;
 };
 
-/** Slower engines than the quickstart's, so that one process carries engines, agents, entries and load. */
-const benchPace = {
+/** Slower than the engines of the quickstart, so that one process can run engines, agents, entries and the load generator. */
+const benchEngineSpeed = {
 	slots: 4, stepMs: 20, slowdownPerSequence: 0.05, prefillSteps: 4,
 };
 
@@ -27,7 +27,7 @@
 
 function pipeline(name: string, share: number, isSharing: boolean): LoadKind {
 	return {
-		name, share, path: `pipelines/${name}/requests`, method: 'POST', isOnce: false, body: (number, random) => promptOf(number, random, isSharing),
+		name, share, path: `pipelines/${name}/requests`, method: 'POST', isRepeatForbidden: false, body: (number, random) => promptOf(number, random, isSharing),
 	};
 }
 
@@ -38,20 +38,20 @@
 
 function reservation(name: string, share: number, path: string): LoadKind {
 	return {
-		name, share, path: `services/${path}`, method: 'POST', isOnce: true, body: number => JSON.stringify({reserve: number}),
+		name, share, path: `services/${path}`, method: 'POST', isRepeatForbidden: true, body: number => JSON.stringify({reserve: number}),
 	};
 }
 
 function lookup(name: string, share: number, path: string): LoadKind {
 	return {
-		name, share, path: `services/${path}`, method: 'GET', isOnce: false, body: () => undefined,
+		name, share, path: `services/${path}`, method: 'GET', isRepeatForbidden: false, body: () => undefined,
 	};
 }
 
 export const deployments: readonly Deployment[] = [
 	{
 		name: 'kaolack',
-		spec: {...kaolackFleet, pace: benchPace, logLevel: 'error'},
+		spec: {...kaolackFleet, engineSpeed: benchEngineSpeed, logLevel: 'error'},
 		declaration: pathOf('kaolack.jsonc'),
 		workspaces: [
 			{name: 'buyers', share: 4}, {name: 'mill-saloum', share: 3}, {name: 'mill-nioro', share: 1}, {name: 'mill-kaffrine', share: 1}, {name: 'mill-foundiougne', share: 1},
@@ -69,7 +69,7 @@
 	},
 	{
 		name: 'kookpakket',
-		spec: {...kookpakketFleet, pace: benchPace, logLevel: 'error'},
+		spec: {...kookpakketFleet, engineSpeed: benchEngineSpeed, logLevel: 'error'},
 		declaration: pathOf('kookpakket.jsonc'),
 		workspaces: [
 			{name: 'supermarket', share: 4}, {name: 'flanders', share: 3}, {name: 'wallonia', share: 1}, {name: 'support', share: 1}, {name: 'box-planning', share: 1},
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,4 +1,4 @@
-/** Open-loop load: arrivals come when they are due, however slow the answers. */
+/** Open-loop load generator: requests are sent when they are due, regardless of how slow the responses are. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {build, type Histogram} from 'hdr-histogram-js';
 import {Agent, request} from 'undici';
@@ -7,43 +7,43 @@
 /** One kind of request in the mix. */
 export type LoadKind = {
 	readonly name: string;
-	/** Share of all requests. */
+	/** Weight of this kind in the mix of requests. */
 	readonly share: number;
 	readonly path: string;
 	readonly method: 'GET' | 'POST';
-	readonly isOnce: boolean;
+	readonly isRepeatForbidden: boolean;
 	readonly body: (number: number, random: Random) => string | undefined;
 };
 
-/** What is sent. */
+/** Parameters of a load. */
 export type LoadPlan = {
 	readonly origins: readonly string[];
-	/** Workspaces with their share of the requests. */
+	/** Workspaces with their weight in the mix of requests. */
 	readonly workspaces: ReadonlyArray<{readonly name: string; readonly share: number}>;
 	readonly kinds: readonly LoadKind[];
 	readonly deadlineMs: number;
-	/** Requests a second at a time since the start. */
+	/** Returns the requests per second at a time since the start. */
 	readonly rateAt: (atMs: number) => number;
 	readonly durationMs: number;
 	readonly seed: number;
 };
 
-/** How the requests of one workspace fared, as its callers saw it. */
-export type WorkspaceLoad = {requests: number; attained: number; refused: number; late: number; other: number};
+/** Outcomes of the requests of one workspace or one kind, as seen by the callers. */
+export type OutcomeCounts = {requests: number; attained: number; refused: number; late: number; other: number};
 
-/** What came of a load. */
+/** Results of a load. */
 export type LoadResult = {
-	readonly workspaces: ReadonlyMap<string, WorkspaceLoad>;
+	readonly workspaces: ReadonlyMap<string, OutcomeCounts>;
 	readonly latency: Histogram;
-	/** Times of answers by kind. */
-	readonly byKind: ReadonlyMap<string, WorkspaceLoad>;
+	/** Outcomes by kind of request. */
+	readonly byKind: ReadonlyMap<string, OutcomeCounts>;
 };
 
-function pick<T extends {readonly share: number}>(items: readonly T[], random: Random): T {
-	let left = random.next() * items.reduce((sum, item) => sum + item.share, 0);
+function pickByShare<T extends {readonly share: number}>(items: readonly T[], random: Random): T {
+	let remaining = random.next() * items.reduce((sum, item) => sum + item.share, 0);
 	for (const item of items) {
-		left -= item.share;
-		if (left <= 0) {
+		remaining -= item.share;
+		if (remaining <= 0) {
 			return item;
 		}
 	}
@@ -51,26 +51,26 @@
 	return items[0];
 }
 
-function emptyLoad(): WorkspaceLoad {
+function emptyCounts(): OutcomeCounts {
 	return {
 		requests: 0, attained: 0, refused: 0, late: 0, other: 0,
 	};
 }
 
-/** Sends a load and waits for all its answers. */
+/** Sends a load, and waits for all responses. */
 export class LoadRun {
 	readonly latency = build({lowestDiscernibleValue: 1, highestTrackableValue: 600_000, numberOfSignificantValueDigits: 2});
-	readonly workspaces = new Map<string, WorkspaceLoad>();
-	readonly byKind = new Map<string, WorkspaceLoad>();
+	readonly workspaces = new Map<string, OutcomeCounts>();
+	readonly byKind = new Map<string, OutcomeCounts>();
 	private readonly agent = new Agent({connections: 256, pipelining: 1});
 
 	constructor(private readonly plan: LoadPlan) {
 		for (const {name} of plan.workspaces) {
-			this.workspaces.set(name, emptyLoad());
+			this.workspaces.set(name, emptyCounts());
 		}
 
 		for (const {name} of plan.kinds) {
-			this.byKind.set(name, emptyLoad());
+			this.byKind.set(name, emptyCounts());
 		}
 	}
 
@@ -98,12 +98,12 @@
 
 	private async send(number: number, random: Random): Promise<void> {
 		const {origins, workspaces, kinds, deadlineMs} = this.plan;
-		const workspace = pick(workspaces, random);
-		const kind = pick(kinds, random);
-		const loads = [this.workspaces.get(workspace.name)!, this.byKind.get(kind.name)!];
+		const workspace = pickByShare(workspaces, random);
+		const kind = pickByShare(kinds, random);
+		const counts = [this.workspaces.get(workspace.name)!, this.byKind.get(kind.name)!];
 		const body = kind.body(number, random);
 		const sentMs = performance.now();
-		for (const load of loads) {
+		for (const load of counts) {
 			load.requests++;
 		}
 
@@ -114,16 +114,16 @@
 				authorization: `Bearer demo-${workspace.name}`,
 				'content-type': 'application/json',
 				'deadline-ms': String(deadlineMs),
-				...(kind.isOnce && {'idempotency-key': `bench-${this.plan.seed}-${number}`, 'not-repeatable': 'true'}),
+				...(kind.isRepeatForbidden && {'idempotency-key': `bench-${this.plan.seed}-${number}`, 'not-repeatable': 'true'}),
 			},
 		});
-		const tookMs = performance.now() - sentMs;
+		const latencyMs = performance.now() - sentMs;
 		if (outcome === 'completed') {
-			this.latency.recordValue(Math.max(1, Math.round(tookMs)));
+			this.latency.recordValue(Math.max(1, Math.round(latencyMs)));
 		}
 
-		for (const load of loads) {
-			count(load, outcome, tookMs <= deadlineMs);
+		for (const load of counts) {
+			countOutcome(load, outcome, latencyMs <= deadlineMs);
 		}
 	}
 
@@ -142,7 +142,7 @@
 	}
 }
 
-function count(load: WorkspaceLoad, outcome: string, isInTime: boolean): void {
+function countOutcome(load: OutcomeCounts, outcome: string, isInTime: boolean): void {
 	if (outcome === 'completed') {
 		load[isInTime ? 'attained' : 'late']++;
 	} else {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`: figures on decisions, the hop, attainment and slopes, kept and written into the docs. */
+/** `npm run bench`: measures decisions, the hop, attainment and slopes, saves the results, and writes them into the docs. */
 import process from 'node:process';
 import sade from 'sade';
 import {measureAttainment, type AttainmentRun} from './attainment.js';
@@ -7,7 +7,7 @@
 import {deployments} from './deployments.js';
 import {measureHop} from './hop.js';
 import {policies} from './policies.js';
-import {keepResults, readResults, writePage} from './report.js';
+import {saveResults, readResults, writePage} from './report.js';
 import {scenarios} from './scenarios.js';
 import {measureSlopes} from './slopes.js';
 
@@ -26,11 +26,11 @@
 	readonly rounds: number;
 };
 
-function say(line: string): void {
+function writeLine(line: string): void {
 	process.stdout.write(`${line}\n`);
 }
 
-function format(run: AttainmentRun): string {
+function formatRun(run: AttainmentRun): string {
 	const share = (value: number) => `${(value * 100).toFixed(1)}%`;
 	return [
 		run.deployment.padEnd(11),
@@ -57,38 +57,38 @@
 						deployment, scenario, policy, durationMs: flags.seconds * 1000, seed: 100 + round,
 					});
 					runs.push(run);
-					say(format(run));
+					writeLine(formatRun(run));
 				}
 			}
 		}
 	}
 
 	if (flags.keep) {
-		// Other deployments, and other scenarios, keep what was measured of them before.
+		// Saved runs of combinations of deployment, scenario and policy that were not measured now are kept.
 		const isMeasured = (old: AttainmentRun) => runs.some(run => run.deployment === old.deployment && run.scenario === old.scenario && run.policy === old.policy);
-		keepResults('attainment', [...(readResults('attainment') ?? []).filter(old => !isMeasured(old)), ...runs]);
+		saveResults('attainment', [...(readResults('attainment') ?? []).filter(old => !isMeasured(old)), ...runs]);
 	}
 }
 
 async function runDecisions(): Promise<void> {
 	const decisions = await measureDecisions(decisionTimeMs);
 	for (const item of decisions) {
-		say(`${item.name.padEnd(40)} ${item.microseconds.toFixed(1)} us`);
+		writeLine(`${item.name.padEnd(40)} ${item.microseconds.toFixed(1)} us`);
 	}
 
-	keepResults('decisions', decisions);
+	saveResults('decisions', decisions);
 	const hop = await measureHop();
-	say(`the hop adds ${(hop.throughMs - hop.directMs).toFixed(2)} ms, ${(hop.addedShare * 100).toFixed(1)}% of a 20 ms stage`);
-	keepResults('hop', hop);
+	writeLine(`the hop adds ${(hop.throughMs - hop.directMs).toFixed(2)} ms, ${(hop.addedShare * 100).toFixed(1)}% of a 20 ms stage`);
+	saveResults('hop', hop);
 }
 
 async function runSlopes(): Promise<void> {
 	const slopes = await measureSlopes();
 	for (const item of slopes) {
-		say(`${item.what.padEnd(46)} ${item.at.padEnd(38)} ${item.value.toFixed(2)} ${item.unit}`);
+		writeLine(`${item.what.padEnd(46)} ${item.at.padEnd(38)} ${item.value.toFixed(2)} ${item.unit}`);
 	}
 
-	keepResults('slopes', slopes);
+	saveResults('slopes', slopes);
 }
 
 async function run(flags: Flags): Promise<void> {
@@ -108,10 +108,10 @@
 	if (flags.check) {
 		const broken = checkResults();
 		for (const line of broken) {
-			say(`out of bounds: ${line}`);
+			writeLine(`out of bounds: ${line}`);
 		}
 
-		say(broken.length === 0 ? 'Every bound holds.' : `${broken.length} bounds are broken.`);
+		writeLine(broken.length === 0 ? 'Every bound holds.' : `${broken.length} bounds are broken.`);
 		process.exitCode = broken.length === 0 ? 0 : 1;
 	}
 
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -1,16 +1,16 @@
-/** Results as files and as the tables of docs/MEASUREMENTS.md. */
+/** Saves results to files, and renders them as the tables of docs/MEASUREMENTS.md. */
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import type {AttainmentRun} from './attainment.js';
-import type {DecisionFigure} from './decisions.js';
-import type {HopFigure} from './hop.js';
-import type {SlopeFigure} from './slopes.js';
+import type {DecisionMeasurement} from './decisions.js';
+import type {HopMeasurement} from './hop.js';
+import type {SlopeMeasurement} from './slopes.js';
 
-/** Everything measured, as kept in bench/results. */
+/** All results; each part is saved in a file of its own in bench/results. */
 export type Results = {
-	readonly decisions: DecisionFigure[];
-	readonly hop: HopFigure;
-	readonly slopes: SlopeFigure[];
+	readonly decisions: DecisionMeasurement[];
+	readonly hop: HopMeasurement;
+	readonly slopes: SlopeMeasurement[];
 	readonly attainment: AttainmentRun[];
 };
 
@@ -23,23 +23,23 @@
 }
 
 /**
-Keeps results of one part.
-@param part - which.
+Saves the results of one part, replacing the former ones.
+@param part - the part.
 @param value - the results.
 */
-export function keepResults<K extends keyof Results>(part: K, value: Results[K]): void {
+export function saveResults<K extends keyof Results>(part: K, value: Results[K]): void {
 	mkdirSync(folder, {recursive: true});
 	writeFileSync(fileOf(part), `${JSON.stringify(value, undefined, '\t')}\n`);
 }
 
 /**
-Reads the results kept last.
-@param part - which.
-@returns them, or nothing where there are none.
+Reads the results of one part that were saved last.
+@param part - the part.
+@returns the results, or undefined if there are none.
 */
 export function readResults<K extends keyof Results>(part: K): Results[K] | undefined {
 	try {
-		// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- written by keepResults
+		// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- written by saveResults
 		return JSON.parse(readFileSync(fileOf(part), 'utf8')) as Results[K];
 	} catch {
 		return undefined;
@@ -60,26 +60,26 @@
 	return sorted.length % 2 === 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2;
 }
 
-/** One policy's runs of one scenario, joined. */
-export type JoinedRun = AttainmentRun & {readonly lowest: number; readonly highest: number; readonly rounds: number};
+/** The rounds of one deployment, scenario and policy, aggregated; `lowest` and `highest` are attainments. */
+export type AggregatedRun = AttainmentRun & {readonly lowest: number; readonly highest: number; readonly rounds: number};
 
 /**
-Joins the rounds of each deployment, scenario and policy.
+Aggregates the rounds of each deployment, scenario and policy.
 @param runs - all runs.
-@returns the median of each figure, with the lowest and highest attainment.
+@returns the median of each value over the rounds, the highest `busyShare`, and the lowest and highest attainment.
 */
-export function joinRounds(runs: readonly AttainmentRun[]): JoinedRun[] {
+export function aggregateRounds(runs: readonly AttainmentRun[]): AggregatedRun[] {
 	return Array.from(groupRuns(runs).values(), group => {
-		const middle = (of: (run: AttainmentRun) => number) => median(group.map(run => of(run)));
+		const medianOf = (of: (run: AttainmentRun) => number) => median(group.map(run => of(run)));
 		return {
 			...group[0],
-			attainment: middle(run => run.attainment),
-			worstWorkspace: middle(run => run.worstWorkspace),
-			p50Ms: middle(run => run.p50Ms),
-			p95Ms: middle(run => run.p95Ms),
-			p99Ms: middle(run => run.p99Ms),
-			costMs: middle(run => run.costMs),
-			wastedShare: middle(run => run.wastedShare),
+			attainment: medianOf(run => run.attainment),
+			worstWorkspace: medianOf(run => run.worstWorkspace),
+			p50Ms: medianOf(run => run.p50Ms),
+			p95Ms: medianOf(run => run.p95Ms),
+			p99Ms: medianOf(run => run.p99Ms),
+			costMs: medianOf(run => run.costMs),
+			wastedShare: medianOf(run => run.wastedShare),
 			busyShare: Math.max(...group.map(run => run.busyShare)),
 			lowest: Math.min(...group.map(run => run.attainment)),
 			highest: Math.max(...group.map(run => run.attainment)),
@@ -110,7 +110,7 @@
 	slopes: figures => table(['what', 'at', 'value'], figures.map(item => [item.what, item.at, `${item.value.toFixed(item.value < 10 ? 2 : 0)} ${item.unit}`])),
 	attainment: runs => table(
 		['deployment', 'scenario', 'policy', 'attained (lowest–highest)', 'worst workspace', 'p50 / p95 / p99 ms', 'cost ms', 'wasted'],
-		joinRounds(runs).map(run => [
+		aggregateRounds(runs).map(run => [
 			run.deployment,
 			run.scenario,
 			run.policy,
@@ -123,7 +123,7 @@
 	),
 };
 
-function fill<K extends keyof Results>(text: string, part: K): string {
+function fillTable<K extends keyof Results>(text: string, part: K): string {
 	const value = readResults(part);
 	const [start, end] = [`<!-- bench:${part} -->`, `<!-- /bench:${part} -->`];
 	const from = text.indexOf(start) + start.length;
@@ -131,13 +131,13 @@
 	return value && to > from ? `${text.slice(0, from)}\n${renderers[part](value)}\n${text.slice(to)}` : text;
 }
 
-/** Writes the tables between their marks in docs/MEASUREMENTS.md. */
+/** Replaces the tables between their marker comments in docs/MEASUREMENTS.md. */
 export function writePage(): void {
 	let text = readFileSync(page, 'utf8');
-	text = fill(text, 'decisions');
-	text = fill(text, 'hop');
-	text = fill(text, 'attainment');
-	text = fill(text, 'slopes');
+	text = fillTable(text, 'decisions');
+	text = fillTable(text, 'hop');
+	text = fillTable(text, 'attainment');
+	text = fillTable(text, 'slopes');
 
 	writeFileSync(page, text);
 }
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,4 +1,4 @@
-/** How state, time and traffic grow: the slopes that docs/CAPACITY.md is worked out from. */
+/** Measures how memory, time and traffic grow with the size of a fleet; docs/CAPACITY.md is derived from these slopes. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
@@ -14,14 +14,14 @@
 import {MemberTable} from '../src/membership/common/member-table.js';
 import {makeSnapshot, makeTree} from './synthetic-settings.js';
 
-/** Copies that memory is measured over, so that the collector's noise is small against it. */
+/** Number of copies over which memory is measured, so that the noise of the garbage collector is small compared with their size. */
 const treeCopies = 20;
 
-/** One measured point. */
-export type SlopeFigure = {readonly what: string; readonly at: string; readonly value: number; readonly unit: string};
+/** One measured value: what was measured, at which size, and its unit. */
+export type SlopeMeasurement = {readonly what: string; readonly at: string; readonly value: number; readonly unit: string};
 
 setFlagsFromString('--expose_gc');
-// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- the flag above brings this function
+// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- the flag above exposes this function
 const collectGarbage = runInNewContext('gc') as () => void;
 
 function heapBytes(): number {
@@ -29,7 +29,7 @@
 	return process.memoryUsage().heapUsed;
 }
 
-function timeMs(run: () => void): number {
+function medianTimeMs(run: () => void): number {
 	const times: number[] = [];
 	for (let round = 0; round < 5; round++) {
 		const startMs = performance.now();
@@ -40,8 +40,11 @@
 	return times.toSorted((a, b) => a - b)[2];
 }
 
-/** Settings at three sizes: memory, taking over a snapshot, checking a change, looking up. */
-export function measureSettings(): SlopeFigure[] {
+/**
+Measures settings of three sizes: their memory, and the times to restore a snapshot, check a change and look up a policy.
+@returns the measurements.
+*/
+export function measureSettings(): SlopeMeasurement[] {
 	return [5, 500, 4800].flatMap(workspaces => {
 		const at = `${workspaces} workspaces`;
 		const text = JSON.stringify(makeSnapshot(workspaces));
@@ -55,15 +58,15 @@
 		});
 		const bytes = (heapBytes() - beforeBytes) / copies.length;
 		const planner = Planner.create(tree);
-		const ask = (number: number) => ({
+		const requestParameters = (number: number) => ({
 			requestId: 'r', workspace: `w${number % workspaces}`, target: 'p1', isRepeatable: true, hasIdempotencyKey: false, isStreaming: false, input: new Uint8Array(0),
 		});
-		const first = timeMs(() => {
+		const lookupMs = medianTimeMs(() => {
 			for (let number = 0; number < 100; number++) {
 				tree.policyAt(`/workspaces/w${number % workspaces}/pipelines/p1/stages/generate`);
 			}
 		}) / 100;
-		planner.plan(ask(0), 0);
+		planner.plan(requestParameters(0), 0);
 		return [
 			{
 				what: 'snapshot as sent', at, value: text.length / 1024, unit: 'KiB',
@@ -72,26 +75,29 @@
 				what: 'memory of the tree', at, value: bytes / 1024, unit: 'KiB',
 			},
 			{
-				what: 'take over a snapshot', at, value: timeMs(() => {
+				what: 'take over a snapshot', at, value: medianTimeMs(() => {
 					SettingsTree.create().restore(snapshotSchema.parse(JSON.parse(text)));
 				}), unit: 'ms',
 			},
 			...[['a workspace', '/workspaces/w0'], ['the fleet', '/']].map(([name, path]) => ({
-				what: `copy and check the tree for a change of ${name}`, at, value: timeMs(() => {
+				what: `copy and check the tree for a change of ${name}`, at, value: medianTimeMs(() => {
 					const copy = SettingsTree.create();
 					copy.restore(tree.snapshot());
 					checkTree(copy, [path]);
 				}), unit: 'ms',
 			})),
 			{
-				what: 'look up one effective policy', at, value: first * 1000, unit: 'us',
+				what: 'look up one effective policy', at, value: lookupMs * 1000, unit: 'us',
 			},
 		];
 	});
 }
 
-/** Bytes of the control messages on one link. */
-export function measureControlFrames(): SlopeFigure[] {
+/**
+Measures the encoded size of the control messages on one connection.
+@returns the measurements.
+*/
+export function measureControlFrames(): SlopeMeasurement[] {
 	const load = {
 		running: 7, queued: 3, slots: 8, serviceMs: 512.25, models: [{model: 'sawmill-7b', version: 'v3', adapters: ['quotes', 'tallies']}],
 	};
@@ -109,9 +115,12 @@
 	}));
 }
 
-/** An idle fleet's processor time and memory against its number of links. */
-export async function measureIdleFleet(): Promise<SlopeFigure[]> {
-	const figures: SlopeFigure[] = [];
+/**
+Measures the processor time and memory of an idle fleet against its number of connections.
+@returns the measurements.
+*/
+export async function measureIdleFleet(): Promise<SlopeMeasurement[]> {
+	const figures: SlopeMeasurement[] = [];
 	for (const [entries, count] of [[2, 0], [34, 0], [1, 8], [1, 32], [1, 96], [5, 96]]) {
 		const beforeBytes = heapBytes();
 		const fleet = await LocalFleet.create({
@@ -141,8 +150,11 @@
 	return figures;
 }
 
-/** Memory of an entry's knowledge of upstreams. */
-export function measureMembers(): SlopeFigure[] {
+/**
+Measures the memory of the member table in which an entry tracks the upstreams.
+@returns the measurements.
+*/
+export function measureMembers(): SlopeMeasurement[] {
 	return [8, 730].map(count => {
 		const clock = ManualClock.create();
 		const beforeBytes = heapBytes();
@@ -161,9 +173,12 @@
 	});
 }
 
-/** Time from the acceptance of a change until it is in force on every entry. */
-export async function measureInForce(): Promise<SlopeFigure[]> {
-	const figures: SlopeFigure[] = [];
+/**
+Measures the time from sending a change of the settings until it is in effect on every entry, and the load on the table service meanwhile.
+@returns the measurements.
+*/
+export async function measureInForce(): Promise<SlopeMeasurement[]> {
+	const figures: SlopeMeasurement[] = [];
 	for (const hosts of [2, 8, 32, 100]) {
 		const fleet = await LocalFleet.create({
 			entries: hosts, models: [], logLevel: 'error', pools: [],
@@ -173,7 +188,7 @@
 		const {readCount, writeCount} = fleet.platform.table;
 		const startMs = performance.now();
 		for (let change = 0; change < 5; change++) {
-			times.push(await timeInForce(fleet, change));
+			times.push(await measureTimeInForce(fleet, change));
 		}
 
 		const elapsedMs = performance.now() - startMs;
@@ -194,7 +209,7 @@
 	return figures;
 }
 
-async function timeInForce(fleet: LocalFleet, change: number): Promise<number> {
+async function measureTimeInForce(fleet: LocalFleet, change: number): Promise<number> {
 	const call = async (index: number, path: string, body?: string): Promise<unknown> => {
 		const response = await request(`${fleet.operatorsOrigin(index)}${path}`, {
 			method: body === undefined ? 'GET' : 'POST', body, headers: {authorization: 'Bearer demo-operator', 'content-type': 'application/json'},
@@ -214,9 +229,12 @@
 	return performance.now() - startMs;
 }
 
-/** @returns all slopes. */
-export async function measureSlopes(): Promise<SlopeFigure[]> {
-	// The tree is made once before, so that what is measured does not include the schemas.
+/**
+Measures everything in this file.
+@returns the measurements.
+*/
+export async function measureSlopes(): Promise<SlopeMeasurement[]> {
+	// Makes one tree first, so that the measured memory does not include that of the schemas.
 	makeTree(5);
 	return [
 		...measureSettings(), ...measureMembers(), ...measureControlFrames(), ...await measureIdleFleet(), ...await measureInForce(),
--- a/examples/local-fleet.ts
+++ b/examples/local-fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet on embedded stand-ins in one process: for the quickstart, tests and benches. */
+/** A complete fleet with simulated upstreams and platform in one process, for the quickstart, tests and benchmarks. */
 import {randomBytes} from 'node:crypto';
 import type {DependencyContainer} from 'tsyringe';
 import {type Disposable, DisposableStore} from '../src/base/common/disposable.js';
@@ -15,7 +15,7 @@
 const address = '127.0.0.1';
 const halls = ['hall-a', 'hall-b', 'hall-c'] as const;
 
-/** A pool of upstreams to start. */
+/** A pool of simulated upstreams to start. */
 export type PoolSpec = {
 	readonly pool: string;
 	readonly kind: 'engine' | 'worker' | 'service';
@@ -25,19 +25,19 @@
 	readonly isReporting?: boolean;
 };
 
-/** What to start. */
+/** Hosts and upstreams of a fleet to start. */
 export type FleetSpec = {
 	readonly entries: number;
 	readonly pools: readonly PoolSpec[];
 	readonly models: readonly LoadedModel[];
-	readonly pace?: EngineSpeed;
+	readonly engineSpeed?: EngineSpeed;
 	readonly logLevel?: 'debug' | 'info' | 'warn' | 'error';
 	readonly stopGraceMs?: number;
-	/** Registers other parts in each daemon before it starts. */
+	/** Registers replacement components in the container of each daemon before it starts. */
 	readonly adjust?: (parts: DependencyContainer) => void;
 };
 
-/** One started upstream with the agent beside it. */
+/** A started upstream with its agent. */
 export type FleetUpstream = {
 	readonly upstreamId: string;
 	readonly pool: string;
@@ -62,37 +62,37 @@
 	},
 ];
 
-function servicePools(quiet: string, reporting: readonly string[]): PoolSpec[] {
+function servicePools(nonReportingPool: string, reportingPools: readonly string[]): PoolSpec[] {
 	return [
 		{
-			pool: quiet, kind: 'service', count: 3, serviceMs: 10, slots: 8, isReporting: false,
+			pool: nonReportingPool, kind: 'service', count: 3, serviceMs: 10, slots: 8, isReporting: false,
 		},
-		...reporting.map(pool => ({
+		...reportingPools.map(pool => ({
 			pool, kind: 'service' as const, count: 4, serviceMs: 10, slots: 8, isReporting: true,
 		})),
 	];
 }
 
-/** The venture's fleet at the size of today. */
+/** Fleet of the Kaolack venture at its present size. */
 export const kaolackFleet: FleetSpec = {
 	entries: 2,
 	models: kaolackModels,
 	pools: [{pool: 'models', kind: 'engine', count: 13}, ...stagePools, ...servicePools('stock', ['invoicing', 'yard-gate', 'ledger'])],
 };
 
-/** Kookpakket's fleet at the size of today. */
+/** Fleet of Kookpakket at its present size. */
 export const kookpakketFleet: FleetSpec = {
 	entries: 2,
 	models: kookpakketModels,
 	pools: [{pool: 'models', kind: 'engine', count: 8}, ...stagePools, ...servicePools('orders', ['pantry', 'billing', 'partner-gateway'])],
 };
 
-/** A running fleet. */
+/** A running fleet; disposing it stops everything. */
 export class LocalFleet implements Disposable {
 	/**
 	Starts a fleet.
-	@param spec - what to start.
-	@returns the fleet, with every agent known to the platform's list.
+	@param spec - hosts and upstreams to start.
+	@returns the fleet, with every host in the host list of the simulated platform.
 	*/
 	static async create(spec: FleetSpec): Promise<LocalFleet> {
 		const fleet = new LocalFleet(spec, await PlatformServer.create());
@@ -106,11 +106,11 @@
 
 	readonly entries: Daemon[] = [];
 	readonly upstreams: FleetUpstream[] = [];
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly secrets: HostSecrets;
 
 	private constructor(private readonly spec: FleetSpec, readonly platform: PlatformServer) {
-		this.owned.add(platform);
+		this.disposables.add(platform);
 		this.secrets = {
 			wireKeys: [{keyId: 'local', secret: randomBytes(24).toString('base64url')}],
 			platformToken: 'local',
@@ -135,8 +135,9 @@
 	}
 
 	/**
-	Starts one more entry host.
-	@param index - its number; its hall follows from it.
+	Starts an entry host.
+	@param index - index of the entry, which also determines its data hall.
+	@returns its daemon.
 	*/
 	async startEntry(index: number): Promise<Daemon> {
 		const hostId = `entry-${index}`;
@@ -153,8 +154,8 @@
 			},
 		}, this.spec.adjust);
 		this.entries[index] = daemon;
-		this.list({hostId, role: 'entry', hall}, daemon);
-		this.owned.add({
+		this.updateHostList({hostId, role: 'entry', hall}, daemon);
+		this.disposables.add({
 			dispose() {
 				daemon.lifecycle.stopNow();
 			},
@@ -163,15 +164,15 @@
 	}
 
 	/**
-	Starts the agent beside an upstream again, as a new incarnation.
-	@param upstream - whose agent was stopped.
+	Starts the stopped agent of an upstream again, as a new incarnation.
+	@param upstream - upstream whose agent was stopped.
 	*/
 	async restartAgent(upstream: FleetUpstream): Promise<void> {
 		upstream.daemon = await this.startAgent(upstream, this.upstreams.indexOf(upstream));
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private async startUpstreams(): Promise<void> {
@@ -184,14 +185,14 @@
 
 	private async startUpstream(spec: PoolSpec, index: number): Promise<void> {
 		const upstreamId = `${spec.pool}-${index + 1}`;
-		const standin = spec.kind === 'engine'
-			? {engine: this.owned.add(await EngineServer.create({speed: this.spec.pace ?? defaultSpeed, models: structuredClone(this.spec.models), weightOrigin: this.platform.origin}))}
-			: {service: this.owned.add(await ServiceServer.create(serviceOptionsOf(spec)))};
-		const seed = {
-			upstreamId, pool: spec.pool, hostId: `host-${upstreamId}`, ...standin,
+		const server = spec.kind === 'engine'
+			? {engine: this.disposables.add(await EngineServer.create({speed: this.spec.engineSpeed ?? defaultSpeed, models: structuredClone(this.spec.models), weightOrigin: this.platform.origin}))}
+			: {service: this.disposables.add(await ServiceServer.create(serviceOptionsOf(spec)))};
+		const upstream = {
+			upstreamId, pool: spec.pool, hostId: `host-${upstreamId}`, ...server,
 		};
-		const daemon = await this.startAgent(seed, index);
-		this.upstreams.push({...seed, daemon});
+		const daemon = await this.startAgent(upstream, index);
+		this.upstreams.push({...upstream, daemon});
 	}
 
 	private async startAgent(upstream: Omit<FleetUpstream, 'daemon'>, index: number): Promise<Daemon> {
@@ -207,10 +208,10 @@
 				},
 			},
 		}, this.spec.adjust);
-		this.list({
+		this.updateHostList({
 			hostId, role: 'agent', hall, pool,
 		}, daemon);
-		this.owned.add({
+		this.disposables.add({
 			dispose() {
 				daemon.lifecycle.stopNow();
 			},
@@ -228,7 +229,7 @@
 		};
 	}
 
-	private list({hostId, role, hall, pool}: Pick<ListedHost, 'hostId' | 'role' | 'hall' | 'pool'>, {wire: {port}}: Daemon): void {
+	private updateHostList({hostId, role, hall, pool}: Pick<ListedHost, 'hostId' | 'role' | 'hall' | 'pool'>, {wire: {port}}: Daemon): void {
 		const others = this.platform.hosts.filter(host => host.hostId !== hostId);
 		this.platform.hosts = [...others, {
 			hostId, role, address, port, hall, state: 'live', ...(pool !== undefined && {pool}),
--- a/src/request/node/request-runner.test.ts
+++ b/src/request/node/request-runner.test.ts
@@ -3,7 +3,7 @@
 that arrived meanwhile are still unread when all overdue timers fire at once.
 */
 import t from 'tap';
-import {idleRouter} from '../../../test/idle-router.js';
+import {stubRouter} from '../../../test/stub-router.js';
 import {ManualClock} from '../../base/common/clock.js';
 import {Emitter} from '../../base/common/emitter.js';
 import {ok, type Outcome} from '../../base/common/outcome.js';
@@ -51,7 +51,7 @@
 			sent.push(message);
 			return true;
 		},
-	}, idleRouter(['u1', 'u2']), clock);
+	}, stubRouter(['u1', 'u2']), clock);
 	const results: RequestResult[] = [];
 	let prepared: (outcome: Outcome<PreparedInputs, PreparationFailure>) => void = () => undefined;
 	runner.start(planWith(changes), {
--- a/test/request-world.ts
+++ b/test/request-simulation.ts
@@ -1,4 +1,4 @@
-/** The small world of the request fuzzer: entries, upstreams with their agents, and the connections among them, moved by commands. */
+/** Simulation of the request fuzzer: entries, upstreams with their agents and the connections between them, driven by commands. */
 import {ManualClock} from '../src/base/common/clock.js';
 import {SeededRandom} from '../src/base/common/random.js';
 import {agentRules} from '../src/request/common/attempt-rules.js';
@@ -6,42 +6,42 @@
 import {policyDefaults, type EffectivePolicy} from '../src/settings/common/schema.js';
 import {MemoryTable} from '../src/standins/common/memory-table.js';
 import {RequestOracle, type CallerRecord} from './request-oracle.js';
-import {WorldEntry} from './world-entry.js';
-import {WorldLink} from './world-link.js';
+import {SimulatedEntry} from './simulated-entry.js';
+import {SimulatedLink} from './simulated-link.js';
 import {
-	generationSeed, tokens, WorldUpstream, type CallStep,
-} from './world-upstream.js';
+	generationSeed, tokensPerAnswer, SimulatedUpstream, type CallStep,
+} from './simulated-upstream.js';
 
 const stepMs = 10;
-/** An agent that has slept for longer is cut off. */
-const silenceMs = 4000;
-/** Rounds of work, and the time of each, in which everything ends that is under way. */
+/** The connection to a suspended agent is closed after this time without a message. */
+const maxSilenceMs = 4000;
+/** Number of rounds, and the duration of each, in which all running work finishes at the end of a run. */
 const settleRounds = 40;
 const settleRoundMs = 200;
-/** Longer than anything is kept. */
-const settleMs = 62_000;
+/** Longer than any retention time, so that all stored state expires. */
+const finalSettleMs = 62_000;
 
 export const entryCount = 2;
 export const upstreamCount = 3;
 
-/** Ways to break the world, to show that the fuzzer notices. */
-export type Sabotage = 'repeatOnce' | 'ignoreLeaving' | 'stopCuts' | undefined;
+/** Defects that a test injects on purpose, to show that the fuzzer detects them. */
+export type InjectedDefect = 'repeatOnce' | 'ignoreLeaving' | 'stopCuts' | undefined;
 
-/** Everything, in one place, moved by commands. Those take any index: it is brought into range. */
-export class RequestWorld {
+/** The simulated fleet, driven by commands. Commands take any index and reduce it to the valid range. */
+export class RequestSimulation {
 	readonly clock = ManualClock.create(1000);
 	readonly oracle = new RequestOracle();
 	readonly table = MemoryTable.create();
-	private readonly entries: readonly WorldEntry[];
-	private readonly upstreams: readonly WorldUpstream[];
-	private readonly links: readonly WorldLink[];
+	private readonly entries: readonly SimulatedEntry[];
+	private readonly upstreams: readonly SimulatedUpstream[];
+	private readonly links: readonly SimulatedLink[];
 	private serial = 0;
 
-	constructor(private readonly sabotage?: Sabotage) {
+	constructor(private readonly defect?: InjectedDefect) {
 		const {clock, oracle, table} = this;
 		const random = SeededRandom.create(7);
 		const nextNumber = () => this.nextNumber();
-		this.upstreams = Array.from({length: upstreamCount}, (_, index) => new WorldUpstream({
+		this.upstreams = Array.from({length: upstreamCount}, (_, index) => new SimulatedUpstream({
 			upstreamId: `u${index}`,
 			clock,
 			oracle,
@@ -50,21 +50,21 @@
 				this.links.find(link => link.isUp && link.connectionId === connectionId)?.toEntry.push(message);
 			},
 		}));
-		this.entries = Array.from({length: entryCount}, () => new WorldEntry({
+		this.entries = Array.from({length: entryCount}, () => new SimulatedEntry({
 			clock, oracle, table, random, nextNumber, linkTo: (entry, upstreamId) => this.linksOf(entry).find(link => link.upstream.upstreamId === upstreamId)!,
 		}));
-		this.links = this.entries.flatMap(entry => this.upstreams.map(upstream => new WorldLink(entry, upstream)));
+		this.links = this.entries.flatMap(entry => this.upstreams.map(upstream => new SimulatedLink(entry, upstream)));
 		for (const link of this.links) {
 			link.connect(this.nextNumber());
 		}
 	}
 
-	/** A caller sends a request. */
+	/** A caller sends a request to an entry. */
 	request(entryIndex: number, isRepeatable: boolean, deadlineMs: number, keyNumber: number): void {
 		const requestId = `r${this.nextNumber()}`;
 		const key = isRepeatable ? requestId : `k${keyNumber}`;
 		const caller: CallerRecord = {
-			plan: this.planOf(requestId, key, isRepeatable || this.sabotage === 'repeatOnce', deadlineMs),
+			plan: this.planOf(requestId, key, isRepeatable || this.defect === 'repeatOnce', deadlineMs),
 			isRepeatable,
 			key,
 			results: [],
@@ -78,14 +78,14 @@
 		this.entryAt(entryIndex).accept(caller);
 	}
 
-	/** A caller goes away. */
+	/** The caller of one running request disconnects. */
 	callerGone(index: number): void {
-		const all = this.entries.flatMap(entry => [...entry.live.values()].map(live => ({entry, live})));
+		const all = this.entries.flatMap(entry => [...entry.liveRequests.values()].map(live => ({entry, live})));
 		const chosen = all.at(index % Math.max(1, all.length));
 		chosen?.entry.callerGone(chosen.live);
 	}
 
-	/** Messages arrive. */
+	/** Up to `count` messages are delivered in each direction of a connection. */
 	deliver(linkIndex: number, count: number): void {
 		const link = this.linkAt(linkIndex);
 		for (let index = 0; index < count; index++) {
@@ -93,8 +93,8 @@
 		}
 	}
 
-	/** Everything goes on a little: messages arrive, and each call gives a piece. */
-	goOn(rounds: number): void {
+	/** All work makes some progress: messages are delivered, and each call produces a chunk. */
+	progress(rounds: number): void {
 		for (let round = 0; round <= rounds; round++) {
 			for (const index of this.links.keys()) {
 				this.deliver(index, 2);
@@ -102,29 +102,29 @@
 
 			for (const upstream of this.upstreams) {
 				for (const dispatchId of upstream.callIds) {
-					upstream.goOn(dispatchId);
+					upstream.progress(dispatchId);
 				}
 			}
 		}
 	}
 
-	/** A message arrives twice, or before the one ahead of it. */
-	disturb(position: number, isDoubled: boolean, isToUpstream: boolean): void {
+	/** A message in transit is duplicated, or swapped with the next one. */
+	duplicateOrReorder(position: number, isDoubled: boolean, isToUpstream: boolean): void {
 		const queues = this.links.map(link => isToUpstream ? link.toUpstream : link.toEntry).filter(queue => queue.length > 1);
 		const queue = queues.at(position % Math.max(1, queues.length));
 		if (!queue) {
 			return;
 		}
 
-		const at = position % (queue.length - 1);
+		const messageIndex = position % (queue.length - 1);
 		if (isDoubled) {
-			queue.splice(at, 0, queue[at]);
+			queue.splice(messageIndex, 0, queue[messageIndex]);
 		} else {
-			[queue[at], queue[at + 1]] = [queue[at + 1], queue[at]];
+			[queue[messageIndex], queue[messageIndex + 1]] = [queue[messageIndex + 1], queue[messageIndex]];
 		}
 	}
 
-	/** An upstream goes on with a call. */
+	/** An upstream takes one step in a call. */
 	callStep(upstreamIndex: number, callIndex: number, step: CallStep): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		const {callIds} = upstream;
@@ -134,12 +134,12 @@
 		}
 	}
 
-	/** A connection is lost. */
-	cut(linkIndex: number): void {
+	/** A connection is lost, and both sides are notified. */
+	disconnect(linkIndex: number): void {
 		this.linkAt(linkIndex).disconnect(true, this.nowMs);
 	}
 
-	/** A connection is made again. */
+	/** A lost connection is established again, unless the agent is suspended. */
 	reconnect(linkIndex: number): void {
 		const link = this.linkAt(linkIndex);
 		if (!link.isUp && !link.upstream.isPaused) {
@@ -147,7 +147,7 @@
 		}
 	}
 
-	/** An agent dies, and its slot gets a new one; whatever ran on the upstream is cancelled first. */
+	/** An agent crashes and is replaced by a new one; the calls running on its upstream are canceled first. */
 	crashAgent(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		const links = this.linksOf(upstream);
@@ -161,25 +161,25 @@
 		}
 	}
 
-	/** An agent stops as planned once its work is done, and a new one takes the slot. */
+	/** A planned stop: the agent announces that it is leaving and, if it has no work, is replaced by a new one. */
 	stopAgent(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		this.leave(upstreamIndex);
-		if (upstream.gate.isIdle || this.sabotage === 'stopCuts') {
-			this.oracle.cutByStop.push(...upstream.callIds);
+		if (upstream.gate.isIdle || this.defect === 'stopCuts') {
+			this.oracle.abortedByStop.push(...upstream.callIds);
 			this.crashAgent(upstreamIndex);
 		}
 	}
 
-	/** An agent says that it leaves. */
+	/** An agent announces to all connected entries that it is leaving. */
 	leave(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		if (upstream.isPaused) {
 			return;
 		}
 
-		upstream.sayLeaving();
-		if (this.sabotage !== 'ignoreLeaving') {
+		upstream.announceLeaving();
+		if (this.defect !== 'ignoreLeaving') {
 			upstream.perform(upstream.gate.leave(this.nowMs));
 		}
 
@@ -188,7 +188,7 @@
 		}
 	}
 
-	/** An entry's process dies, and a new one begins. */
+	/** The process of an entry crashes, and a new one starts. */
 	crashEntry(entryIndex: number): void {
 		const entry = this.entryAt(entryIndex);
 		const links = this.linksOf(entry);
@@ -203,14 +203,14 @@
 		}
 	}
 
-	/** An agent's host falls asleep. */
+	/** The host of an agent is suspended. */
 	pause(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		upstream.isPaused = true;
 		upstream.pausedMs = this.nowMs;
 	}
 
-	/** An agent's host wakes. */
+	/** The host of an agent resumes. */
 	resume(upstreamIndex: number): void {
 		const upstream = this.upstreamAt(upstreamIndex);
 		if (!upstream.isPaused) {
@@ -220,14 +220,14 @@
 		upstream.isPaused = false;
 		for (const link of this.linksOf(upstream)) {
 			link.isStale = true;
-			// The answer to the ping sent on waking comes after all that waited.
+			// The reply to the ping that the agent sends on resuming arrives after all messages that queued up meanwhile.
 			link.toUpstream.push({
 				type: 'pong', nonce: 1, settingsRevision: 1, state: 'serving',
 			});
 		}
 	}
 
-	/** Time passes. */
+	/** Advances the clock in small steps, with a tick of all state machines after each. */
 	advance(byMs: number): void {
 		for (let passedMs = 0; passedMs < byMs; passedMs += stepMs) {
 			this.clock.advance(stepMs);
@@ -235,7 +235,7 @@
 		}
 	}
 
-	/** Lets everything come to its end. */
+	/** Ends all faults and lets all running work finish. */
 	async settle(): Promise<void> {
 		this.table.isDown = false;
 		this.table.crashAfterWrite = false;
@@ -264,22 +264,22 @@
 			await settleMicrotasks();
 		}
 
-		this.advance(settleMs);
+		this.advance(finalSettleMs);
 		await settleMicrotasks();
 	}
 
-	/** What should be empty once everything has ended, and is not. */
+	/** Describes state that is left over although all work has finished. */
 	leaks(): string[] {
 		const found: string[] = [];
 		for (const entry of this.entries) {
-			for (const requestId of entry.live.keys()) {
-				found.push(`${requestId} is still held by its entry`);
+			for (const requestId of entry.liveRequests.keys()) {
+				found.push(`${requestId} is still in the table of its entry`);
 			}
 
 			for (const {upstreamId} of this.upstreams) {
 				const inFlight = entry.router.statsOf(upstreamId)?.inFlight ?? 0;
 				if (inFlight !== 0) {
-					found.push(`${upstreamId} still counts ${inFlight} in flight`);
+					found.push(`${upstreamId} still has ${inFlight} calls counted in flight`);
 				}
 			}
 		}
@@ -302,20 +302,20 @@
 		return this.serial;
 	}
 
-	private entryAt(index: number): WorldEntry {
+	private entryAt(index: number): SimulatedEntry {
 		return this.entries[index % entryCount];
 	}
 
-	private upstreamAt(index: number): WorldUpstream {
+	private upstreamAt(index: number): SimulatedUpstream {
 		return this.upstreams[index % upstreamCount];
 	}
 
-	private linkAt(index: number): WorldLink {
+	private linkAt(index: number): SimulatedLink {
 		return this.links[index % this.links.length];
 	}
 
-	private linksOf(end: WorldEntry | WorldUpstream): readonly WorldLink[] {
-		return this.links.filter(({entry, upstream}) => entry === end || upstream === end);
+	private linksOf(side: SimulatedEntry | SimulatedUpstream): readonly SimulatedLink[] {
+		return this.links.filter(({entry, upstream}) => entry === side || upstream === side);
 	}
 
 	private tick(): void {
@@ -329,7 +329,7 @@
 			const {entry, upstream} = link;
 			if (link.isUp && !upstream.isPaused) {
 				entry.members.received(upstream.upstreamId, undefined, this.nowMs);
-			} else if (link.isUp && this.nowMs - upstream.pausedMs > silenceMs) {
+			} else if (link.isUp && this.nowMs - upstream.pausedMs > maxSilenceMs) {
 				link.disconnect(true, this.nowMs);
 			}
 		}
@@ -341,12 +341,12 @@
 
 	private planOf(requestId: string, key: string, isRepeatable: boolean, deadlineMs: number): RequestPlan {
 		const policy: EffectivePolicy = {
-			...policyDefaults, maxTokens: tokens, maxLateMs: 300, timeoutMs: 400, holdMs: 100, retryShare: 1, hedgeShare: 0.5, model: 'm',
+			...policyDefaults, maxTokens: tokensPerAnswer, maxLateMs: 300, timeoutMs: 400, holdMs: 100, retryShare: 1, hedgeShare: 0.5, model: 'm',
 		};
 		const stage = (index: number, kind: StagePlan['kind']): StagePlan => ({
 			name: `s${index}`, index, kind, pool: 'pool', slots: 2, key: `s${index}/${kind}`, budgetKey: `s${index}/${kind}`, policy,
 		});
-		// What may not be repeated is one call of a plain service; the others are pipelines that end in a stream.
+		// A request that must not be repeated is a single call of a service; the others are pipelines that end in a stream.
 		const isOnce = key !== requestId;
 		return {
 			requestId,
@@ -370,7 +370,7 @@
 	}
 }
 
-/** Lets what was promised come about, up to the next timer. */
+/** Runs all pending microtasks, so that settled promises take effect; timers are not advanced. */
 export async function settleMicrotasks(): Promise<void> {
 	await new Promise(resolve => {
 		setImmediate(resolve);
--- a/test/settings-fuzz.ts
+++ b/test/settings-fuzz.ts
@@ -1,4 +1,4 @@
-/** Fuzzer of settings: racing editors, lost answers, outages, replaced hosts, stale peers; the oracle is a list of accepted changes. */
+/** Fuzzer of settings: concurrent editors, lost responses, outages, replaced hosts and stale peers; the oracle is the list of accepted changes. */
 import fc from 'fast-check';
 import {ManualClock} from '../src/base/common/clock.js';
 import type {ChangeRequest} from '../src/settings/common/change.js';
@@ -6,29 +6,29 @@
 import {SettingsStore} from '../src/settings/common/settings-store.js';
 import {MemoryObjects} from '../src/standins/common/memory-objects.js';
 import {MemoryTable} from '../src/standins/common/memory-table.js';
-import {assertNone, commandsOf, worldProperty} from './world-commands.js';
+import {assertNoBreaches, commandFactory, simulationProperty} from './simulation-commands.js';
 
 const hostCount = 3;
 const paths = ['/', '/workspaces/a', '/workspaces/b', '/pools/p'] as const;
 
-type Tried = {readonly request: ChangeRequest; isAccepted: boolean; mayHaveTakenEffect: boolean; revision: number};
+type AttemptedChange = {readonly request: ChangeRequest; isAccepted: boolean; mayHaveTakenEffect: boolean; revision: number};
 
-/** Ways to break the store on purpose. */
-export type SettingsSabotage = 'forgetChangeIds' | 'goBack' | undefined;
+/** Defects that a test injects on purpose, to show that the fuzzer detects them. */
+export type InjectedSettingsDefect = 'forgetChangeIds' | 'goBack' | undefined;
 
-class SettingsWorld {
+class SettingsSimulation {
 	readonly table = MemoryTable.create();
 	readonly objects = MemoryObjects.create();
 	readonly clock = ManualClock.create();
 	readonly store = SettingsStore.create(this.table, this.objects);
 	readonly hosts: StoredSettingsService[] = [];
-	/** Highest revision seen in force on each host since it started. */
-	readonly highest: number[] = [];
-	/** The oracle: every change that was tried, and what the editor was told. */
-	readonly tried: Tried[] = [];
+	/** Highest revision seen in effect on each host since the host started. */
+	readonly highestRevisions: number[] = [];
+	/** The oracle: every attempted change, with the result that its editor received. */
+	readonly attemptedChanges: AttemptedChange[] = [];
 	private serial = 0;
 
-	constructor(private readonly sabotage: SettingsSabotage) {
+	constructor(private readonly defect: InjectedSettingsDefect) {
 		for (let index = 0; index < hostCount; index++) {
 			this.replaceHost(index);
 		}
@@ -37,18 +37,18 @@
 	replaceHost(index: number): void {
 		const host = index % hostCount;
 		this.hosts[host] = StoredSettingsService.create(this.store, this.clock);
-		this.highest[host] = 0;
+		this.highestRevisions[host] = 0;
 	}
 
-	/** Two editors change at the same time, each through a host, from what that host has in force. */
+	/** Two editors make a change concurrently, each through a host and based on the settings in effect there. */
 	async race(firstHost: number, secondHost: number, firstPath: number, secondPath: number): Promise<void> {
 		await Promise.all([this.edit(firstHost, firstPath), this.edit(secondHost, secondPath)]);
 	}
 
-	/** An editor that got no clear answer asks again, perhaps through another host. */
-	async retry(hostIndex: number, triedIndex: number): Promise<void> {
-		const unclear = this.tried.filter(item => !item.isAccepted);
-		const item = unclear.at(triedIndex % Math.max(1, unclear.length));
+	/** An editor whose change is not known to be accepted sends it again, possibly through another host. */
+	async retry(hostIndex: number, changeIndex: number): Promise<void> {
+		const notAccepted = this.attemptedChanges.filter(item => !item.isAccepted);
+		const item = notAccepted.at(changeIndex % Math.max(1, notAccepted.length));
 		if (item) {
 			await this.send(hostIndex, item);
 		}
@@ -56,12 +56,12 @@
 
 	async refresh(hostIndex: number): Promise<void> {
 		await this.hosts[hostIndex % hostCount].refresh();
-		if (this.sabotage === 'goBack' && this.serial > 2) {
-			this.replaceTree(hostIndex % hostCount);
+		if (this.defect === 'goBack' && this.serial > 2) {
+			this.rollBackTree(hostIndex % hostCount);
 		}
 	}
 
-	/** A host hears from a peer, which may be behind it. */
+	/** A host receives the settings of a peer, which may be older than its own. */
 	gossip(fromIndex: number, toIndex: number): void {
 		const from = this.hosts[fromIndex % hostCount];
 		const to = this.hosts[toIndex % hostCount];
@@ -83,11 +83,11 @@
 	async breaches(isSettled: boolean): Promise<string[]> {
 		const found: string[] = [];
 		for (const [index, host] of this.hosts.entries()) {
-			if (host.tree.revision < this.highest[index]) {
-				found.push(`host ${index} went back from revision ${this.highest[index]} to ${host.tree.revision}`);
+			if (host.tree.revision < this.highestRevisions[index]) {
+				found.push(`host ${index} went back from revision ${this.highestRevisions[index]} to ${host.tree.revision}`);
 			}
 
-			this.highest[index] = Math.max(this.highest[index], host.tree.revision);
+			this.highestRevisions[index] = Math.max(this.highestRevisions[index], host.tree.revision);
 		}
 
 		if (isSettled) {
@@ -106,22 +106,22 @@
 			counts.set(change.changeId, (counts.get(change.changeId) ?? 0) + 1);
 		}
 
-		for (const {request, isAccepted, mayHaveTakenEffect} of this.tried) {
+		for (const {request, isAccepted, mayHaveTakenEffect} of this.attemptedChanges) {
 			const count = counts.get(request.changeId) ?? 0;
 			if (count > 1) {
 				found.push(`change ${request.changeId} took effect ${count} times`);
 			}
 
 			if (isAccepted && count === 0) {
-				found.push(`change ${request.changeId} was accepted and is lost`);
+				found.push(`change ${request.changeId} was accepted but is lost`);
 			}
 
 			if (!isAccepted && !mayHaveTakenEffect && count > 0) {
-				found.push(`change ${request.changeId} was refused and took effect`);
+				found.push(`change ${request.changeId} was refused but took effect`);
 			}
 		}
 
-		// Every host must be what replaying the accepted changes gives.
+		// Every host must have the settings that result from replaying the accepted changes.
 		const expected = new Map<string, string>();
 		for (const change of accepted) {
 			for (const edit of change.edits) {
@@ -133,11 +133,11 @@
 			}
 		}
 
-		const wanted = JSON.stringify(Array.from(expected, ([path, text]) => `${path} ${text}`).toSorted(byText));
+		const expectedText = JSON.stringify(Array.from(expected, ([path, text]) => `${path} ${text}`).toSorted(compareTexts));
 		for (const [index, host] of this.hosts.entries()) {
-			const has = JSON.stringify(host.tree.snapshot().nodes.map(node => `${node.path} ${JSON.stringify(node.fields)}`).toSorted(byText));
-			if (has !== wanted) {
-				found.push(`host ${index} has ${has}, the accepted changes give ${wanted}`);
+			const actualText = JSON.stringify(host.tree.snapshot().nodes.map(node => `${node.path} ${JSON.stringify(node.fields)}`).toSorted(compareTexts));
+			if (actualText !== expectedText) {
+				found.push(`host ${index} has ${actualText}, but the accepted changes result in ${expectedText}`);
 			}
 		}
 
@@ -149,18 +149,18 @@
 		const path = paths[pathIndex % paths.length];
 		this.serial++;
 		const after = path === '/pools/p' ? {kind: 'worker', slots: this.serial} : {deadlineMs: this.serial};
-		const item: Tried = {
+		const item: AttemptedChange = {
 			request: {changeId: `c${this.serial}`, reason: 'fuzz', edits: [{path, baseRevision: host.tree.get(path)?.revision ?? 0, after}]},
 			isAccepted: false,
 			mayHaveTakenEffect: false,
 			revision: 0,
 		};
-		this.tried.push(item);
+		this.attemptedChanges.push(item);
 		await this.send(hostIndex, item);
 	}
 
-	private async send(hostIndex: number, item: Tried): Promise<void> {
-		if (this.sabotage === 'forgetChangeIds') {
+	private async send(hostIndex: number, item: AttemptedChange): Promise<void> {
+		if (this.defect === 'forgetChangeIds') {
 			await this.forgetChangeId(item.request);
 		}
 
@@ -173,7 +173,7 @@
 		}
 	}
 
-	/** Deletes the trace of an id, and moves the edit on to the node's newest revision, as a careless retry would. */
+	/** Deletes the record of a change id and rebases the edit on the newest revision of the node, as a retry without idempotency would. */
 	private async forgetChangeId(request: ChangeRequest): Promise<void> {
 		await this.table.transact({conditions: [], writes: [{key: `settings/change-id/${request.changeId}`}]});
 		await Promise.all(this.hosts.map(async host => host.refresh()));
@@ -183,7 +183,7 @@
 		}
 	}
 
-	private replaceTree(host: number): void {
+	private rollBackTree(host: number): void {
 		const snapshot = this.hosts[host].tree.snapshot();
 		if (snapshot.revision > 1) {
 			const older = StoredSettingsService.create(this.store, this.clock);
@@ -193,50 +193,50 @@
 	}
 }
 
-function byText(left: string, right: string): number {
+function compareTexts(left: string, right: string): number {
 	return left < right ? -1 : 1;
 }
 
 const index = fc.nat(11);
 
-const command = commandsOf<SettingsWorld>(async world => {
-	assertNone(await world.breaches(false));
+const command = commandFactory<SettingsSimulation>(async simulation => {
+	assertNoBreaches(await simulation.breaches(false));
 });
 
 const commands = [
-	command('race', fc.tuple(index, index, index, index), async (world, ...args) => world.race(...args)),
-	command('race', fc.tuple(index, index, index, index), async (world, ...args) => world.race(...args)),
-	command('retry', fc.tuple(index, index), async (world, ...args) => world.retry(...args)),
-	command('refresh', fc.tuple(index), async (world, host) => world.refresh(host)),
-	command('gossip', fc.tuple(index, index), (world, ...args) => {
-		world.gossip(...args);
+	command('race', fc.tuple(index, index, index, index), async (simulation, ...args) => simulation.race(...args)),
+	command('race', fc.tuple(index, index, index, index), async (simulation, ...args) => simulation.race(...args)),
+	command('retry', fc.tuple(index, index), async (simulation, ...args) => simulation.retry(...args)),
+	command('refresh', fc.tuple(index), async (simulation, host) => simulation.refresh(host)),
+	command('gossip', fc.tuple(index, index), (simulation, ...args) => {
+		simulation.gossip(...args);
 	}),
-	command('replaceHost', fc.tuple(index), (world, host) => {
-		world.replaceHost(host);
+	command('replaceHost', fc.tuple(index), (simulation, host) => {
+		simulation.replaceHost(host);
 	}),
-	command('store', fc.tuple(fc.constantFrom(true, false, false)), (world, isDown) => {
-		world.table.isDown = isDown;
+	command('store', fc.tuple(fc.constantFrom(true, false, false)), (simulation, isDown) => {
+		simulation.table.isDown = isDown;
 	}),
-	command('dieAfterWrite', fc.tuple(), world => {
-		world.table.crashAfterWrite = true;
+	command('dieAfterWrite', fc.tuple(), simulation => {
+		simulation.table.crashAfterWrite = true;
 	}),
-	command('objects', fc.tuple(fc.constantFrom(true, false, false)), (world, isDown) => {
-		world.objects.isDown = isDown;
+	command('objects', fc.tuple(fc.constantFrom(true, false, false)), (simulation, isDown) => {
+		simulation.objects.isDown = isDown;
 	}),
-	command('loseAnswer', fc.tuple(fc.integer({min: 1, max: 3}), fc.boolean()), (world, count, isBefore) => {
+	command('loseAnswer', fc.tuple(fc.integer({min: 1, max: 3}), fc.boolean()), (simulation, count, isBefore) => {
 		if (isBefore) {
-			world.table.requestsToLose = count;
+			simulation.table.requestsToLose = count;
 		} else {
-			world.table.responsesToLose = count;
+			simulation.table.responsesToLose = count;
 		}
 	}),
 ];
 
 /**
-The property: no accepted change is lost or doubled, no refused one takes effect, no host goes back.
-@param size - most commands in one run.
-@param sabotage - breaks a promise on purpose.
+The property: no accepted change is lost or takes effect twice, no refused change takes effect, and no host returns to an older revision.
+@param maxCommands - upper bound on the commands in one run.
+@param defect - defect to inject, which breaks the property on purpose.
 */
-export function settingsProperty(size: number, sabotage?: SettingsSabotage) {
-	return worldProperty(commands, size, () => new SettingsWorld(sabotage), async world => world.breaches(true));
+export function settingsProperty(maxCommands: number, defect?: InjectedSettingsDefect) {
+	return simulationProperty(commands, maxCommands, () => new SettingsSimulation(defect), async simulation => simulation.breaches(true));
 }
--- a/test/world-entry.ts
+++ b/test/simulated-entry.ts
@@ -1,4 +1,4 @@
-/** An entry and its callers, in the world of the request fuzzer: real machines of requests around a fake store and fake callers. */
+/** Entry with its callers in the simulation of the request fuzzer: real request state machines with a fake store and fake callers. */
 import type {Clock} from '../src/base/common/clock.js';
 import type {SeededRandom} from '../src/base/common/random.js';
 import {FleetRouter} from '../src/entry/common/fleet-router.js';
@@ -12,42 +12,42 @@
 import type {MemoryTable} from '../src/standins/common/memory-table.js';
 import type {Message} from '../src/wire/common/messages.js';
 import type {CallerRecord, RequestOracle} from './request-oracle.js';
-import type {WorldLink} from './world-link.js';
-import type {WorldUpstream} from './world-upstream.js';
+import type {SimulatedLink} from './simulated-link.js';
+import type {SimulatedUpstream} from './simulated-upstream.js';
 
 const claimMs = 10_000;
 const claimSpacingMs = 10;
-/** How soon the entry hears that it could not send. */
-const notSentMs = 1;
+/** Delay after which the entry is notified that a message could not be sent. */
+const sendFailureDelayMs = 1;
 
-/** A request that the entry has. */
+/** A request that the entry is processing. */
 export type LiveRequest = {readonly machine: RequestStateMachine; readonly caller: CallerRecord; granted: GrantedClaim | undefined};
 
-/** What an entry is made of. */
-export type WorldEntryOptions = {
+/** Dependencies of an entry. */
+export type SimulatedEntryOptions = {
 	readonly clock: Clock;
 	readonly random: SeededRandom;
 	readonly table: MemoryTable;
 	readonly oracle: RequestOracle;
-	/** A number that is new in this world. */
+	/** Returns a number that is unique in the simulation. */
 	readonly nextNumber: () => number;
-	readonly linkTo: (entry: WorldEntry, upstreamId: string) => WorldLink;
+	readonly linkTo: (entry: SimulatedEntry, upstreamId: string) => SimulatedLink;
 };
 
-/** One entry; its process may die and come back. */
-export class WorldEntry {
+/** One entry, whose process can crash and be started again. */
+export class SimulatedEntry {
 	members!: MemberTable;
 	router!: FleetRouter;
-	/** By request id. */
-	readonly live = new Map<string, LiveRequest>();
+	/** Requests in progress, by request id. */
+	readonly liveRequests = new Map<string, LiveRequest>();
 	private incarnation!: string;
 	private claims!: ClaimStore;
 
-	constructor(private readonly options: WorldEntryOptions) {
+	constructor(private readonly options: SimulatedEntryOptions) {
 		this.start();
 	}
 
-	/** A new process begins, knowing nothing. */
+	/** Starts a new process without any state of the former one. */
 	start(): void {
 		const {random, table, clock, nextNumber} = this.options;
 		const prefixes = PrefixIndex.create();
@@ -61,34 +61,34 @@
 		});
 	}
 
-	/** The process dies; its callers get nothing more. */
+	/** The process crashes; its callers receive nothing more. */
 	crash(): void {
-		for (const {caller} of this.live.values()) {
+		for (const {caller} of this.liveRequests.values()) {
 			caller.isEntryLost = true;
 		}
 
-		this.live.clear();
+		this.liveRequests.clear();
 	}
 
-	/** A caller's request comes. */
+	/** Accepts a request of a caller and starts its state machine. */
 	accept(caller: CallerRecord): void {
 		const {plan} = caller;
 		const live: LiveRequest = {machine: RequestStateMachine.create(plan, this.router), caller, granted: undefined};
-		this.live.set(plan.requestId, live);
+		this.liveRequests.set(plan.requestId, live);
 		this.feed(live, {type: 'start'});
 	}
 
-	/** A caller goes away. */
+	/** The caller of a request disconnects. */
 	callerGone(live: LiveRequest): void {
 		live.caller.isCallerGone = true;
 		this.feed(live, {type: 'callerGone'});
 	}
 
 	/**
-	A connection to an upstream's agent has come up.
-	@returns whether this agent was not known.
+	Registers a connection to the agent of an upstream.
+	@returns whether this incarnation of the agent was unknown.
 	*/
-	connected({upstreamId, incarnation}: WorldUpstream): boolean {
+	connected({upstreamId, incarnation}: SimulatedUpstream): boolean {
 		const isNew = this.members.connected({
 			hostId: upstreamId, incarnation, role: 'agent', hall: 'a', upstreamId, pool: 'pool',
 		}, this.nowMs);
@@ -99,32 +99,32 @@
 		return isNew;
 	}
 
-	/** Takes a message from an upstream's agent. */
+	/** Handles a message from the agent of an upstream. */
 	receive(message: Message, upstreamId: string): void {
 		if (message.type === 'report') {
 			this.members.received(upstreamId, message.state, this.nowMs);
 		} else if (message.type === 'refused' || message.type === 'started' || message.type === 'chunk' || message.type === 'end') {
-			const live = [...this.live.values()].find(({machine}) => machine.dispatchIds.includes(message.dispatchId));
+			const live = [...this.liveRequests.values()].find(({machine}) => machine.dispatchIds.includes(message.dispatchId));
 			if (live) {
 				this.feed(live, message);
 			}
 		}
 	}
 
-	/** Tells all requests. */
+	/** Passes an event to all requests. */
 	broadcast(event: RequestEvent): void {
-		for (const live of [...this.live.values()]) {
+		for (const live of [...this.liveRequests.values()]) {
 			this.feed(live, event);
 		}
 	}
 
-	/** Wakes the requests whose time has come. */
+	/** Sends a tick to the requests that are due, and reports those that are still due afterwards to the oracle. */
 	tick(): void {
-		for (const live of [...this.live.values()]) {
+		for (const live of [...this.liveRequests.values()]) {
 			if (live.machine.wakeAtMs <= this.nowMs) {
 				this.feed(live, {type: 'tick'});
 				if (!live.machine.isClosed && live.machine.wakeAtMs <= this.nowMs) {
-					this.options.oracle.spins.push(live.caller.plan.requestId);
+					this.options.oracle.spinningRequestIds.push(live.caller.plan.requestId);
 				}
 			}
 		}
@@ -136,11 +136,11 @@
 
 	private feed(live: LiveRequest, event: RequestEvent): void {
 		for (const action of live.machine.handle(event, this.nowMs)) {
-			this.act(live, action);
+			this.perform(live, action);
 		}
 	}
 
-	private act(live: LiveRequest, action: RequestAction): void {
+	private perform(live: LiveRequest, action: RequestAction): void {
 		switch (action.type) {
 			case 'claim': {
 				void this.claim(live);
@@ -148,7 +148,7 @@
 			}
 
 			case 'prepare': {
-				throw new Error('Plans of this world need no work before the request.');
+				throw new Error('Plans of this simulation need no preparation.');
 			}
 
 			case 'dispatch': {
@@ -157,7 +157,7 @@
 					link.send(action.message);
 				} else {
 					const {dispatchId} = action.message;
-					this.options.clock.setTimer(notSentMs, () => {
+					this.options.clock.setTimer(sendFailureDelayMs, () => {
 						this.feed(live, {type: 'notSent', dispatchId});
 					});
 				}
@@ -192,7 +192,7 @@
 			}
 
 			case 'close': {
-				this.live.delete(live.caller.plan.requestId);
+				this.liveRequests.delete(live.caller.plan.requestId);
 				break;
 			}
 		}
@@ -210,7 +210,7 @@
 		const claimed = await claims.claim(claimKey('w', key), {
 			writer: incarnation, requestId: plan.requestId, fingerprint: 1, state: 'claimed', claimedAtMs: clock.wallMs(), endsByMs: clock.wallMs() + claimMs,
 		});
-		if (!this.live.has(plan.requestId)) {
+		if (!this.liveRequests.has(plan.requestId)) {
 			if (claimed.ok && !live.caller.isEntryLost) {
 				void this.claims.settle(claimed.value, 'refused');
 			}
--- a/test/world-link.ts
+++ b/test/simulated-link.ts
@@ -1,21 +1,21 @@
-/** The connection of an entry to an agent, in the world of the request fuzzer: messages wait on it until they are delivered. */
+/** Connection of an entry to an agent in the simulation of the request fuzzer; messages queue on it until a command delivers them. */
 import type {Message} from '../src/wire/common/messages.js';
-import type {WorldEntry} from './world-entry.js';
-import type {WorldUpstream} from './world-upstream.js';
+import type {SimulatedEntry} from './simulated-entry.js';
+import type {SimulatedUpstream} from './simulated-upstream.js';
 
-/** One connection, which may be cut and made again. */
-export class WorldLink {
+/** One connection, which can be lost and established again. */
+export class SimulatedLink {
 	isUp = false;
-	/** New each time it is made. */
+	/** A new number each time the connection is established. */
 	connectionId = 0;
-	/** Whether the agent has slept since it last heard from the entry. */
+	/** Whether the agent was suspended since it last received the reply of the entry to a ping. */
 	isStale = false;
 	toUpstream: Message[] = [];
 	toEntry: Message[] = [];
 
-	constructor(readonly entry: WorldEntry, readonly upstream: WorldUpstream) {}
+	constructor(readonly entry: SimulatedEntry, readonly upstream: SimulatedUpstream) {}
 
-	/** Makes the connection. */
+	/** Establishes the connection, and notifies the requests of the entry. */
 	connect(connectionId: number): void {
 		this.isUp = true;
 		this.connectionId = connectionId;
@@ -27,10 +27,11 @@
 	}
 
 	/**
-	Breaks the connection.
-	@param isAgentTold - false for an agent that is dead.
+	Closes the connection and drops the messages on it.
+	@param isAgentNotified - false if the agent has crashed.
+	@param nowMs - current time.
 	*/
-	disconnect(isAgentTold: boolean, nowMs: number): void {
+	disconnect(isAgentNotified: boolean, nowMs: number): void {
 		if (!this.isUp) {
 			return;
 		}
@@ -40,21 +41,21 @@
 		this.toUpstream = [];
 		this.toEntry = [];
 		entry.members.disconnected(upstream.upstreamId, upstream.incarnation);
-		if (isAgentTold) {
+		if (isAgentNotified) {
 			upstream.perform(upstream.gate.connectionLost(this.connectionId, nowMs));
 		}
 
 		entry.broadcast({type: 'connectionLost', upstreamId: upstream.upstreamId});
 	}
 
-	/** Sends a message to the agent, if the connection is up. */
+	/** Queues a message for the agent; without a connection, it is dropped. */
 	send(message: Message): void {
 		if (this.isUp) {
 			this.toUpstream.push(message);
 		}
 	}
 
-	/** One message each way arrives. */
+	/** Delivers one message in each direction. */
 	deliver(): void {
 		this.deliverToUpstream();
 		this.deliverToEntry();
--- a/tools/test-verdict.ts
+++ b/tools/test-verdict.ts
@@ -1,71 +1,71 @@
 /**
-The verdict over a whole run of the tests: a run passes if every test did, but for those listed as known to fail.
-Reads the lines that tap writes: files stand at the margin, their tests four spaces deep.
+Decides whether a run of all tests passes: every test must pass, except those listed as known to fail.
+Reads the output of tap, in which lines of files are not indented and lines of their tests are indented by four spaces.
 */
 
-/** Most tests that may be listed at a time; what more fails must be mended before it lands. */
-export const mostKnownRed = 3;
+/** Maximum number of listed tests; any further failing test must be fixed before a change is merged. */
+export const maxKnownFailures = 3;
 
 /** A test that is known to fail. */
-export type KnownRed = {readonly test: string; readonly cause: string; readonly issue: string};
+export type KnownFailure = {readonly test: string; readonly cause: string; readonly issue: string};
 
 const testLine = /^ {4}(?<not>not )?ok \d+ - (?<name>.*?)(?: # .*)?(?: \{)?$/v;
-/** How many tests a file had; it comes after them, and not at all where the file's process was ended from outside. */
+/** Number of tests in a file. It follows the tests, and is missing if the process of the file was terminated from outside. */
 const planLine = /^ {4}1\.\.(?<count>\d+)$/v;
 const fileLine = /^(?<not>not )?ok \d+ - (?<name>.*?)(?: # .*)?(?: \{)?$/v;
 
 /**
 Reads the list of tests that are known to fail.
-@param text - one line for each: the test, its cause and its issue, between bars.
+@param text - one line for each test: its name, cause and issue, separated by `|`.
 @returns the tests.
-@throws Error for a line that lacks a part, and for too many lines.
+@throws Error if a line lacks a field, or if there are too many lines.
 */
-export function readKnownRed(text: string): KnownRed[] {
+export function readKnownFailures(text: string): KnownFailure[] {
 	const lines = text.split('\n').filter(line => line.trim() !== '');
-	if (lines.length > mostKnownRed) {
-		throw new Error(`${lines.length} tests are listed as known to fail; ${mostKnownRed} may be.`);
+	if (lines.length > maxKnownFailures) {
+		throw new Error(`${lines.length} tests are listed as known to fail; at most ${maxKnownFailures} may be listed.`);
 	}
 
 	return lines.map(line => {
 		const [test = '', cause = '', issue = ''] = line.split('|').map(part => part.trim());
 		if (test === '' || cause === '' || issue === '') {
-			throw new Error(`A test that is known to fail is listed as "test | cause | issue"; this line is not: ${line}`);
+			throw new Error(`A known failure must be listed as "test | cause | issue", but this line is not: ${line}`);
 		}
 
 		return {test, cause, issue};
 	});
 }
 
-/** Counts tests as they end. */
+/** Counts passed and failed tests from the output of tap. */
 export class TestVerdict {
 	/**
-	Makes a verdict over nothing so far.
-	@param known - tests that may fail.
+	Creates a verdict without any results yet.
+	@param known - tests that are allowed to fail.
 	*/
-	static create(known: readonly KnownRed[]): TestVerdict {
+	static create(known: readonly KnownFailure[]): TestVerdict {
 		return new TestVerdict(known);
 	}
 
 	passedCount = 0;
 	failedCount = 0;
 	/** Listed tests that failed, and listed tests that passed. */
-	readonly red: KnownRed[] = [];
-	readonly green: KnownRed[] = [];
-	/** Files that failed without a failing test that tells why, as when their process ended early. */
+	readonly listedFailed: KnownFailure[] = [];
+	readonly listedPassed: KnownFailure[] = [];
+	/** Number of failed files whose failure is not explained by a failed test, such as files whose process exited early. */
 	private unexplainedCount = 0;
-	/** Tests of the file being read: all, those that failed, and how many there should be. */
+	/** Tests of the current file: number read, number failed, and number planned. */
 	private countInFile = 0;
 	private failedInFile = 0;
 	private plannedInFile: number | undefined;
 
-	private constructor(private readonly known: readonly KnownRed[]) {}
+	private constructor(private readonly known: readonly KnownFailure[]) {}
 
-	/** Whether only listed tests failed, and something passed. */
+	/** Whether only listed tests failed and at least one other test passed. */
 	get hasPassed(): boolean {
 		return this.failedCount === 0 && this.unexplainedCount === 0 && this.passedCount > 0;
 	}
 
-	/** Takes one line of the output. */
+	/** Processes one line of the output. */
 	read(line: string): void {
 		const test = testLine.exec(line)?.groups;
 		const plan = planLine.exec(line)?.groups;
@@ -79,22 +79,22 @@
 		}
 	}
 
-	/** A file that failed is explained by its tests only if all of them were run. */
-	private endFile(isGood: boolean): void {
+	/** A failed file is explained by its failed tests only if all of its planned tests were run. */
+	private endFile(isPassed: boolean): void {
 		const isExplained = this.failedInFile > 0 && this.countInFile === this.plannedInFile;
-		this.unexplainedCount += isGood || isExplained ? 0 : 1;
+		this.unexplainedCount += isPassed || isExplained ? 0 : 1;
 		this.countInFile = 0;
 		this.failedInFile = 0;
 		this.plannedInFile = undefined;
 	}
 
-	private count(name: string, isGood: boolean): void {
+	private count(name: string, isPassed: boolean): void {
 		this.countInFile++;
-		this.failedInFile += isGood ? 0 : 1;
+		this.failedInFile += isPassed ? 0 : 1;
 		const listed = this.known.find(({test}) => test === name);
 		if (listed) {
-			(isGood ? this.green : this.red).push(listed);
-		} else if (isGood) {
+			(isPassed ? this.listedPassed : this.listedFailed).push(listed);
+		} else if (isPassed) {
 			this.passedCount++;
 		} else {
 			this.failedCount++;
