--- a/xo.config.js
+++ b/xo.config.js
@@ -1,4 +1,4 @@
-// Lint and format rules: XO's own, plus the import layers of src/ (see docs/DESIGN.md).
+// Lint and format rules: those of XO, plus the import layers of src/ (see docs/DESIGN.md).
 
 /** The parts of src/, lowest first: each may import only itself and parts before it. */
 const layers = [
@@ -49,37 +49,37 @@
 	{
 		files: ['**/*.ts', '**/*.js'],
 		rules: {
-			// The brief asks for the language's customary short names, and goes before XO.
+			// The brief asks for the language's customary short names, and takes precedence over XO.
 			'unicorn/prevent-abbreviations': 'off',
 			'unicorn/name-replacements': 'off',
 			// The table protocol and JSON use null; the code itself prefers undefined.
 			'unicorn/no-null': 'off',
 			// Tsyringe needs this side-effect import once, before anything else.
 			'import-x/no-unassigned-import': ['error', {allow: ['reflect-metadata']}],
-			// These two rules can't see that the classes modern-errors makes are errors.
+			// These two rules don't recognize the classes that modern-errors creates as errors.
 			'@typescript-eslint/only-throw-error': 'off',
-			// A time limit inside a combined signal goes with the next garbage collection.
+			// A time limit inside a combined signal is lost at the next garbage collection.
 			'no-restricted-properties': ['error', {object: 'AbortSignal', property: 'any', message: 'Use TimeLimit.'}],
 			'@typescript-eslint/prefer-promise-reject-errors': 'off',
-			// XO's own rules pull an empty constructor body both ways; `{}` stays.
+			// XO's own rules contradict each other on an empty constructor body; `{}` stays.
 			'@stylistic/curly-newline': ['error', {consistent: true}],
-			// A default branch is how these switches say `all others`.
+			// These switches handle all other cases in a default branch.
 			'@typescript-eslint/switch-exhaustiveness-check': ['error', {considerDefaultExhaustiveForUnions: true}],
-			// It can't follow a private member used from a static method; the compiler checks the same.
+			// It does not see uses of a private member in a static method; the compiler checks the same.
 			'@typescript-eslint/no-unused-private-class-members': 'off',
-			// Its fix removes copies that guard a loop against changes of what it goes through: it broke a drain once.
+			// Its fix removes copies that guard a loop against changes to the iterated collection; it broke a drain once.
 			'unicorn/no-useless-spread': 'off',
-			// Waits in order are the point where they stand: retry loops and pumps.
+			// Sequential waits are intended: retry loops and pumps.
 			'no-await-in-loop': 'off',
 		},
 	},
 	{
-		// The bundler hands these expressions to Go, which knows no `v` flag.
+		// The bundler passes these expressions to Go, which has no `v` flag.
 		files: ['scripts/bundle.js'],
 		rules: {'require-unicode-regexp': 'off'},
 	},
 	{
-		// The library makes error classes by a function, so they are constants in PascalCase.
+		// The library creates error classes with a function, so they are constants in PascalCase.
 		files: ['src/base/common/errors.ts'],
 		rules: {'@typescript-eslint/naming-convention': 'off'},
 	},
@@ -87,13 +87,13 @@
 	{
 		files: ['**/*.test.ts'],
 		rules: {
-			// Tests may use the stand-ins, which stand above the part they test.
+			// Tests may use the stand-ins, which are in a layer above the part under test.
 			'@typescript-eslint/no-restricted-imports': 'off',
 			// Tap's `t.test` returns a promise that tap itself awaits.
 			'@typescript-eslint/no-floating-promises': 'off',
-			// Polling reads best as one expression.
+			// Polling is easiest to read as one expression.
 			'unicorn/no-await-expression-member': 'off',
-			// Tests make ill-shaped values on purpose.
+			// Tests create malformed values on purpose.
 			'@typescript-eslint/no-unsafe-type-assertion': 'off',
 		},
 	},
