--- a/test/platform/bundled-program.test.ts
+++ b/test/platform/bundled-program.test.ts
@@ -5,11 +5,11 @@
 import {fileURLToPath} from 'node:url';
 import t, {type Test} from 'tap';
 import {z} from 'zod';
-import {ask, configOf, until} from './direct-harness.js';
+import {sendRequest, configOf, waitUntil} from './direct-harness.js';
 import {StoreStandin} from './store-standin.js';
-import {ServerStandin} from './upstream-standins.js';
+import {ServerStandin} from './server-standin.js';
 
-const top = fileURLToPath(new URL('../../..', import.meta.url));
+const projectRoot = fileURLToPath(new URL('../../..', import.meta.url));
 const startedMessage = 'The entry has started.';
 const lineSchema = z.looseObject({message: z.string(), callers: z.string().optional()});
 
@@ -33,24 +33,24 @@
 /** Makes the program and runs it; it ends with the test. */
 function runProgram(t: Test, storePort: number) {
 	const folder = t.testdir({settings: JSON.stringify(settingsOf(storePort))});
-	const built = spawnSync(process.execPath, ['scripts/bundle.js', folder], {cwd: top, encoding: 'utf8'});
+	const built = spawnSync(process.execPath, ['scripts/bundle.js', folder], {cwd: projectRoot, encoding: 'utf8'});
 	t.equal(built.status, 0, built.stderr);
 	process.env.PUMICEHATCH_BOOT = `${folder}/settings`;
 	process.env.PUMICEHATCH_WIRE_SECRET = 'a secret of the test';
 	const child = spawn(process.execPath, [`${folder}/main.cjs`], {stdio: ['ignore', 'pipe', 'pipe']});
 	t.teardown(() => child.kill('SIGKILL'));
 	let output = '';
-	const gather = (piece: unknown) => {
-		output += String(piece);
+	const appendOutput = (chunk: unknown) => {
+		output += String(chunk);
 	};
 
-	child.stdout.on('data', gather);
-	child.stderr.on('data', gather);
+	child.stdout.on('data', appendOutput);
+	child.stderr.on('data', appendOutput);
 	return {child, exit: once(child, 'exit'), readOutput: () => output};
 }
 
 /** Where callers connect, as the line of the start tells. */
-function callersOf(output: string) {
+function callerEndpointOf(output: string) {
 	const started = output.split('\n').filter(line => line.startsWith('{')).map(line => lineSchema.parse(JSON.parse(line)))
 		.find(({message}) => message === startedMessage);
 	const [address, port] = started!.callers!.split(':');
@@ -68,8 +68,8 @@
 	store.put('servers', server.serverId, server.entry('plain'));
 
 	const {child, exit, readOutput} = runProgram(t, store.port);
-	await until(() => [server.serverId, startedMessage, 'in force'].every(text => readOutput().includes(text)));
-	const answer = await ask({callers: callersOf(readOutput())}, {path: '/look/1'});
+	await waitUntil(() => [server.serverId, startedMessage, 'in force'].every(text => readOutput().includes(text)));
+	const answer = await sendRequest({callers: callerEndpointOf(readOutput())}, {path: '/look/1'});
 	t.equal(answer.status, 200);
 	t.notMatch(readOutput(), /compiled code was not taken/v);
 	child.kill('SIGTERM');
--- a/test/platform/given-up-calls.test.ts
+++ b/test/platform/canceled-calls.test.ts
@@ -7,13 +7,13 @@
 import {Agent} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import t from 'tap';
-import {ask, streamCall} from './direct-harness.js';
+import {sendRequest, streamCall} from './direct-harness.js';
 import {addHosts, makeFleet, stepsCall} from './direct-load.js';
 
 const rounds = 40;
-const longestPauseMs = 20;
+const maxPauseMs = 20;
 /** Every other time the next requests come at once. */
-const pauseOf = (round: number) => round % 2 === 0 ? 0 : Math.floor(round * longestPauseMs / rounds);
+const pauseOf = (round: number) => round % 2 === 0 ? 0 : Math.floor(round * maxPauseMs / rounds);
 
 t.test('a caller that gives its request up takes no other one along', async t => {
 	const fleet = await makeFleet(t);
@@ -27,21 +27,21 @@
 		agent.destroy();
 	});
 	for (let round = 0; round < rounds; round++) {
-		const leaver = new AbortController();
-		const left = ask(host, {path: '/look/x', id: `left${round}`, signal: leaver.signal}).catch(() => undefined);
+		const canceler = new AbortController();
+		const canceledCall = sendRequest(host, {path: '/look/x', id: `left${round}`, signal: canceler.signal}).catch(() => undefined);
 		await sleep(15);
-		leaver.abort();
+		canceler.abort();
 		await sleep(pauseOf(round));
 		const answers = await Promise.all([
-			ask(host, {
+			sendRequest(host, {
 				method: 'POST', path: '/book/x', id: `once${round}`, body: 'b', agent,
 			}),
-			ask(host, {path: '/look/x', id: `again${round}`, agent}),
-			ask(host, streamCall('/chat/x', {id: `stream${round}`, agent})),
-			ask(host, {...stepsCall(`steps${round}`), agent}),
+			sendRequest(host, {path: '/look/x', id: `again${round}`, agent}),
+			sendRequest(host, streamCall('/chat/x', {id: `stream${round}`, agent})),
+			sendRequest(host, {...stepsCall(`steps${round}`), agent}),
 		]);
 		t.same(answers.map(({status}) => status), [200, 200, 200, 200]);
-		await left;
+		await canceledCall;
 	}
 
 	const books = plain.seen.filter(({path}) => path === '/book/x');
--- a/test/platform/cold-servers.test.ts
+++ b/test/platform/cold-servers.test.ts
@@ -6,14 +6,14 @@
 */
 import t, {type Test} from 'tap';
 import {
-	ask, configOf, DirectFleet, streamCall, until, type RunningEntry,
+	sendRequest, configOf, DirectFleet, streamCall, waitUntil, type RunningEntry,
 } from './direct-harness.js';
-import type {ServerStandin} from './upstream-standins.js';
+import type {ServerStandin} from './server-standin.js';
 
 const coldPerS = 4;
 /** 1.5 times what a cold server bears, and 5 besides: the bounds of the harness. */
-const mostPerS = 11;
-const longCold = 600_000;
+const maxPerS = 11;
+const coldLeftMs = 600_000;
 
 function coldConfig(version: number) {
 	const config = configOf(version);
@@ -33,22 +33,22 @@
 	return fleet;
 }
 
-const hasMetPeer = ({lines}: RunningEntry) => lines.some(line => line.includes('A peer is connected.'));
+const isPeerConnected = ({lines}: RunningEntry) => lines.some(line => line.includes('A peer is connected.'));
 
 /** Servers of the model's pool that are cold for long, and end where more is sent than they bear. */
 async function addCold(fleet: DirectFleet, count: number, hall?: string): Promise<ServerStandin[]> {
 	const servers = await fleet.addServers('model', count, 2, hall);
 	for (const server of servers) {
-		server.coldLeftMs = longCold;
-		server.mostWhileCold = mostPerS;
+		server.coldLeftMs = coldLeftMs;
+		server.maxPerSecondWhileCold = maxPerS;
 		fleet.store.put('servers', server.serverId, server.entry('model'));
 	}
 
 	return servers;
 }
 
-async function askMany(entries: readonly RunningEntry[], count: number, prefix: string) {
-	return Promise.all(Array.from({length: count}, async (_, index) => ask(entries[index % entries.length], streamCall('/draft/x', {
+async function sendMany(entries: readonly RunningEntry[], count: number, prefix: string) {
+	return Promise.all(Array.from({length: count}, async (_, index) => sendRequest(entries[index % entries.length], streamCall('/draft/x', {
 		id: `${prefix}${index}`, deadlineMs: 60_000, headers: {'prompt-prefix': `${prefix}${index}a:10,bb:5`},
 	}))));
 }
@@ -60,21 +60,21 @@
 		const [cold] = await addCold(fleet, 1);
 		const first = await fleet.addReadyEntry();
 		const second = await fleet.addReadyEntry();
-		await until(() => hasMetPeer(first) && hasMetPeer(second));
+		await waitUntil(() => isPeerConnected(first) && isPeerConnected(second));
 		for (const round of ['r', 's', 't']) {
-			const answers = await askMany([first, second], 30, round);
+			const answers = await sendMany([first, second], 30, round);
 			t.ok(answers.every(({status}) => status === 200));
 		}
 
-		t.ok(cold.mostInOneSecond <= mostPerS, `${cold.mostInOneSecond} requests in a second`);
-		t.notOk(cold.hasEnded);
+		t.ok(cold.maxInOneSecond <= maxPerS, `${cold.maxInOneSecond} requests in a second`);
+		t.notOk(cold.hasCrashed);
 	});
 
 	t.test('serves what it bears where all are cold; the rest is refused at once, as not run', async t => {
 		const fleet = await makeFleet(t);
 		const [cold] = await addCold(fleet, 1);
 		const entry = await fleet.addReadyEntry();
-		const answers = await askMany([entry], 30, 'a');
+		const answers = await sendMany([entry], 30, 'a');
 		const served = answers.filter(({status}) => status === 200);
 		const refused = answers.filter(({status}) => status === 503);
 		t.ok(served.length >= coldPerS, `${served.length} served`);
@@ -85,8 +85,8 @@
 			t.match(headers, {'retry-after': /^[\d.]+$/v});
 		}
 
-		t.ok(cold.mostInOneSecond <= mostPerS, `${cold.mostInOneSecond} requests in a second`);
-		t.notOk(cold.hasEnded);
+		t.ok(cold.maxInOneSecond <= maxPerS, `${cold.maxInOneSecond} requests in a second`);
+		t.notOk(cold.hasCrashed);
 	});
 
 	t.test('is one in a hall that was just given back, until its entry says otherwise', async t => {
@@ -98,13 +98,13 @@
 		fleet.store.put('servers', back.serverId, back.entry('model'));
 		fleet.store.remove('op', 'evacuate/hall-a');
 		fleet.store.put('op', 'config', coldConfig(2));
-		await until(() => entry.lines.some(line => line.includes('A new version') && line.includes('"version":2,')));
-		await askMany([entry], 60, 'b');
-		t.ok(back.mostInOneSecond <= mostPerS, `${back.mostInOneSecond} requests in a second`);
+		await waitUntil(() => entry.lines.some(line => line.includes('A new version') && line.includes('"version":2,')));
+		await sendMany([entry], 60, 'b');
+		t.ok(back.maxInOneSecond <= maxPerS, `${back.maxInOneSecond} requests in a second`);
 		fleet.store.put('servers', back.serverId, back.entry('model'));
 		fleet.store.put('servers', other.serverId, other.entry('model', 'draining'));
-		await until(() => entry.lines.some(line => line.includes('"leaving"')));
-		const answers = await askMany([entry], 40, 'c');
+		await waitUntil(() => entry.lines.some(line => line.includes('"leaving"')));
+		const answers = await sendMany([entry], 40, 'c');
 		t.ok(answers.every(({status}) => status === 200), 'it is warm by what its entry says');
 	});
 });
--- a/test/platform/direct-fleet.test.ts
+++ b/test/platform/direct-fleet.test.ts
@@ -1,7 +1,7 @@
 import {connect} from 'node:net';
 import t, {type Test} from 'tap';
 import {
-	ask, configOf, DirectFleet, readinessOf, streamCall, until, wholeStream,
+	sendRequest, configOf, DirectFleet, readinessOf, streamCall, waitUntil, completeStream,
 } from './direct-harness.js';
 
 async function makeFleet(t: Test): Promise<DirectFleet> {
@@ -19,9 +19,9 @@
 	const [stage] = await fleet.addServers('stage', 1, 15);
 	const [model] = await fleet.addServers('model', 1);
 	const entry = await fleet.addReadyEntry();
-	const answers = await Promise.all(['s1', 's2', 's3', 's4'].map(async id => ask(entry, stagedCall(id))));
+	const answers = await Promise.all(['s1', 's2', 's3', 's4'].map(async id => sendRequest(entry, stagedCall(id))));
 	for (const answer of answers) {
-		t.match(answer, {status: 200, text: wholeStream, isWhole: true});
+		t.match(answer, {status: 200, text: completeStream, isWhole: true});
 	}
 
 	t.ok(stage.stageCalls.length < 12, `${stage.stageCalls.length} calls for twelve pieces`);
@@ -30,8 +30,8 @@
 		t.match(headers['input-count'], /^127\.0\.0\.1:\d+\/stage-0-\d+$/v, id);
 	}
 
-	await until(() => stage.freed.length === 12);
-	t.equal(new Set(stage.freed).size, 12, 'each result is given up once');
+	await waitUntil(() => stage.releasedResults.length === 12);
+	t.equal(new Set(stage.releasedResults).size, 12, 'each result is given up once');
 });
 
 t.test('numbers that make no sense harm their own request only', async t => {
@@ -40,12 +40,12 @@
 	await fleet.addServers('model', 1);
 	const entry = await fleet.addReadyEntry();
 	for (const counts of ['1e12,1', '-1,1', '2.5', 'x', 'Infinity']) {
-		t.equal((await ask(entry, streamCall('/staged/x', {headers: {'chunk-count': counts, 'chunk-key': 'k'}}))).status, 400, counts);
+		t.equal((await sendRequest(entry, streamCall('/staged/x', {headers: {'chunk-count': counts, 'chunk-key': 'k'}}))).status, 400, counts);
 	}
 
-	t.equal((await ask(entry, streamCall('/draft/x', {headers: {'prompt-prefix': 'aa:Infinity,bb:-5,cc'}}))).status, 200);
-	t.match(await ask(entry, stagedCall('n1')), {status: 200, text: wholeStream});
-	t.match(await ask(entry, streamCall('/draft/x')), {status: 200, text: wholeStream});
+	t.equal((await sendRequest(entry, streamCall('/draft/x', {headers: {'prompt-prefix': 'aa:Infinity,bb:-5,cc'}}))).status, 200);
+	t.match(await sendRequest(entry, stagedCall('n1')), {status: 200, text: completeStream});
+	t.match(await sendRequest(entry, streamCall('/draft/x')), {status: 200, text: completeStream});
 });
 
 t.test('two entries share one queue of a pool', async t => {
@@ -54,9 +54,9 @@
 	await fleet.addServers('model', 1);
 	const first = await fleet.addReadyEntry();
 	const second = await fleet.addReadyEntry();
-	await until(() => [first, second].every(({lines}) => lines.some(line => line.includes('A peer is connected.'))));
-	const answers = await Promise.all([first, second, first, second, first, second].map(async (entry, index) => ask(entry, stagedCall(`q${index}`))));
-	t.ok(answers.every(({status, text}) => status === 200 && text === wholeStream));
+	await waitUntil(() => [first, second].every(({lines}) => lines.some(line => line.includes('A peer is connected.'))));
+	const answers = await Promise.all([first, second, first, second, first, second].map(async (entry, index) => sendRequest(entry, stagedCall(`q${index}`))));
+	t.ok(answers.every(({status, text}) => status === 200 && text === completeStream));
 	const isShared = stage.stageCalls.some(call => new Set(call.map(piece => Number(String(piece.instanceId).slice(1)) % 2)).size === 2);
 	t.ok(isShared, 'a call carries pieces of both');
 });
@@ -67,23 +67,23 @@
 	const [model] = await fleet.addServers('model', 1);
 	const entry = await fleet.addReadyEntry();
 	model.fault = 'inputsGone';
-	const asked = ask(entry, stagedCall('g1'));
-	await until(() => stage.stageCalls.flat().length > 3);
+	const asked = sendRequest(entry, stagedCall('g1'));
+	await waitUntil(() => stage.stageCalls.flat().length > 3);
 	model.fault = 'none';
-	t.match(await asked, {status: 200, text: wholeStream});
+	t.match(await asked, {status: 200, text: completeStream});
 });
 
 t.test('a newer declaration is in force, an older one never; keys and routes go with it', async t => {
 	const fleet = await makeFleet(t);
 	await fleet.addServers('plain', 1);
 	const entry = await fleet.addReadyEntry();
-	t.equal((await ask(entry, {path: '/look/x', key: 'key-2'})).status, 200);
+	t.equal((await sendRequest(entry, {path: '/look/x', key: 'key-2'})).status, 200);
 	fleet.store.put('op', 'config', configOf(5, {tenantList: [{name: 'buyers', apiKeys: ['key-1']}]}));
-	await until(async () => (await ask(entry, {path: '/look/x', key: 'key-2'})).status === 401);
+	await waitUntil(async () => (await sendRequest(entry, {path: '/look/x', key: 'key-2'})).status === 401);
 	fleet.store.put('op', 'config', configOf(4));
 	fleet.store.put('op', 'config', 'not a config');
-	t.equal((await ask(entry, {path: '/look/x', key: 'key-2'})).status, 401);
-	t.equal((await ask(entry, {path: '/look/x', key: 'key-1'})).status, 200);
+	t.equal((await sendRequest(entry, {path: '/look/x', key: 'key-2'})).status, 401);
+	t.equal((await sendRequest(entry, {path: '/look/x', key: 'key-1'})).status, 200);
 });
 
 t.test('an entry without a declaration is not ready and says that it ran nothing', async t => {
@@ -91,7 +91,7 @@
 	fleet.store.mode = 'busy';
 	const entry = await fleet.addEntry();
 	t.equal(await readinessOf(entry), 503);
-	const answer = await ask(entry, {path: '/look/x'});
+	const answer = await sendRequest(entry, {path: '/look/x'});
 	t.equal(answer.status, 503);
 	t.ok(answer.headers['retry-after']);
 });
@@ -102,8 +102,8 @@
 	await fleet.addReadyEntry();
 	fleet.store.mode = 'busy';
 	const fresh = await fleet.addEntry();
-	await until(async () => await readinessOf(fresh) === 200);
-	t.equal((await ask(fresh, {path: '/look/x'})).status, 200);
+	await waitUntil(async () => await readinessOf(fresh) === 200);
+	t.equal((await sendRequest(fresh, {path: '/look/x'})).status, 200);
 });
 
 t.test('the last declaration stays in force while the store is away, and what changed is seen after', async t => {
@@ -113,13 +113,13 @@
 	for (const mode of ['busy', 'reset'] as const) {
 		fleet.store.mode = mode;
 		fleet.store.forgetHistory();
-		t.equal((await ask(entry, {path: '/look/x'})).status, 200);
+		t.equal((await sendRequest(entry, {path: '/look/x'})).status, 200);
 	}
 
 	const [fresh] = await fleet.addServers('plain', 1);
 	fleet.store.put('servers', old.serverId, old.entry('plain', 'draining'));
 	fleet.store.mode = 'sound';
-	await until(async () => (await ask(entry, {path: '/look/x'})).text.includes(fresh.serverId));
+	await waitUntil(async () => (await sendRequest(entry, {path: '/look/x'})).text.includes(fresh.serverId));
 });
 
 t.test('a server that leaves gets no new work', async t => {
@@ -127,11 +127,11 @@
 	const [first, second] = await fleet.addServers('plain', 2);
 	const entry = await fleet.addReadyEntry();
 	fleet.store.put('servers', first.serverId, first.entry('plain', 'draining'));
-	await until(() => entry.lines.some(line => line.includes('"leaving"')));
+	await waitUntil(() => entry.lines.some(line => line.includes('"leaving"')));
 	fleet.store.put('servers', first.serverId, first.entry('plain'));
 	const before = first.seen.length;
 	for (let index = 0; index < 5; index++) {
-		await ask(entry, {path: '/look/x', id: `d${index}`});
+		await sendRequest(entry, {path: '/look/x', id: `d${index}`});
 	}
 
 	t.equal(first.seen.length, before);
@@ -142,19 +142,19 @@
 	const fleet = await makeFleet(t);
 	await fleet.addServers('plain', 1, 150);
 	const entry = await fleet.addReadyEntry();
-	const early = ask(entry, {method: 'POST', path: '/book/x', id: 'e'});
+	const early = sendRequest(entry, {method: 'POST', path: '/book/x', id: 'e'});
 	const stopped = entry.entry.lifecycle.stop();
 	t.equal(await readinessOf(entry), 503);
-	const late = await ask(entry, {method: 'POST', path: '/book/x', id: 'l'});
+	const late = await sendRequest(entry, {method: 'POST', path: '/book/x', id: 'l'});
 	t.equal(late.status, 200);
 	t.equal(late.headers.connection, 'close');
 	t.equal((await early).status, 200);
-	const last = ask(entry, {
+	const last = sendRequest(entry, {
 		method: 'POST', path: '/book/x', id: 'kept', headers: {connection: 'keep-alive'},
 	});
 	t.equal((await last).status, 200);
 	await stopped;
-	await t.rejects(ask(entry, {path: '/look/x'}));
+	await t.rejects(sendRequest(entry, {path: '/look/x'}));
 });
 
 t.test('a stopping entry takes nothing that might not end: new connections are refused, open ones told so', async t => {
@@ -162,7 +162,7 @@
 	const [server] = await fleet.addServers('plain', 1, 5);
 	const entry = await fleet.addReadyEntry();
 	server.fault = 'silent';
-	const held = ask(entry, {
+	const held = sendRequest(entry, {
 		method: 'POST', path: '/book/x', id: 'held', deadlineMs: 60_000,
 	});
 	const {callers} = entry;
@@ -174,16 +174,16 @@
 	});
 	socket.write('GET /look/x HTTP/1.1\r\nHost: site.ex');
 	const stopped = entry.entry.lifecycle.stop();
-	await until(async () => {
+	await waitUntil(async () => {
 		try {
-			await ask(entry, {path: '/nowhere/'});
+			await sendRequest(entry, {path: '/nowhere/'});
 			return false;
 		} catch {
 			return true;
 		}
 	});
 	socket.write('ample\r\nAttempt-Id: late\r\nAuthorization: Bearer key-1\r\n\r\n');
-	await until(() => heard.includes('\r\n\r\n'));
+	await waitUntil(() => heard.includes('\r\n\r\n'));
 	t.match(heard, /^HTTP\/1\.1 503 [\s\S]*retry-after/v);
 	t.notOk(server.seen.some(({id}) => id === 'late'));
 	await stopped;
@@ -210,8 +210,8 @@
 	stage.stageGate = new Promise(() => {
 		// It ends with the test.
 	});
-	const asked = ask(entry, {...stagedCall('w1'), deadlineMs: 60_000}).catch(() => 'cut');
-	await until(() => stage.stageCalls.length > 0);
+	const asked = sendRequest(entry, {...stagedCall('w1'), deadlineMs: 60_000}).catch(() => 'cut');
+	await waitUntil(() => stage.stageCalls.length > 0);
 	await entry.entry.lifecycle.stop();
 	const answer = await asked;
 	t.match(answer, {status: 503, isWhole: true});
@@ -224,9 +224,9 @@
 	const [server] = await fleet.addServers('plain', 1);
 	const entry = await fleet.addReadyEntry();
 	fleet.store.put('servers', 'ghost', server.entry('plain'));
-	await until(() => entry.lines.some(line => line.includes('"ghost"')));
+	await waitUntil(() => entry.lines.some(line => line.includes('"ghost"')));
 	for (let index = 0; index < 6; index++) {
-		t.equal((await ask(entry, {method: 'POST', path: '/book/x', id: `g${index}`})).status, 200);
+		t.equal((await sendRequest(entry, {method: 'POST', path: '/book/x', id: `g${index}`})).status, 200);
 	}
 });
 
@@ -236,21 +236,21 @@
 	await fleet.addServers('model', 1);
 	const first = await fleet.addReadyEntry();
 	const second = await fleet.addReadyEntry();
-	await until(() => [first, second].every(({lines}) => lines.some(line => line.includes('A peer is connected.'))));
+	await waitUntil(() => [first, second].every(({lines}) => lines.some(line => line.includes('A peer is connected.'))));
 	for (const [index, entry] of [first, second].entries()) {
 		const controller = new AbortController();
 		let openGate!: () => void;
 		stage.stageGate = new Promise(resolve => {
 			openGate = resolve;
 		});
-		const asked = ask(entry, {...stagedCall(`x${index}`), signal: controller.signal});
-		await until(() => stage.stageCalls.length === index + 1);
+		const asked = sendRequest(entry, {...stagedCall(`x${index}`), signal: controller.signal});
+		await waitUntil(() => stage.stageCalls.length === index + 1);
 		controller.abort();
 		await t.rejects(asked);
-		await until(() => entry.lines.some(line => line.includes('A request has ended.') && line.includes(`"x${index}"`)));
+		await waitUntil(() => entry.lines.some(line => line.includes('A request has ended.') && line.includes(`"x${index}"`)));
 		openGate();
-		await until(() => stage.freed.length >= 2 * (index + 1));
-		t.equal(stage.freed.length, 2 * (index + 1));
+		await waitUntil(() => stage.releasedResults.length >= 2 * (index + 1));
+		t.equal(stage.releasedResults.length, 2 * (index + 1));
 		t.equal(stage.stageCalls.length, index + 1, 'nothing more is begun for it');
 	}
 });
--- a/test/platform/direct-harness.ts
+++ b/test/platform/direct-harness.ts
@@ -1,17 +1,17 @@
 /** Entries of the users' platform on loopback, before stand-ins of its store and servers: the same parts as in the real program. */
 import {request as httpRequest, type Agent, type IncomingHttpHeaders} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
-import {PlatformCallers} from '../../platform/caller-headers.js';
+import {PlatformCallerProtocol} from '../../platform/caller-headers.js';
 import {readDeclarationRow, readEvacuationKey} from '../../platform/declaration-rows.js';
 import {readServerRow} from '../../platform/server-rows.js';
-import {PlatformStages} from '../../platform/stage-calls.js';
+import {PlatformBatchProtocol} from '../../platform/stage-calls.js';
 import {StoreTable} from '../../platform/store-client.js';
-import {PlatformUpstreams} from '../../platform/upstream-headers.js';
+import {PlatformUpstreamProtocol} from '../../platform/upstream-headers.js';
 import {silentLoggers} from '../../src/base/common/logger.js';
 import {composeDirectEntry} from '../../src/daemon/node/compose-direct-entry.js';
 import type {DirectEntry} from '../../src/daemon/node/direct-entry.js';
 import type {Endpoint} from '../../src/wire/common/endpoint.js';
-import {ServerStandin} from './upstream-standins.js';
+import {ServerStandin} from './server-standin.js';
 import {StoreStandin} from './store-standin.js';
 
 const loopback = '127.0.0.1';
@@ -21,7 +21,7 @@
 export type RunningEntry = {readonly entry: DirectEntry; readonly callers: Endpoint; readonly readiness: Endpoint; readonly peers: Endpoint; readonly lines: string[]};
 
 /** An answer as a caller saw it. */
-export type CallerAnswer = {readonly status: number; readonly headers: IncomingHttpHeaders; readonly text: string; readonly isWhole: boolean};
+export type CallerResponse = {readonly status: number; readonly headers: IncomingHttpHeaders; readonly text: string; readonly isWhole: boolean};
 
 export type CallerCall = {
 	readonly method?: string; readonly path: string; readonly id?: string; readonly key?: string; readonly body?: string; readonly deadlineMs?: number;
@@ -68,7 +68,7 @@
 }
 
 /** The same with targets and time limits that no slow machine misses: for tests of where work goes, not when. */
-export function patientConfig(version: number) {
+export function longTimeoutConfig(version: number) {
 	const config = configOf(version);
 	return {...config, routes: config.routes.map(route => ({...route, timeoutMs: 60_000, goalMs: 30_000}))};
 }
@@ -119,9 +119,9 @@
 			capacity: {cores: 1, linkMbps: 1000},
 			wireSecret: 'a secret of the test',
 		}, {
-			callers: PlatformCallers.create(),
-			upstreams: PlatformUpstreams.create(),
-			batches: PlatformStages.create(),
+			callers: PlatformCallerProtocol.create(),
+			upstreams: PlatformUpstreamProtocol.create(),
+			batches: PlatformBatchProtocol.create(),
 			declarations: StoreTable.create({
 				store, table: 'op', readRow: readDeclarationRow, readKey: readEvacuationKey, log,
 			}),
@@ -139,7 +139,7 @@
 	/** Starts an entry and waits until the balancer would use it. */
 	async addReadyEntry(): Promise<RunningEntry> {
 		const running = await this.addEntry();
-		await until(async () => await readinessOf(running) === 200 && this.servers.every(server => running.lines.some(line => line.includes(`"${server.serverId}"`))));
+		await waitUntil(async () => await readinessOf(running) === 200 && this.servers.every(server => running.lines.some(line => line.includes(`"${server.serverId}"`))));
 		return running;
 	}
 
@@ -164,14 +164,14 @@
 }
 
 /** Waits until something holds; the test's own time limit ends it otherwise. */
-export async function until(isTrue: () => boolean | Promise<boolean>): Promise<void> {
+export async function waitUntil(isTrue: () => boolean | Promise<boolean>): Promise<void> {
 	while (!await isTrue()) {
 		await sleep(5);
 	}
 }
 
 /** Sends a caller's request and reads its answer as far as it comes. */
-export async function ask({callers}: Pick<RunningEntry, 'callers'>, call: CallerCall): Promise<CallerAnswer> {
+export async function sendRequest({callers}: Pick<RunningEntry, 'callers'>, call: CallerCall): Promise<CallerResponse> {
 	return new Promise((resolve, reject) => {
 		const request = httpRequest({
 			host: callers.address, port: callers.port, method: call.method ?? 'GET', path: call.path, agent: call.agent ?? false, signal: call.signal,
@@ -188,8 +188,8 @@
 			};
 
 			response.setEncoding('utf8');
-			response.on('data', (piece: string) => {
-				text += piece;
+			response.on('data', (chunk: string) => {
+				text += chunk;
 			});
 			response.on('error', () => undefined);
 			response.on('close', end);
@@ -207,4 +207,4 @@
 }
 
 /** All five events of a stand-in's stream. */
-export const wholeStream = [1, 2, 3, 4, 5].map(index => `id: ${index}\ndata: event ${index}\n\n`).join('');
+export const completeStream = [1, 2, 3, 4, 5].map(index => `id: ${index}\ndata: event ${index}\n\n`).join('');
--- a/test/platform/direct-load.ts
+++ b/test/platform/direct-load.ts
@@ -2,13 +2,13 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Test} from 'tap';
 import {
-	ask, DirectFleet, patientConfig, streamCall, until, type CallerAnswer, type CallerCall, type RunningEntry,
+	sendRequest, DirectFleet, longTimeoutConfig, streamCall, waitUntil, type CallerResponse, type CallerCall, type RunningEntry,
 } from './direct-harness.js';
-import type {ServerStandin} from './upstream-standins.js';
+import type {ServerStandin} from './server-standin.js';
 
-const usualLoadMs = 5200;
+const defaultLoadMs = 5200;
 /** Part of the requests that is served where other upstreams have room. */
-const servedShare = 0.99;
+const minServedShare = 0.99;
 
 /** Makes the request of an id. */
 export type MakeCall = (id: string) => CallerCall;
@@ -18,20 +18,20 @@
 export const stepsCall: MakeCall = id => streamCall('/staged/1', {id, headers: {'chunk-count': '2,1', 'chunk-key': `key-${id}`}});
 
 /** Long enough for any machine. */
-const patientMs = 60_000;
+const longDeadlineMs = 60_000;
 
 /**
 Makes a fleet for a test of where work goes, not when: no target is missed on a slow machine.
 @param t - the test, with which it ends.
 */
-export async function makePatientFleet(t: Test): Promise<DirectFleet> {
+export async function makeLongTimeoutFleet(t: Test): Promise<DirectFleet> {
 	const fleet = await makeFleet(t);
-	fleet.store.put('op', 'config', patientConfig(2));
+	fleet.store.put('op', 'config', longTimeoutConfig(2));
 	return fleet;
 }
 
 /** The same calls from callers that wait as long as it takes. */
-export const patient = (makeCall: MakeCall): MakeCall => id => ({...makeCall(id), deadlineMs: patientMs});
+export const withLongDeadline = (makeCall: MakeCall): MakeCall => id => ({...makeCall(id), deadlineMs: longDeadlineMs});
 
 /** Makes a fleet that ends with its test. */
 export async function makeFleet(t: Test): Promise<DirectFleet> {
@@ -51,7 +51,7 @@
 		hosts.push(await fleet.addReadyEntry());
 	}
 
-	await until(() => hosts.every(host => countPeers(host) >= count - 1));
+	await waitUntil(() => hosts.every(host => countPeers(host) >= count - 1));
 	return hosts;
 }
 
@@ -63,16 +63,16 @@
 @param forMs - how long.
 @returns the answers, in the order of the requests.
 */
-export async function load(hosts: readonly RunningEntry[], makeCall: MakeCall, perS: number, forMs = usualLoadMs): Promise<CallerAnswer[]> {
-	const answers: Array<Promise<CallerAnswer>> = [];
+export async function load(hosts: readonly RunningEntry[], makeCall: MakeCall, perS: number, forMs = defaultLoadMs): Promise<CallerResponse[]> {
+	const responses: Array<Promise<CallerResponse>> = [];
 	const startMs = performance.now();
 	for (let index = 0; performance.now() - startMs < forMs; index++) {
 		const host = index % hosts.length;
-		answers.push(ask(hosts[host], makeCall(`r${startMs.toFixed(0)}-${index}@${host}`)));
+		responses.push(sendRequest(hosts[host], makeCall(`r${startMs.toFixed(0)}-${index}@${host}`)));
 		await sleep(Math.max(0, startMs + ((index + 1) * 1000 / perS) - performance.now()));
 	}
 
-	return Promise.all(answers);
+	return Promise.all(responses);
 }
 
 /**
@@ -96,11 +96,11 @@
 	});
 }
 
-export const countServed = (answers: readonly CallerAnswer[]) => answers.filter(({status}) => status === 200).length;
+export const countServed = (responses: readonly CallerResponse[]) => responses.filter(({status}) => status === 200).length;
 
 /** Checks that nearly all are served. */
-export function areServed(t: Test, answers: readonly CallerAnswer[]): void {
-	const unserved = answers.find(({status}) => status !== 200);
+export function assertServed(t: Test, responses: readonly CallerResponse[]): void {
+	const unserved = responses.find(({status}) => status !== 200);
 	const reason = unserved ? `; one got ${unserved.status}, ${unserved.text.slice(0, 80)}` : '';
-	t.ok(countServed(answers) >= servedShare * answers.length, `${countServed(answers)} of ${answers.length} are served${reason}`);
+	t.ok(countServed(responses) >= minServedShare * responses.length, `${countServed(responses)} of ${responses.length} are served${reason}`);
 }
--- a/test/platform/direct-requests.test.ts
+++ b/test/platform/direct-requests.test.ts
@@ -1,8 +1,8 @@
 import t, {type Test} from 'tap';
 import {
-	ask, DirectFleet, streamCall, until, wholeStream, type RunningEntry,
+	sendRequest, DirectFleet, streamCall, waitUntil, completeStream, type RunningEntry,
 } from './direct-harness.js';
-import type {ServerStandin} from './upstream-standins.js';
+import type {ServerStandin} from './server-standin.js';
 
 async function start(t: Test, pool: string, count: number, stepMs?: number): Promise<{fleet: DirectFleet; servers: ServerStandin[]; entry: RunningEntry}> {
 	const fleet = await DirectFleet.create();
@@ -15,7 +15,7 @@
 
 t.test('a request reaches its server as the caller sent it, and the answer comes back as it is', async t => {
 	const {servers: [server], entry} = await start(t, 'plain', 1);
-	const answer = await ask(entry, {
+	const answer = await sendRequest(entry, {
 		method: 'POST', path: '/look/a?b=1', id: 'r1', body: 'hello', headers: {
 			tenant: 'forged', 'kv-hold': 'x', 'pin-ms': '5', 'kv-from': 'y', 'kv-backup': 'z', 'input-count': 'q', connection: 'close, x-hop', 'x-hop': '1', 'x-other': '2',
 		},
@@ -36,18 +36,18 @@
 
 t.test('unknown routes and keys are turned away; public routes need no key', async t => {
 	const {entry} = await start(t, 'plain', 1);
-	t.equal((await ask(entry, {path: '/nowhere/'})).status, 404);
-	t.equal((await ask(entry, {path: '/look/x', key: 'wrong'})).status, 401);
-	t.equal((await ask(entry, {path: '/look/x', key: ''})).status, 401);
-	t.equal((await ask(entry, {path: '/open/x', key: ''})).status, 200);
-	t.equal((await ask(entry, {method: 'POST', path: '/look/x', body: 'x'.repeat(100_001)})).status, 413);
+	t.equal((await sendRequest(entry, {path: '/nowhere/'})).status, 404);
+	t.equal((await sendRequest(entry, {path: '/look/x', key: 'wrong'})).status, 401);
+	t.equal((await sendRequest(entry, {path: '/look/x', key: ''})).status, 401);
+	t.equal((await sendRequest(entry, {path: '/open/x', key: ''})).status, 200);
+	t.equal((await sendRequest(entry, {method: 'POST', path: '/look/x', body: 'x'.repeat(100_001)})).status, 413);
 });
 
 t.test('a server that did not run a request leaves it to another one', async t => {
 	const {servers, entry} = await start(t, 'plain', 2);
 	servers[0].fault = 'full';
 	for (let index = 0; index < 6; index++) {
-		t.equal((await ask(entry, {method: 'POST', path: '/book/x', id: `b${index}`})).status, 200);
+		t.equal((await sendRequest(entry, {method: 'POST', path: '/book/x', id: `b${index}`})).status, 200);
 	}
 
 	t.equal(servers[1].seen.length, 6);
@@ -59,7 +59,7 @@
 		server.fault = 'full';
 	}
 
-	const answer = await ask(entry, {method: 'POST', path: '/book/x'});
+	const answer = await sendRequest(entry, {method: 'POST', path: '/book/x'});
 	t.equal(answer.status, 503);
 	t.ok(Number(answer.headers['retry-after']) > 0);
 	t.equal(servers[0].seen.length + servers[1].seen.length, 0);
@@ -71,7 +71,7 @@
 		server.fault = 'reset';
 	}
 
-	t.equal((await ask(entry, {method: 'POST', path: '/book/x'})).status, 502);
+	t.equal((await sendRequest(entry, {method: 'POST', path: '/book/x'})).status, 502);
 	t.equal(servers[0].seen.length + servers[1].seen.length, 1);
 });
 
@@ -80,7 +80,7 @@
 		const {servers, entry} = await start(t, 'plain', 2);
 		servers[0].fault = fault;
 		for (let index = 0; index < 4; index++) {
-			t.match(await ask(entry, {path: '/look/x', id: `l${index}`}), {status: 200, text: `answer of ${servers[1].serverId} to l${index}`}, fault);
+			t.match(await sendRequest(entry, {path: '/look/x', id: `l${index}`}), {status: 200, text: `answer of ${servers[1].serverId} to l${index}`}, fault);
 		}
 	}
 });
@@ -91,7 +91,7 @@
 		server.fault = 'error';
 	}
 
-	const answer = await ask(entry, {path: '/look/x'});
+	const answer = await sendRequest(entry, {path: '/look/x'});
 	t.match(answer, {status: 500, text: 'failed'});
 	t.match(answer.headers['server-stamp'], /^stamp-/v);
 	t.equal(servers[0].seen.length + servers[1].seen.length, 2);
@@ -101,14 +101,14 @@
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	for (const fault of ['unframedReset', 'chunkedReset', 'chunkedClose', 'foreign'] as const) {
 		server.fault = fault;
-		t.equal((await ask(entry, {method: 'POST', path: '/book/x'})).status, 502, fault);
+		t.equal((await sendRequest(entry, {method: 'POST', path: '/book/x'})).status, 502, fault);
 	}
 });
 
 t.test('an answer without a length is passed on without one: nobody knows that it is whole', async t => {
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	server.fault = 'unframedClose';
-	const {status, text, headers} = await ask(entry, {method: 'POST', path: '/book/x'});
+	const {status, text, headers} = await sendRequest(entry, {method: 'POST', path: '/book/x'});
 	t.match({status, text}, {status: 200, text: 'half of it'});
 	t.equal(headers['content-length'], undefined);
 	t.equal(headers['transfer-encoding'], undefined);
@@ -117,9 +117,9 @@
 
 t.test('a stream passes event by event; a cut one breaks off after a whole event', async t => {
 	const {servers: [server], entry} = await start(t, 'model', 1);
-	t.match(await ask(entry, streamCall('/chat/x')), {status: 200, text: wholeStream, isWhole: true});
+	t.match(await sendRequest(entry, streamCall('/chat/x')), {status: 200, text: completeStream, isWhole: true});
 	server.fault = 'cutStream';
-	const cut = await ask(entry, streamCall('/chat/x'));
+	const cut = await sendRequest(entry, streamCall('/chat/x'));
 	t.match(cut, {status: 200, isWhole: false});
 	t.equal(cut.text, 'id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n');
 });
@@ -130,11 +130,11 @@
 		server.fault = 'cutStream';
 	}
 
-	const asked = ask(entry, streamCall('/draft/x'));
-	await until(() => servers.some(server => server.seen.length > 0));
+	const asked = sendRequest(entry, streamCall('/draft/x'));
+	await waitUntil(() => servers.some(server => server.seen.length > 0));
 	const [, other] = servers[0].seen.length > 0 ? servers : servers.toReversed();
 	other.fault = 'none';
-	t.match(await asked, {status: 200, text: wholeStream, isWhole: true});
+	t.match(await asked, {status: 200, text: completeStream, isWhole: true});
 	t.equal(other.seen[0].headers['last-event-id'], '2');
 });
 
@@ -142,23 +142,23 @@
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	server.fault = 'silent';
 	const controller = new AbortController();
-	const asked = ask(entry, {method: 'POST', path: '/book/x', signal: controller.signal});
-	await until(() => server.seen.length === 1);
+	const asked = sendRequest(entry, {method: 'POST', path: '/book/x', signal: controller.signal});
+	await waitUntil(() => server.seen.length === 1);
 	controller.abort();
 	await t.rejects(asked);
-	await until(() => server.closedEarly === 1);
+	await waitUntil(() => server.closedEarlyCount === 1);
 });
 
 t.test('a request past its time gets its last answer', async t => {
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	server.fault = 'silent';
-	t.equal((await ask(entry, {method: 'POST', path: '/book/x', deadlineMs: 200})).status, 504);
+	t.equal((await sendRequest(entry, {method: 'POST', path: '/book/x', deadlineMs: 200})).status, 504);
 });
 
 t.test('a repeatable request is sent a second time where the first server stays silent', async t => {
 	const {servers, entry} = await start(t, 'plain', 2);
 	servers[0].fault = 'silent';
 	for (let index = 0; index < 3; index++) {
-		t.equal((await ask(entry, {path: '/look/x', id: `h${index}`})).status, 200);
+		t.equal((await sendRequest(entry, {path: '/look/x', id: `h${index}`})).status, 200);
 	}
 });
--- a/test/platform/fatal-request.test.ts
+++ b/test/platform/fatal-request.test.ts
@@ -9,18 +9,18 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
 import {
-	ask, DirectFleet, streamCall, type CallerAnswer, type CallerCall, type RunningEntry,
+	sendRequest, DirectFleet, streamCall, type CallerResponse, type CallerCall, type RunningEntry,
 } from './direct-harness.js';
 
 const fatalBody = 'ends whoever runs it';
 /** Ends under one request after which it is sent no more. */
-const endsAllowed = 3;
+const maxCrashes = 3;
 /** How long a request is barred at first, and how long its callers wait here. */
-const firstBarS = 60;
+const firstQuarantineS = 60;
 const callerWaitsS = 4;
 /** Longest wait for what hosts tell each other; it usually takes a tenth of that. */
-const longestWaitMs = 1000;
-const lookMs = 20;
+const maxWaitMs = 1000;
+const pollIntervalMs = 20;
 
 type Call = {readonly path: string; readonly isStream: boolean};
 type Fleet = Awaited<ReturnType<typeof makeFleet>>;
@@ -45,7 +45,7 @@
 	});
 	const servers = await fleet.addServers(pool, serverCount);
 	for (const server of servers) {
-		server.endsOnBody = fatalBody;
+		server.crashesOnBody = fatalBody;
 	}
 
 	const entries: RunningEntry[] = [];
@@ -53,23 +53,23 @@
 		entries.push(await fleet.addReadyEntry());
 	}
 
-	return {fleet, entries, endedCount: () => servers.filter(({hasEnded}) => hasEnded).length};
+	return {fleet, entries, crashCount: () => servers.filter(({hasCrashed: hasEnded}) => hasEnded).length};
 }
 
 /** Waits until an entry knows of so many ends, if it ever does. */
-async function waitUntilKnown({lines}: RunningEntry, endCount: number): Promise<void> {
-	const isKnown = () => lines.filter(line => line.includes('A server ended while it ran a request.')).length >= endCount;
-	for (let waitedMs = 0; waitedMs < longestWaitMs && !isKnown(); waitedMs += lookMs) {
-		await sleep(lookMs);
+async function waitUntilKnown({lines}: RunningEntry, crashCount: number): Promise<void> {
+	const isKnown = () => lines.filter(line => line.includes('A server ended while it ran a request.')).length >= crashCount;
+	for (let waitedMs = 0; waitedMs < maxWaitMs && !isKnown(); waitedMs += pollIntervalMs) {
+		await sleep(pollIntervalMs);
 	}
 }
 
 /** Asks for the same again and again, at the entries in turn; each knows of the ends before the next one is asked. */
-async function askAgainAndAgain({entries, endedCount}: Fleet, call: Call, tries: number): Promise<CallerAnswer[]> {
-	const answers: CallerAnswer[] = [];
-	for (let index = 0; index < tries; index++) {
-		answers.push(await ask(entries[index % entries.length], callOf(call, `try-${index}`, fatalBody)));
-		const known = Math.min(endedCount(), endsAllowed);
+async function sendRepeatedly({entries, crashCount: crashCount}: Fleet, call: Call, attempts: number): Promise<CallerResponse[]> {
+	const answers: CallerResponse[] = [];
+	for (let index = 0; index < attempts; index++) {
+		answers.push(await sendRequest(entries[index % entries.length], callOf(call, `try-${index}`, fatalBody)));
+		const known = Math.min(crashCount(), maxCrashes);
 		await Promise.all(entries.map(async entry => waitUntilKnown(entry, known)));
 	}
 
@@ -79,25 +79,25 @@
 t.test('a request under which three servers ended is sent to no fourth, at whichever entry it comes', async t => {
 	for (const call of [plainCall, onceCall, streamOnceCall, resumableCall]) {
 		const fleet = await makeFleet(t, call.isStream ? 'model' : 'plain', 8, 3);
-		const answers = await askAgainAndAgain(fleet, call, 8);
-		t.ok(fleet.endedCount() <= endsAllowed, `${call.path}: ${fleet.endedCount()} servers have ended`);
+		const answers = await sendRepeatedly(fleet, call, 8);
+		t.ok(fleet.crashCount() <= maxCrashes, `${call.path}: ${fleet.crashCount()} servers have ended`);
 		const last = answers.at(-1)!;
 		t.match(last, {status: 503, text: /quarantine/v}, call.path);
 		const retryAfterS = Number(last.headers['retry-after']);
-		t.ok(retryAfterS > callerWaitsS && retryAfterS <= firstBarS, 'and its caller is told that it is not tried again while it waits');
-		const other = await ask(fleet.entries[0], callOf(call, 'other', 'harmless'));
+		t.ok(retryAfterS > callerWaitsS && retryAfterS <= firstQuarantineS, 'and its caller is told that it is not tried again while it waits');
+		const other = await sendRequest(fleet.entries[0], callOf(call, 'other', 'harmless'));
 		t.equal(other.status, 200, 'what differs from it is served');
 	}
 });
 
 t.test('an entry that starts after three servers ended under a request does not send it', async t => {
 	const fleet = await makeFleet(t, 'plain', 6, 2);
-	await askAgainAndAgain(fleet, onceCall, 3);
-	t.equal(fleet.endedCount(), endsAllowed);
+	await sendRepeatedly(fleet, onceCall, 3);
+	t.equal(fleet.crashCount(), maxCrashes);
 	const late = await fleet.fleet.addEntry();
-	await waitUntilKnown(late, endsAllowed);
-	await askAgainAndAgain({...fleet, entries: [late]}, onceCall, 2);
-	t.equal(fleet.endedCount(), endsAllowed);
+	await waitUntilKnown(late, maxCrashes);
+	await sendRepeatedly({...fleet, entries: [late]}, onceCall, 2);
+	t.equal(fleet.crashCount(), maxCrashes);
 });
 
 /** A request with two steps. */
@@ -117,23 +117,23 @@
 	const servers = await fleet.addServers('stage', 10);
 	await fleet.addServers('model', 2);
 	for (const server of servers) {
-		server.endsOnPieceKey = fatalBody;
+		server.crashesOnPieceKey = fatalBody;
 	}
 
 	const entries = [await fleet.addReadyEntry(), await fleet.addReadyEntry()];
-	const endedCount = () => servers.filter(({hasEnded}) => hasEnded).length;
-	const others: CallerAnswer[] = [];
-	const answers: CallerAnswer[] = [];
+	const endedCount = () => servers.filter(({hasCrashed: hasEnded}) => hasEnded).length;
+	const others: CallerResponse[] = [];
+	const answers: CallerResponse[] = [];
 	for (let index = 0; index < 4; index++) {
 		const entry = entries[index % 2];
-		const beside = [0, 1].map(async other => ask(entry, stagedCall(`other-${index}-${other}`, `harmless ${index} ${other}`)));
-		answers.push(await ask(entry, stagedCall(`try-${index}`, fatalBody)));
-		others.push(...await Promise.all(beside));
-		const known = Math.min(endedCount(), endsAllowed);
+		const concurrent = [0, 1].map(async other => sendRequest(entry, stagedCall(`other-${index}-${other}`, `harmless ${index} ${other}`)));
+		answers.push(await sendRequest(entry, stagedCall(`try-${index}`, fatalBody)));
+		others.push(...await Promise.all(concurrent));
+		const known = Math.min(endedCount(), maxCrashes);
 		await Promise.all(entries.map(async running => waitUntilKnown(running, known)));
 	}
 
-	t.ok(endedCount() <= endsAllowed, `${endedCount()} servers have ended`);
+	t.ok(endedCount() <= maxCrashes, `${endedCount()} servers have ended`);
 	t.match(answers.at(-1), {status: 503, text: /quarantine/v});
 	t.same(others.map(({status}) => status), others.map(() => 200));
 });
@@ -144,7 +144,7 @@
 	const polling = new AbortController();
 	const callers = [0, 1, 2, 3].map(async caller => {
 		for (let index = 0; !polling.signal.aborted; index++) {
-			texts.add((await ask(entries[caller % 2], {path: `/look/${caller}`, id: `poll-${caller}-${index}`})).text);
+			texts.add((await sendRequest(entries[caller % 2], {path: `/look/${caller}`, id: `poll-${caller}-${index}`})).text);
 		}
 	});
 	for (const server of fleet.servers.slice(0, 6)) {
@@ -155,7 +155,7 @@
 	await sleep(200);
 	polling.abort();
 	await Promise.all(callers);
-	const last = await Promise.all([0, 1, 2, 3].map(async caller => ask(entries[caller % 2], {path: `/look/${caller}`, id: `last-${caller}`})));
+	const last = await Promise.all([0, 1, 2, 3].map(async caller => sendRequest(entries[caller % 2], {path: `/look/${caller}`, id: `last-${caller}`})));
 	t.same(last.map(({status}) => status), [200, 200, 200, 200]);
 	t.same([...texts].filter(text => text.includes('quarantine')), [], 'none is shut out');
 });
--- a/test/platform/hall-drain.test.ts
+++ b/test/platform/hall-drain.test.ts
@@ -7,9 +7,9 @@
 */
 import t, {type Test} from 'tap';
 import {
-	ask, DirectFleet, patientConfig, readinessOf, streamCall, until, type RunningEntry,
+	sendRequest, DirectFleet, longTimeoutConfig, readinessOf, streamCall, waitUntil, type RunningEntry,
 } from './direct-harness.js';
-import type {ServerStandin} from './upstream-standins.js';
+import type {ServerStandin} from './server-standin.js';
 
 /** The hall that is drained is the entry's own, whose servers it prefers. */
 const drainKey = 'evacuate/hall-a';
@@ -24,22 +24,22 @@
 }
 
 /** Waits until an entry has taken in all that was written to the operator's table before. */
-async function settle(fleet: DirectFleet, entries: readonly RunningEntry[], version: number): Promise<void> {
-	fleet.store.put('op', 'config', patientConfig(version));
-	await until(() => entries.every(({lines}) => lines.some(line => line.includes('A new version') && line.includes(`"version":${version},`))));
+async function waitForVersion(fleet: DirectFleet, entries: readonly RunningEntry[], version: number): Promise<void> {
+	fleet.store.put('op', 'config', longTimeoutConfig(version));
+	await waitUntil(() => entries.every(({lines}) => lines.some(line => line.includes('A new version') && line.includes(`"version":${version},`))));
 }
 
 const stagedCall = (id: string) => streamCall('/staged/x', {id, headers: {'chunk-count': '2,1', 'chunk-key': 'k'}});
 
 /** Several requests of each kind. */
-async function askAll(entry: RunningEntry, prefix: string): Promise<number[]> {
+async function sendAllKinds(entry: RunningEntry, prefix: string): Promise<number[]> {
 	const calls = Array.from({length: 4}, (_, index) => [
 		{path: '/look/x', id: `${prefix}l${index}`},
 		{method: 'POST', path: '/book/x', id: `${prefix}b${index}`},
 		streamCall('/draft/x', {id: `${prefix}d${index}`, headers: {'prompt-prefix': `aa:10,${index}b:5`}}),
 		stagedCall(`${prefix}s${index}`),
 	]).flat();
-	const answers = await Promise.all(calls.map(async call => ask(entry, {...call, deadlineMs: 60_000})));
+	const answers = await Promise.all(calls.map(async call => sendRequest(entry, {...call, deadlineMs: 60_000})));
 	return answers.map(({status}) => status);
 }
 
@@ -54,14 +54,14 @@
 
 		const entry = await fleet.addReadyEntry();
 		fleet.store.put('op', drainKey, {});
-		await settle(fleet, [entry], 2);
+		await waitForVersion(fleet, [entry], 2);
 		const before = drained.map(({arrivedMs}) => arrivedMs.length);
-		t.same(await askAll(entry, 'x'), Array.from({length: 16}, () => 200));
+		t.same(await sendAllKinds(entry, 'x'), Array.from({length: 16}, () => 200));
 		t.same(drained.map(({arrivedMs}) => arrivedMs.length), before);
 		fleet.store.remove('op', drainKey);
-		await settle(fleet, [entry], 3);
-		await until(async () => {
-			await askAll(entry, `y${performance.now()}`);
+		await waitForVersion(fleet, [entry], 3);
+		await waitUntil(async () => {
+			await sendAllKinds(entry, `y${performance.now()}`);
 			return drained.every(({arrivedMs}, index) => arrivedMs.length > before[index]);
 		});
 	});
@@ -72,9 +72,9 @@
 		const [other] = await fleet.addServers('plain', 1);
 		const entry = await fleet.addReadyEntry();
 		fleet.store.put('op', drainKey, {});
-		await settle(fleet, [entry], 2);
+		await waitForVersion(fleet, [entry], 2);
 		sound.fault = 'error';
-		t.equal((await ask(entry, {path: '/look/x'})).status, 500);
+		t.equal((await sendRequest(entry, {path: '/look/x'})).status, 500);
 		t.equal(other.arrivedMs.length, 0);
 	});
 
@@ -85,14 +85,14 @@
 		const [model] = await fleet.addServers('model', 1);
 		const entry = await fleet.addReadyEntry();
 		fleet.store.put('op', drainKey, {});
-		await settle(fleet, [entry], 2);
+		await waitForVersion(fleet, [entry], 2);
 		for (const call of [streamCall('/draft/x', {id: 'd'}), stagedCall('s')]) {
-			const answer = await ask(entry, call);
+			const answer = await sendRequest(entry, call);
 			t.match(answer, {status: 503, text: /^Not run: .*drained/v, headers: {'retry-after': /^[\d.]+$/v}}, call.path);
 		}
 
 		t.equal(model.arrivedMs.length, 0);
-		t.equal((await ask(entry, {path: '/look/x'})).status, 200, 'other pools are served');
+		t.equal((await sendRequest(entry, {path: '/look/x'})).status, 200, 'other pools are served');
 		t.notOk(entry.lines.some(line => line.includes('"heldMs"') && line.includes('"d"')));
 	});
 
@@ -105,10 +105,10 @@
 		stage.stageGate = new Promise(resolve => {
 			openGate = resolve;
 		});
-		const begun = ask(entry, stagedCall('begun'));
-		await until(() => stage.stageCalls.length > 0);
-		const waiting = ask(entry, {...stagedCall('waiting'), deadlineMs: 60_000});
-		await until(() => entry.lines.some(line => line.includes('"waiting"') || line.includes('wait')));
+		const begun = sendRequest(entry, stagedCall('begun'));
+		await waitUntil(() => stage.stageCalls.length > 0);
+		const waiting = sendRequest(entry, {...stagedCall('waiting'), deadlineMs: 60_000});
+		await waitUntil(() => entry.lines.some(line => line.includes('"waiting"') || line.includes('wait')));
 		fleet.store.put('op', drainKey, {});
 		t.match(await waiting, {status: 503, text: /^Not run: /v});
 		t.equal(stage.stageCalls.length, 1);
@@ -116,7 +116,7 @@
 		t.match(await begun, {status: 503}, 'its second step has no upstream either');
 		t.equal(model.arrivedMs.length, 0);
 		t.equal(stage.stageCalls.length, 1);
-		t.equal(stage.freed.length, 0, 'results are not released there either');
+		t.equal(stage.releasedResults.length, 0, 'results are not released there either');
 	});
 
 	t.test('a host that starts while the store is away learns of drained halls from a peer', async t => {
@@ -125,12 +125,12 @@
 		const [drained] = await fleet.addServers('plain', 1);
 		const first = await fleet.addReadyEntry();
 		fleet.store.put('op', drainKey, {});
-		await settle(fleet, [first], 2);
+		await waitForVersion(fleet, [first], 2);
 		fleet.store.mode = 'busy';
 		const fresh = await fleet.addEntry();
-		await until(async () => await readinessOf(fresh) === 200);
+		await waitUntil(async () => await readinessOf(fresh) === 200);
 		for (let index = 0; index < 8; index++) {
-			t.equal((await ask(fresh, {path: '/look/x', id: `f${index}`})).status, 200);
+			t.equal((await sendRequest(fresh, {path: '/look/x', id: `f${index}`})).status, 200);
 		}
 
 		t.equal(drained.arrivedMs.length, 0);
@@ -143,15 +143,15 @@
 		const [drained] = await fleet.addServers('plain', 1);
 		const entry = await fleet.addReadyEntry();
 		fleet.store.put('op', drainKey, {});
-		await settle(fleet, [entry], 2);
-		t.equal((await ask(entry, {path: '/look/x'})).status, 200);
+		await waitForVersion(fleet, [entry], 2);
+		t.equal((await sendRequest(entry, {path: '/look/x'})).status, 200);
 		t.equal(drained.arrivedMs.length, 0);
 		fleet.store.mode = 'busy';
 		fleet.store.remove('op', drainKey);
 		fleet.store.forgetHistory();
 		fleet.store.mode = 'sound';
-		await until(async () => {
-			await ask(entry, {path: '/look/x'});
+		await waitUntil(async () => {
+			await sendRequest(entry, {path: '/look/x'});
 			return drained.seen.length > 0;
 		});
 	});
@@ -165,9 +165,9 @@
 		fleet.store.put('op', 'evacuate/', {});
 		fleet.store.put('op', 'evacuated', {});
 		fleet.store.put('op', drainKey, ['what', 7]);
-		await settle(fleet, [entry], 2);
+		await waitForVersion(fleet, [entry], 2);
 		for (let index = 0; index < 8; index++) {
-			t.equal((await ask(entry, {path: '/look/x', id: `f${index}`})).status, 200);
+			t.equal((await sendRequest(entry, {path: '/look/x', id: `f${index}`})).status, 200);
 		}
 
 		t.equal(drained.arrivedMs.length, 0, 'the row is there: what it holds does not matter');
--- a/test/platform/leaving-server.test.ts
+++ b/test/platform/leaving-server.test.ts
@@ -7,64 +7,64 @@
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
-import {ask, streamCall, wholeStream} from './direct-harness.js';
+import {sendRequest, streamCall, completeStream} from './direct-harness.js';
 import {
-	addHosts, areServed, atNextRequest, load, makeFleet, makePatientFleet, patient, plainCall, stepsCall, streamOf,
+	addHosts, assertServed, atNextRequest, load, makeFleet, makeLongTimeoutFleet, withLongDeadline, plainCall, stepsCall, streamOf,
 } from './direct-load.js';
-import type {ServerStandin} from './upstream-standins.js';
+import type {ServerStandin} from './server-standin.js';
 
 /** Nothing new reaches an upstream later than this after an answer said that it leaves. */
 const leavingWithinMs = 2000;
 
-function getsNothingMore(t: Test, server: ServerStandin): void {
-	const saidMs = server.saidLeavingMs ?? Infinity;
+function assertNothingMoreSent(t: Test, server: ServerStandin): void {
+	const saidMs = server.leavingReportedMs ?? Infinity;
 	t.ok(saidMs < Infinity, `${server.serverId} has said so`);
 	t.equal(server.arrivedMs.filter(atMs => atMs > saidMs + leavingWithinMs).length, 0, `calls to ${server.serverId} later than ${leavingWithinMs} ms`);
 }
 
 t.test('an upstream that says in its answers that it leaves', async t => {
 	t.test('gets nothing more of any kind from any host, whatever the store\'s list says', async t => {
-		const fleet = await makePatientFleet(t);
+		const fleet = await makeLongTimeoutFleet(t);
 		const pools = [await fleet.addServers('plain', 4), await fleet.addServers('model', 4), await fleet.addServers('stage', 4)];
 		const hosts = await addHosts(fleet, 3);
 		fleet.store.mode = 'silent';
-		const loads = [load(hosts, patient(plainCall), 30), load(hosts, patient(streamOf), 20), load(hosts, patient(stepsCall), 20)];
+		const loads = [load(hosts, withLongDeadline(plainCall), 30), load(hosts, withLongDeadline(streamOf), 20), load(hosts, withLongDeadline(stepsCall), 20)];
 		await sleep(500);
 		const leaving = await Promise.all(pools.map(async servers => atNextRequest(servers, server => {
-			server.leave();
+			server.reportLeaving();
 		})));
 		const answers = await Promise.all(loads);
 		for (const server of leaving) {
-			getsNothingMore(t, server);
+			assertNothingMoreSent(t, server);
 		}
 
-		areServed(t, answers.flat());
+		assertServed(t, answers.flat());
 	});
 
 	t.test('goes on with what it has', async t => {
 		const fleet = await makeFleet(t);
 		const [engine] = await fleet.addServers('model', 1, 200);
 		const [host] = await addHosts(fleet, 1);
-		const begun = ask(host, streamCall('/chat/1', {id: 'begun'}));
+		const begun = sendRequest(host, streamCall('/chat/1', {id: 'begun'}));
 		await sleep(300);
-		engine.leave();
-		const [first, told] = await Promise.all([begun, ask(host, streamCall('/chat/1', {id: 'told'}))]);
-		t.equal(first.text, wholeStream);
-		t.equal(told.text, wholeStream);
+		engine.reportLeaving();
+		const [first, told] = await Promise.all([begun, sendRequest(host, streamCall('/chat/1', {id: 'told'}))]);
+		t.equal(first.text, completeStream);
+		t.equal(told.text, completeStream);
 	});
 
 	t.test('with all others of its pool leaves callers a quick refusal, and a new one is used as soon as it is listed', async t => {
 		const fleet = await makeFleet(t);
 		const [engine] = await fleet.addServers('model', 1);
 		const [host] = await addHosts(fleet, 1);
-		engine.leave();
-		t.equal((await ask(host, streamCall('/chat/1', {id: 'told'}))).status, 200);
-		const refused = await ask(host, streamCall('/chat/1', {id: 'refused'}));
+		engine.reportLeaving();
+		t.equal((await sendRequest(host, streamCall('/chat/1', {id: 'told'}))).status, 200);
+		const refused = await sendRequest(host, streamCall('/chat/1', {id: 'refused'}));
 		t.equal(refused.status, 503);
 		t.match(refused.text, /^Not run: .*leav/v);
 		t.match(refused.headers['retry-after'], /^[\d.]+$/v);
 		const [next] = await fleet.addServers('model', 1);
-		while ((await ask(host, streamCall('/chat/1', {id: 'later'}))).status !== 200) {
+		while ((await sendRequest(host, streamCall('/chat/1', {id: 'later'}))).status !== 200) {
 			await sleep(20);
 		}
 
--- a/test/platform/refusing-server.test.ts
+++ b/test/platform/refusing-server.test.ts
@@ -8,15 +8,15 @@
 import t, {type Test} from 'tap';
 import type {RunningEntry} from './direct-harness.js';
 import {
-	addHosts, areServed, load, makePatientFleet, patient, plainCall, stepsCall, streamOf, type MakeCall,
+	addHosts, assertServed, load, makeLongTimeoutFleet, withLongDeadline, plainCall, stepsCall, streamOf, type MakeCall,
 } from './direct-load.js';
-import type {ServerStandin, TurnAway} from './upstream-standins.js';
+import type {ServerStandin, RefusalPolicy} from './server-standin.js';
 
 const hostCount = 3;
 const loadMs = 5200;
-const firstMs = 1000;
-const backWithinMs = 5000;
-const againMs = 4000;
+const detectionMs = 1000;
+const recoveryMs = 5000;
+const secondLoadMs = 4000;
 
 type Kind = {readonly what: string; readonly pool: string; readonly stepMs: number; readonly perS: number; readonly makeCall: MakeCall};
 
@@ -33,21 +33,21 @@
 ];
 
 /** A server that refuses all is tried once a second by each host after the first second; one host batches the steps of a pool. */
-function isSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, beganMs}: {readonly forMs: number; readonly beganMs: number}): void {
-	const sinceMs = Math.max(beganMs, server.arrivedMs.find(atMs => atMs >= beganMs) ?? 0) + firstMs;
+function assertSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, beganMs}: {readonly forMs: number; readonly beganMs: number}): void {
+	const sinceMs = Math.max(beganMs, server.arrivedMs.find(atMs => atMs >= beganMs) ?? 0) + detectionMs;
 	const count = server.arrivedMs.filter(atMs => atMs > sinceMs).length;
-	const most = (forMs / 1000) * (pool === 'stage' ? 1 : hostCount);
-	t.ok(count <= most, `${server.serverId} got ${count} after the first second, allowed ${most}`);
+	const maxCount = (forMs / 1000) * (pool === 'stage' ? 1 : hostCount);
+	t.ok(count <= maxCount, `${server.serverId} got ${count} after the first second, allowed ${maxCount}`);
 }
 
 /** Four servers for each kind of call, the first of which refuse. */
-async function makePools(t: Test, turnsAway: readonly TurnAway[]) {
-	const fleet = await makePatientFleet(t);
+async function makePools(t: Test, turnsAway: readonly RefusalPolicy[]) {
+	const fleet = await makeLongTimeoutFleet(t);
 	const servers = new Map<Kind, readonly ServerStandin[]>();
 	for (const kind of kinds) {
 		const pool = await fleet.addServers(kind.pool, 4, kind.stepMs);
 		for (const [index, each] of turnsAway.entries()) {
-			pool[index].turnsAway = each;
+			pool[index].refusalPolicy = each;
 		}
 
 		servers.set(kind, pool);
@@ -58,7 +58,7 @@
 
 /** Loads all pools at once. */
 async function loadAll(hosts: readonly RunningEntry[], forMs = loadMs) {
-	return Promise.all(kinds.map(async ({makeCall, perS}) => load(hosts, patient(makeCall), perS, forMs)));
+	return Promise.all(kinds.map(async ({makeCall, perS}) => load(hosts, withLongDeadline(makeCall), perS, forMs)));
 }
 
 t.test('an upstream that refuses draws no requests, and none of their callers is refused', async t => {
@@ -66,12 +66,12 @@
 		t.test(`one of four refuses ${share} of its requests`, async t => {
 			const {servers, hosts} = await makePools(t, [{share}]);
 			for (const answers of await loadAll(hosts)) {
-				areServed(t, answers);
+				assertServed(t, answers);
 			}
 
 			if (share === 1) {
 				for (const [kind, [refusing]] of servers) {
-					isSeldomTried(t, refusing, kind, {forMs: loadMs, beganMs: 0});
+					assertSeldomTried(t, refusing, kind, {forMs: loadMs, beganMs: 0});
 				}
 			}
 		});
@@ -80,29 +80,29 @@
 	t.test('two of four refuse all; both get work again once they take it', async t => {
 		const {servers, hosts} = await makePools(t, [{share: 1}, {share: 1, retryAfter: '0'}]);
 		for (const answers of await loadAll(hosts, 2000)) {
-			areServed(t, answers);
+			assertServed(t, answers);
 		}
 
 		for (const server of [...servers.values()].flat()) {
-			server.turnsAway = undefined;
+			server.refusalPolicy = undefined;
 		}
 
-		await loadAll(hosts, backWithinMs - 1000);
+		await loadAll(hosts, recoveryMs - 1000);
 		// How requests spread over sound servers is not even. That they are no longer avoided shows where the others refuse: these draw no requests.
 		const beganMs = performance.now();
 		for (const pool of servers.values()) {
 			for (const other of pool.slice(2)) {
-				other.turnsAway = {share: 1};
+				other.refusalPolicy = {share: 1};
 			}
 		}
 
-		for (const answers of await loadAll(hosts, againMs)) {
-			areServed(t, answers);
+		for (const answers of await loadAll(hosts, secondLoadMs)) {
+			assertServed(t, answers);
 		}
 
 		for (const [kind, pool] of servers) {
 			for (const other of pool.slice(2)) {
-				isSeldomTried(t, other, kind, {forMs: againMs, beganMs});
+				assertSeldomTried(t, other, kind, {forMs: secondLoadMs, beganMs});
 			}
 		}
 	});
--- a/test/platform/resting-server.test.ts
+++ b/test/platform/server-backoff.test.ts
@@ -9,84 +9,84 @@
 import t, {type Test} from 'tap';
 import {configOf} from './direct-harness.js';
 import {
-	addHosts, areServed, atNextRequest, load, makeFleet, makePatientFleet, patient, plainCall, stepsCall, streamOf,
+	addHosts, assertServed, atNextRequest, load, makeFleet, makeLongTimeoutFleet, withLongDeadline, plainCall, stepsCall, streamOf,
 } from './direct-load.js';
-import type {ServerStandin} from './upstream-standins.js';
+import type {ServerStandin} from './server-standin.js';
 
 /** What was under way when the answer came does not count. */
 const graceMs = 500;
-const mostDuringRest = 2;
+const maxDuringBackoff = 2;
 /** Calls of steps wait while all workers rest: what comes in this time keeps them busy for much longer. */
 const stepsLoadMs = 2000;
 
-function isLeftAlone(t: Test, server: ServerStandin): void {
+function assertBackoffRespected(t: Test, server: ServerStandin): void {
 	t.ok(server.refusals.length > 0, `${server.serverId} has asked for rest`);
-	const most = server.mostDuringRest(graceMs);
-	t.ok(most <= mostDuringRest, `${server.serverId}: ${most} from one host while it rests, allowed ${mostDuringRest}`);
+	const maxCount = server.maxDuringBackoff(graceMs);
+	t.ok(maxCount <= maxDuringBackoff, `${server.serverId}: ${maxCount} from one host while it rests, allowed ${maxDuringBackoff}`);
 }
 
 t.test('an upstream that asks for rest', async t => {
 	for (const [what, turnsAway] of [['all', {share: 1, retryAfter: '3'}], ['three in ten', {share: 0.3, retryAfter: '1.5'}]] as const) {
 		t.test(`as it turns ${what} away is left alone by that host, for each kind of call; others serve the rest`, async t => {
-			const fleet = await makePatientFleet(t);
+			const fleet = await makeLongTimeoutFleet(t);
 			const pools = [await fleet.addServers('plain', 4, 20), await fleet.addServers('model', 4), await fleet.addServers('stage', 3)];
 			const hosts = await addHosts(fleet, 3);
-			const loads = [load(hosts, patient(plainCall), 40), load(hosts, patient(streamOf), 20), load(hosts, patient(stepsCall), 10, stepsLoadMs)];
+			const loads = [load(hosts, withLongDeadline(plainCall), 40), load(hosts, withLongDeadline(streamOf), 20), load(hosts, withLongDeadline(stepsCall), 10, stepsLoadMs)];
 			await sleep(500);
 			for (const server of pools[2]) {
 				// Steps go to any worker that is free: each of them rests now and then.
-				server.turnsAway = {...turnsAway, share: turnsAway.share / 2};
+				server.refusalPolicy = {...turnsAway, share: turnsAway.share / 2};
 			}
 
-			const resting = await Promise.all(pools.map(async servers => {
+			const refusing = await Promise.all(pools.map(async servers => {
 				const server = await atNextRequest(servers, next => {
-					next.turnsAway = {...turnsAway, share: 1};
+					next.refusalPolicy = {...turnsAway, share: 1};
 				});
-				server.turnsAway = turnsAway;
+				server.refusalPolicy = turnsAway;
 				return server;
 			}));
 			const answers = await Promise.all(loads);
-			for (const server of new Set([...resting, ...pools[2].filter(({refusals}) => refusals.length > 0)])) {
-				isLeftAlone(t, server);
+			for (const server of new Set([...refusing, ...pools[2].filter(({refusals}) => refusals.length > 0)])) {
+				assertBackoffRespected(t, server);
 			}
 
 			// All workers of steps may rest at once.
-			areServed(t, answers.slice(0, 2).flat());
+			assertServed(t, answers.slice(0, 2).flat());
 		});
 	}
 
 	t.test('is used again once its rest is over', async t => {
 		const fleet = await makeFleet(t);
 		const [resting, other] = await fleet.addServers('plain', 2, 20);
-		resting.turnsAway = {share: 1, retryAfter: '1'};
+		resting.refusalPolicy = {share: 1, retryAfter: '1'};
 		const hosts = await addHosts(fleet, 3);
 		await load(hosts, plainCall, 60, 1000);
-		resting.turnsAway = undefined;
+		resting.refusalPolicy = undefined;
 		await load(hosts, plainCall, 60, 2000);
 		// How requests spread over sound servers is not even. That it is used shows where nobody else takes work.
-		other.turnsAway = {share: 1};
-		areServed(t, await load(hosts, plainCall, 60, 1000));
+		other.refusalPolicy = {share: 1};
+		assertServed(t, await load(hosts, plainCall, 60, 1000));
 	});
 
 	t.test('beside others that all do leaves callers a quick refusal, and is used once it takes work again', async t => {
 		const fleet = await makeFleet(t);
 		const servers = await fleet.addServers('plain', 3, 20);
 		for (const server of servers) {
-			server.turnsAway = {share: 1, retryAfter: '2'};
+			server.refusalPolicy = {share: 1, retryAfter: '2'};
 		}
 
 		const hosts = await addHosts(fleet, 3);
 		const refused = await load(hosts, plainCall, 40, 1500);
 		for (const server of servers) {
-			isLeftAlone(t, server);
-			server.turnsAway = undefined;
+			assertBackoffRespected(t, server);
+			server.refusalPolicy = undefined;
 		}
 
 		t.ok(refused.every(({status}) => status === 503));
 		t.ok(refused.every(({text}) => text.startsWith('Not run: ')));
 		t.ok(refused.every(({headers}) => /^[\d.]+$/v.test(String(headers['retry-after']))));
 		await sleep(2500);
-		areServed(t, await load(hosts, plainCall, 40, 500));
+		assertServed(t, await load(hosts, plainCall, 40, 500));
 	});
 
 	t.test('leaves its route the other pool that it has', async t => {
@@ -100,7 +100,7 @@
 		});
 		const [resting] = await fleet.addServers('plain', 1, 20);
 		await fleet.addServers('spare', 1, 20);
-		resting.turnsAway = {share: 1, retryAfter: '60'};
+		resting.refusalPolicy = {share: 1, retryAfter: '60'};
 		const [host] = await addHosts(fleet, 1);
 		const answers = await load([host], plainCall, 40, 1000);
 		t.equal(resting.refusals.length, 1);
@@ -109,26 +109,26 @@
 
 	t.test('in words that can\'t be read costs nothing but a line', async t => {
 		const fleet = await makeFleet(t);
-		const strange = ['abc', '-3', 'Wed, 21 Oct 2026 07:28:00 GMT', '', '1,2', '1e9', '0x10', 'Infinity'];
-		const servers = await fleet.addServers('plain', strange.length + 4, 20);
-		for (const [index, retryAfter] of strange.entries()) {
-			servers[index].turnsAway = {share: 0.1, retryAfter};
+		const malformed = ['abc', '-3', 'Wed, 21 Oct 2026 07:28:00 GMT', '', '1,2', '1e9', '0x10', 'Infinity'];
+		const servers = await fleet.addServers('plain', malformed.length + 4, 20);
+		for (const [index, retryAfter] of malformed.entries()) {
+			servers[index].refusalPolicy = {share: 0.1, retryAfter};
 		}
 
 		const [host] = await addHosts(fleet, 1);
 		const answers = await load([host], plainCall, 60, 2000);
-		areServed(t, answers);
+		assertServed(t, answers);
 		for (const server of servers) {
-			const told = host.lines.filter(line => line.includes('asks for a rest that can\'t be read') && line.includes(`"${server.serverId}"`));
-			t.equal(told.length, Math.min(1, server.refusals.length), 'lines of one upstream');
+			const logged = host.lines.filter(line => line.includes('asks for a rest that can\'t be read') && line.includes(`"${server.serverId}"`));
+			t.equal(logged.length, Math.min(1, server.refusals.length), 'lines of one upstream');
 		}
 	});
 
 	t.test('for longer than anybody can wait, or for none, is taken at its word', async t => {
 		const fleet = await makeFleet(t);
 		const [long, none] = await fleet.addServers('plain', 3, 20);
-		long.turnsAway = {share: 1, retryAfter: '9'.repeat(400)};
-		none.turnsAway = {share: 1, retryAfter: '0'};
+		long.refusalPolicy = {share: 1, retryAfter: '9'.repeat(400)};
+		none.refusalPolicy = {share: 1, retryAfter: '0'};
 		const [host] = await addHosts(fleet, 1);
 		await load([host], plainCall, 40, 2500);
 		t.equal(long.refusals.length, 1);
--- a/test/platform/server-limit.test.ts
+++ b/test/platform/server-limit.test.ts
@@ -8,22 +8,22 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
 import {
-	addHosts, areServed, countServed, load, makeFleet, plainCall, stepsCall, streamOf,
+	addHosts, assertServed, countServed, load, makeFleet, plainCall, stepsCall, streamOf,
 } from './direct-load.js';
-import type {ServerStandin} from './upstream-standins.js';
+import type {ServerStandin} from './server-standin.js';
 
 /** The span over which arrivals are counted, and what is allowed in it: one and a half times the limit, and 5 besides. */
 const spanMs = 4000;
-const mostOf = (limitPerS: number) => (1.5 * limitPerS * (spanMs / 1000)) + 5;
+const maxArrivalsAt = (limitPerS: number) => (1.5 * limitPerS * (spanMs / 1000)) + 5;
 /** All hosts heed a limit this long after an answer named it first. */
-const heededMs = 1000;
+const appliedWithinMs = 1000;
 
 /** Most arrivals in the span, from when all hosts heed the limit. */
-const mostHeeded = (server: ServerStandin) => server.mostWithin(spanMs, (server.arrivedMs.at(0) ?? 0) + heededMs);
+const maxArrivalsOf = (server: ServerStandin) => server.maxWithin(spanMs, (server.arrivedMs.at(0) ?? 0) + appliedWithinMs);
 
-function isWithin(t: Test, server: ServerStandin, limitPerS: number): void {
-	const most = mostHeeded(server);
-	t.ok(most <= mostOf(limitPerS), `${server.serverId}: ${most} in 4 s, allowed ${mostOf(limitPerS)}`);
+function assertWithinLimit(t: Test, server: ServerStandin, limitPerS: number): void {
+	const maxCount = maxArrivalsOf(server);
+	t.ok(maxCount <= maxArrivalsAt(limitPerS), `${server.serverId}: ${maxCount} in 4 s, allowed ${maxArrivalsAt(limitPerS)}`);
 }
 
 t.test('an upstream that names a limit', async t => {
@@ -36,11 +36,11 @@
 		const hosts = await addHosts(fleet, 3);
 		const [calls, streams] = await Promise.all([load(hosts, plainCall, 40), load(hosts, streamOf, 30)]);
 		for (const server of [plain, engine]) {
-			isWithin(t, server, 1);
+			assertWithinLimit(t, server, 1);
 			t.ok(server.arrivedMs.length > 0);
 		}
 
-		areServed(t, [...calls, ...streams]);
+		assertServed(t, [...calls, ...streams]);
 	});
 
 	t.test('gets no more calls of steps and releases than it names', async t => {
@@ -49,8 +49,8 @@
 		const [worker] = await fleet.addServers('stage', 3);
 		worker.limit = '2';
 		const answers = await load(await addHosts(fleet, 3), stepsCall, 20);
-		isWithin(t, worker, 2);
-		areServed(t, answers);
+		assertWithinLimit(t, worker, 2);
+		assertServed(t, answers);
 	});
 
 	t.test('gets no more from a host that starts amid it', async t => {
@@ -59,12 +59,12 @@
 		limited.limit = '1';
 		const hosts = await addHosts(fleet, 2);
 		const before = load(hosts, streamOf, 30);
-		await sleep(heededMs);
+		await sleep(appliedWithinMs);
 		const late = await fleet.addReadyEntry();
 		const after = load([late], streamOf, 30, spanMs);
-		isWithin(t, limited, 1);
-		areServed(t, [...await before, ...await after]);
-		isWithin(t, limited, 1);
+		assertWithinLimit(t, limited, 1);
+		assertServed(t, [...await before, ...await after]);
+		assertWithinLimit(t, limited, 1);
 	});
 
 	t.test('beside others that do serves what it names; the rest is refused at once, as not run', async t => {
@@ -76,8 +76,8 @@
 
 		const answers = await load(await addHosts(fleet, 3), plainCall, 40);
 		for (const server of servers) {
-			isWithin(t, server, 2);
-			t.ok(mostHeeded(server) >= 4, `${mostHeeded(server)} in 4 s: half of what it names at least`);
+			assertWithinLimit(t, server, 2);
+			t.ok(maxArrivalsOf(server) >= 4, `${maxArrivalsOf(server)} in 4 s: half of what it names at least`);
 		}
 
 		const refused = answers.filter(({status}) => status === 503);
@@ -98,7 +98,7 @@
 		const before = limited.arrivedMs.length;
 		const isBack = () => limited.arrivedMs.length > before + 60;
 		for (let round = 0; round < 15 && !isBack(); round++) {
-			areServed(t, await load(hosts, streamOf, 30, 1000));
+			assertServed(t, await load(hosts, streamOf, 30, 1000));
 		}
 
 		t.ok(isBack(), 'it gets work as before');
@@ -107,17 +107,17 @@
 	t.test('that can\'t be read costs nothing but a line', async t => {
 		const fleet = await makeFleet(t);
 		const servers = await fleet.addServers('plain', 9);
-		const strange = ['abc', '-3', 'NaN', '9'.repeat(400), '', '1,2', '1e999', '0x10', 'Infinity'];
+		const malformed = ['abc', '-3', 'NaN', '9'.repeat(400), '', '1,2', '1e999', '0x10', 'Infinity'];
 		for (const [index, server] of servers.entries()) {
-			server.limit = strange[index];
+			server.limit = malformed[index];
 		}
 
 		const [host] = await addHosts(fleet, 1);
 		const answers = await load([host], plainCall, 60, 2000);
 		t.equal(countServed(answers), answers.length);
 		for (const server of servers) {
-			const told = host.lines.filter(line => line.includes('names a limit that can\'t be read') && line.includes(`"${server.serverId}"`));
-			t.equal(told.length, Math.min(1, server.arrivedMs.length), 'lines of one upstream');
+			const logged = host.lines.filter(line => line.includes('names a limit that can\'t be read') && line.includes(`"${server.serverId}"`));
+			t.equal(logged.length, Math.min(1, server.arrivedMs.length), 'lines of one upstream');
 		}
 	});
 });
@@ -132,19 +132,19 @@
 
 		const workers = await fleet.addServers('stage', 3);
 		const hosts = await addHosts(fleet, 3);
-		await load(hosts, stepsCall, 24, heededMs);
+		await load(hosts, stepsCall, 24, appliedWithinMs);
 		const ids: string[] = [];
 		const answers = await load(hosts, id => {
 			ids.push(id);
 			return stepsCall(id);
 		}, 24);
-		const begun = new Set(workers.flatMap(({stageCalls}) => stageCalls.flat().map(({instanceId}) => instanceId)));
-		const inVain = ids.filter((id, index) => answers[index].status !== 200 && begun.has(id));
-		t.same(inVain, [], 'requests that were refused after their steps');
-		const used = engines.reduce((sum, engine) => sum + mostHeeded(engine), 0);
+		const startedIds = new Set(workers.flatMap(({stageCalls}) => stageCalls.flat().map(({instanceId}) => instanceId)));
+		const refusedAfterSteps = ids.filter((id, index) => answers[index].status !== 200 && startedIds.has(id));
+		t.same(refusedAfterSteps, [], 'requests that were refused after their steps');
+		const used = engines.reduce((sum, engine) => sum + maxArrivalsOf(engine), 0);
 		t.ok(used >= 18, `${used} in 4 s, of 24 that the limits allow`);
 		for (const engine of engines) {
-			isWithin(t, engine, 2);
+			assertWithinLimit(t, engine, 2);
 		}
 	});
 });
--- a/test/platform/server-restart.test.ts
+++ b/test/platform/server-restart.test.ts
@@ -1,9 +1,9 @@
 /** A server that starts again under the id that it had, before real entries: nothing of its earlier life counts. */
 import t, {type Test} from 'tap';
 import {
-	ask, DirectFleet, until, type RunningEntry,
+	sendRequest, DirectFleet, waitUntil, type RunningEntry,
 } from './direct-harness.js';
-import {ServerStandin} from './upstream-standins.js';
+import {ServerStandin} from './server-standin.js';
 
 /** A fleet with one server that tells when it started, and an entry that has met it. */
 async function makeFleet(t: Test, pool: string) {
@@ -14,7 +14,7 @@
 	const [first] = await fleet.addServers(pool, 1);
 	fleet.store.put('servers', first.serverId, {...first.entry(pool), born: 1000});
 	const entry = await fleet.addEntry();
-	await until(() => hasLine(entry, `"${first.serverId}@1000"`));
+	await waitUntil(() => hasLine(entry, `"${first.serverId}@1000"`));
 	return {fleet, first, entry};
 }
 
@@ -23,28 +23,28 @@
 }
 
 /** The server starts again, at another address. */
-async function startAgain(t: Test, {fleet, entry}: {readonly fleet: DirectFleet; readonly entry: RunningEntry}, {serverId}: ServerStandin, pool: string): Promise<ServerStandin> {
-	const again = await ServerStandin.create(serverId);
+async function restart(t: Test, {fleet, entry}: {readonly fleet: DirectFleet; readonly entry: RunningEntry}, {serverId}: ServerStandin, pool: string): Promise<ServerStandin> {
+	const restarted = await ServerStandin.create(serverId);
 	t.teardown(() => {
-		again.dispose();
+		restarted.dispose();
 	});
-	fleet.store.put('servers', serverId, {...again.entry(pool), born: 2000});
-	await until(() => hasLine(entry, `"${serverId}@2000"`, '"joined"'));
-	return again;
+	fleet.store.put('servers', serverId, {...restarted.entry(pool), born: 2000});
+	await waitUntil(() => hasLine(entry, `"${serverId}@2000"`, '"joined"'));
+	return restarted;
 }
 
 t.test('a later start is served though the one before was leaving, and no late entry brings that one back', async t => {
 	const {fleet, first, entry} = await makeFleet(t, 'plain');
 	fleet.store.put('servers', first.serverId, {...first.entry('plain', 'draining'), born: 1000});
-	await until(() => hasLine(entry, '"leaving"'));
-	t.equal((await ask(entry, {path: '/look/x', id: 'a', deadlineMs: 300})).status, 503);
-	const again = await startAgain(t, {fleet, entry}, first, 'plain');
-	t.equal((await ask(entry, {path: '/look/x', id: 'b'})).status, 200);
+	await waitUntil(() => hasLine(entry, '"leaving"'));
+	t.equal((await sendRequest(entry, {path: '/look/x', id: 'a', deadlineMs: 300})).status, 503);
+	const again = await restart(t, {fleet, entry}, first, 'plain');
+	t.equal((await sendRequest(entry, {path: '/look/x', id: 'b'})).status, 200);
 	t.same(again.seen.map(({headers}) => headers['expect-instance']), [first.serverId], 'it is called by the id that it tells');
 	fleet.store.put('servers', first.serverId, {...first.entry('plain'), born: 1000});
 	fleet.store.put('servers', 'other', {...again.entry('none'), born: 1});
-	await until(() => hasLine(entry, '"other@1"'));
-	t.equal((await ask(entry, {path: '/look/x', id: 'c'})).status, 200);
+	await waitUntil(() => hasLine(entry, '"other@1"'));
+	t.equal((await sendRequest(entry, {path: '/look/x', id: 'c'})).status, 200);
 	t.equal(again.seen.length, 2);
 	t.equal(first.seen.length, 0);
 });
--- a/test/platform/upstream-standins.ts
+++ b/test/platform/server-standin.ts
@@ -8,7 +8,7 @@
 export type SeenRequest = {readonly id: string; readonly method: string; readonly path: string; readonly headers: IncomingMessage['headers']; readonly body: string};
 
 /** Which requests a server turns away as not run. */
-export type TurnAway = {
+export type RefusalPolicy = {
 	/** Part of its requests. */
 	readonly share: number;
 	/** Value of the answers' `Retry-After`; none where absent. */
@@ -49,7 +49,7 @@
 const eventCount = 5;
 
 /** Half an answer, and the end of its connection. */
-async function breakOff(request: IncomingMessage, id: string, fault: Fault): Promise<void> {
+async function sendPartialResponse(request: IncomingMessage, id: string, fault: Fault): Promise<void> {
 	const framing = fault.startsWith('chunked') ? 'Transfer-Encoding: chunked\r\nConnection: close\r\n' : '';
 	const body = framing === '' ? 'half of it' : 'a\r\nhalf of it\r\n';
 	request.socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Stamp: s\r\n${framing}\r\n${body}`);
@@ -76,22 +76,22 @@
 	*/
 	static async create(serverId: string, stepMs = 2, hall = 'hall-a'): Promise<ServerStandin> {
 		const standin = new ServerStandin(serverId, stepMs, hall);
-		standin.server = await StandinServer.create(async (request, response) => standin.answer(request, response));
+		standin.server = await StandinServer.create(async (request, response) => standin.handleRequest(request, response));
 		return standin;
 	}
 
 	fault: Fault = 'none';
 	/** A request with this body ends the server as soon as it runs; nothing listens at its address from then on. */
-	endsOnBody: string | undefined;
+	crashesOnBody: string | undefined;
 	/** The same for a call of stage work with a piece of this key. */
-	endsOnPieceKey: string | undefined;
-	hasEnded = false;
+	crashesOnPieceKey: string | undefined;
+	hasCrashed = false;
 	readonly seen: SeenRequest[] = [];
 	/** Calls of stage work, each with its pieces. */
 	readonly stageCalls: Array<ReadonlyArray<Record<string, unknown>>> = [];
-	readonly freed: string[] = [];
+	readonly releasedResults: string[] = [];
 	/** While it is cold, it ends once more requests than this come within a second. */
-	mostWhileCold = Infinity;
+	maxPerSecondWhileCold = Infinity;
 	/** How much longer it is cold, as its entry tells. */
 	coldLeftMs = 0;
 	/** What all its answers name as the requests a second that it takes from all hosts together. */
@@ -99,23 +99,23 @@
 	/** When requests came, those it rejects included. */
 	readonly arrivedMs: number[] = [];
 	/** Which requests it turns away, releases of results included. */
-	turnsAway: TurnAway | undefined;
+	refusalPolicy: RefusalPolicy | undefined;
 	/** Requests that it turned away. */
 	readonly refusals: Refusal[] = [];
 	/** Called with each request that comes, before it is looked at. */
 	onArrival: (() => void) | undefined;
 	/** When an answer first said that it leaves. */
-	saidLeavingMs: number | undefined;
+	leavingReportedMs: number | undefined;
 	/** Calls of stage work are answered once this has ended. */
 	stageGate: Promise<void> | undefined;
 	/** Requests whose connection closed before their answer was whole. */
-	closedEarly = 0;
+	closedEarlyCount = 0;
 	private isLeaving = false;
 	/** When requests came, by the host that sent them. */
-	private readonly arrivedFromMs: Array<{readonly host: string; readonly atMs: number}> = [];
-	private awayShare = 0;
+	private readonly arrivals: Array<{readonly host: string; readonly atMs: number}> = [];
+	private accumulatedShare = 0;
 	private server!: StandinServer;
-	private results = 0;
+	private resultCount = 0;
 
 	private constructor(readonly serverId: string, private readonly stepMs: number, readonly hall: string) {}
 
@@ -131,8 +131,8 @@
 	}
 
 	/** Most requests that came within any one second. */
-	get mostInOneSecond(): number {
-		return this.mostWithin(1000, -Infinity);
+	get maxInOneSecond(): number {
+		return this.maxWithin(1000, -Infinity);
 	}
 
 	/**
@@ -140,7 +140,7 @@
 	@param spanMs - its length.
 	@param sinceMs - what came before does not count.
 	*/
-	mostWithin(spanMs: number, sinceMs: number): number {
+	maxWithin(spanMs: number, sinceMs: number): number {
 		const countedMs = this.arrivedMs.filter(atMs => atMs >= sinceMs);
 		return Math.max(0, ...countedMs.map(startMs => countedMs.filter(atMs => atMs >= startMs && atMs < startMs + spanMs).length));
 	}
@@ -149,16 +149,16 @@
 	Tells how many requests came at most from one host while it had been asked for rest.
 	@param graceMs - the rest counts from this long after the answer that asked for it.
 	*/
-	mostDuringRest(graceMs: number): number {
+	maxDuringBackoff(graceMs: number): number {
 		const counts = this.refusals.map(({host, atMs, untilMs}) => {
-			const arrivals = this.arrivedFromMs.filter(arrived => arrived.host === host);
+			const arrivals = this.arrivals.filter(arrived => arrived.host === host);
 			return arrivals.filter(arrived => arrived.atMs > atMs + graceMs && arrived.atMs < untilMs).length;
 		});
 		return Math.max(0, ...counts);
 	}
 
 	/** From now on all its answers say that it leaves; its entry in the store stays as it is. */
-	leave(): void {
+	reportLeaving(): void {
 		this.isLeaving = true;
 	}
 
@@ -166,41 +166,41 @@
 		this.server.dispose();
 	}
 
-	private end(): void {
-		this.hasEnded = true;
+	private crash(): void {
+		this.hasCrashed = true;
 		this.dispose();
 	}
 
-	private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const body = new TextDecoder().decode(await readBody(request));
 		const path = request.url ?? '';
 		const nowMs = performance.now();
 		const host = hostOf(request);
 		this.arrivedMs.push(nowMs);
-		this.arrivedFromMs.push({host, atMs: nowMs});
+		this.arrivals.push({host, atMs: nowMs});
 		this.onArrival?.();
 		if (this.limit !== undefined) {
 			response.setHeader('server-limit', this.limit);
 		}
 
 		if (this.isLeaving) {
-			this.saidLeavingMs ??= performance.now();
+			this.leavingReportedMs ??= performance.now();
 			response.setHeader('server-leaving', '1');
 		}
 
-		if (this.coldLeftMs > 0 && this.mostInOneSecond > this.mostWhileCold) {
-			this.end();
+		if (this.coldLeftMs > 0 && this.maxInOneSecond > this.maxPerSecondWhileCold) {
+			this.crash();
 			return;
 		}
 
 		if (request.headers['expect-instance'] !== this.serverId) {
 			response.writeHead(421, {'instance-id': this.serverId}).end();
-		} else if (this.isTurnedAway()) {
-			this.turnAway(request, response, {host, nowMs});
+		} else if (this.shouldRefuse()) {
+			this.refuse(request, response, {host, nowMs});
 		} else if (path === '/v1/stage-run') {
 			await this.stageRun(body, response);
 		} else if (path === '/v1/stage-free') {
-			this.freed.push(...freeSchema.parse(JSON.parse(body)).sessions);
+			this.releasedResults.push(...freeSchema.parse(JSON.parse(body)).sessions);
 			sendJson(response, 200, {});
 		} else {
 			await this.serve(request, response, body);
@@ -208,17 +208,17 @@
 	}
 
 	/** The part that is turned away is spread evenly over the requests. */
-	private isTurnedAway(): boolean {
-		this.awayShare += this.turnsAway?.share ?? 0;
-		const isAway = this.awayShare >= 1;
-		this.awayShare -= isAway ? 1 : 0;
-		return isAway;
+	private shouldRefuse(): boolean {
+		this.accumulatedShare += this.refusalPolicy?.share ?? 0;
+		const isRefused = this.accumulatedShare >= 1;
+		this.accumulatedShare -= isRefused ? 1 : 0;
+		return isRefused;
 	}
 
-	private turnAway(request: IncomingMessage, response: ServerResponse, {host, nowMs}: {readonly host: string; readonly nowMs: number}): void {
-		const retryAfter = this.turnsAway?.retryAfter;
-		const restS = Number(retryAfter);
-		this.refusals.push({host, atMs: nowMs, untilMs: nowMs + (Number.isFinite(restS) ? restS * 1000 : 0)});
+	private refuse(request: IncomingMessage, response: ServerResponse, {host, nowMs}: {readonly host: string; readonly nowMs: number}): void {
+		const retryAfter = this.refusalPolicy?.retryAfter;
+		const backoffS = Number(retryAfter);
+		this.refusals.push({host, atMs: nowMs, untilMs: nowMs + (Number.isFinite(backoffS) ? backoffS * 1000 : 0)});
 		response.writeHead(503, {
 			'not-executed': '1', 'attempt-id': String(request.headers['attempt-id'] ?? ''), ...(retryAfter !== undefined && {'retry-after': retryAfter}),
 		}).end();
@@ -235,11 +235,11 @@
 			id, method: request.method ?? '', path: request.url ?? '', headers: request.headers, body,
 		});
 		response.on('close', () => {
-			this.closedEarly += response.writableFinished ? 0 : 1;
+			this.closedEarlyCount += response.writableFinished ? 0 : 1;
 		});
 		await sleep(this.stepMs);
-		if (body === this.endsOnBody) {
-			this.end();
+		if (body === this.crashesOnBody) {
+			this.crash();
 			return;
 		}
 
@@ -263,7 +263,7 @@
 			case 'unframedClose':
 			case 'chunkedReset':
 			case 'chunkedClose': {
-				await breakOff(request, id, this.fault);
+				await sendPartialResponse(request, id, this.fault);
 				break;
 			}
 
@@ -301,8 +301,8 @@
 		this.stageCalls.push(entries);
 		await this.stageGate;
 		await sleep(this.stepMs);
-		if (this.endsOnPieceKey !== undefined && entries.some(({tlsKey}) => tlsKey === this.endsOnPieceKey)) {
-			this.end();
+		if (this.crashesOnPieceKey !== undefined && entries.some(({tlsKey}) => tlsKey === this.crashesOnPieceKey)) {
+			this.crash();
 			return;
 		}
 
@@ -311,8 +311,8 @@
 				return {reason: 'gone'};
 			}
 
-			this.results++;
-			return {session: `${this.address}/${this.serverId}-${this.results}`};
+			this.resultCount++;
+			return {session: `${this.address}/${this.serverId}-${this.resultCount}`};
 		});
 		sendJson(response, 200, {entries: answer});
 	}
--- a/test/platform/slow-pool.test.ts
+++ b/test/platform/slow-pool.test.ts
@@ -7,13 +7,13 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import t from 'tap';
 import {
-	ask, DirectFleet, streamCall, type CallerAnswer, type RunningEntry,
+	sendRequest, DirectFleet, streamCall, type CallerResponse, type RunningEntry,
 } from './direct-harness.js';
 
 /** The harness declares 20 ms a call and 2 ms a piece. */
-const callTakesMs = 60;
+const callDurationMs = 60;
 const requestCount = 40;
-const everyMs = 100;
+const requestIntervalMs = 100;
 
 t.test('a pool whose workers all take three times as long as declared serves what is asked of it', async t => {
 	for (const hostCount of [1, 3]) {
@@ -22,18 +22,18 @@
 			fleet.dispose();
 		});
 		await fleet.addServers('model', 2);
-		await fleet.addServers('stage', 3, callTakesMs);
+		await fleet.addServers('stage', 3, callDurationMs);
 		const hosts: RunningEntry[] = [];
 		for (let index = 0; index < hostCount; index++) {
 			hosts.push(await fleet.addReadyEntry());
 		}
 
-		const answers: Array<Promise<CallerAnswer>> = [];
+		const answers: Array<Promise<CallerResponse>> = [];
 		for (let index = 0; index < requestCount; index++) {
-			answers.push(ask(hosts[index % hostCount], streamCall('/staged/1', {
+			answers.push(sendRequest(hosts[index % hostCount], streamCall('/staged/1', {
 				id: `q${index}`, deadlineMs: 3000, headers: {'chunk-count': '2,1', 'chunk-key': `k${index}`, 'prompt-prefix': `${index}a:10,bb:5`},
 			})));
-			await sleep(everyMs);
+			await sleep(requestIntervalMs);
 		}
 
 		const served = (await Promise.all(answers)).filter(({status}) => status === 200).length;
--- a/test/platform/store-standin.ts
+++ b/test/platform/store-standin.ts
@@ -4,7 +4,7 @@
 import {StandinServer, sendJson} from '../../src/standins/node/standin-server.js';
 
 type Row = {readonly tableName: string; readonly tlsKey: string; readonly val?: string; readonly verNum: number; readonly isGone?: boolean};
-type Held = {readonly table: string; readonly since: number; readonly response: ServerResponse; readonly timer: NodeJS.Timeout};
+type HeldCall = {readonly table: string; readonly since: number; readonly response: ServerResponse; readonly timer: NodeJS.Timeout};
 
 /** How the store behaves. */
 export type StoreMode = 'sound' | 'busy' | 'reset' | 'silent';
@@ -14,7 +14,7 @@
 	static async create(): Promise<StoreStandin> {
 		const store = new StoreStandin();
 		store.server = await StandinServer.create((request, response) => {
-			store.answer(request, response);
+			store.handleRequest(request, response);
 		});
 		return store;
 	}
@@ -23,9 +23,9 @@
 	callCount = 0;
 	private server!: StandinServer;
 	private readonly rows = new Map<string, Row>();
-	private readonly held = new Set<Held>();
+	private readonly held = new Set<HeldCall>();
 	private revision = 0;
-	private oldestKept = 0;
+	private oldestRevision = 0;
 
 	get port(): number {
 		return Number(new URL(this.server.origin).port);
@@ -46,7 +46,7 @@
 
 	/** Forgets all changes so far; held calls are told so. */
 	forgetHistory(): void {
-		this.oldestKept = this.revision;
+		this.oldestRevision = this.revision;
 		for (const held of this.held) {
 			this.release(held, 410, {});
 		}
@@ -74,7 +74,7 @@
 		}
 	}
 
-	private release(held: Held, status: number, body: unknown): void {
+	private release(held: HeldCall, status: number, body: unknown): void {
 		clearTimeout(held.timer);
 		this.held.delete(held);
 		sendJson(held.response, status, body);
@@ -85,7 +85,7 @@
 		return {rows, verNum: this.revision, nowMs: 0};
 	}
 
-	private answer(request: IncomingMessage, response: ServerResponse): void {
+	private handleRequest(request: IncomingMessage, response: ServerResponse): void {
 		this.callCount++;
 		switch (this.mode) {
 			case 'busy': {
@@ -121,12 +121,12 @@
 
 		const since = Number(url.searchParams.get('sinceRev'));
 		const now = this.changes(table, since);
-		if (since < this.oldestKept) {
+		if (since < this.oldestRevision) {
 			sendJson(response, 410, {});
 		} else if (now.rows.length > 0) {
 			sendJson(response, 200, now);
 		} else {
-			const held: Held = {
+			const held: HeldCall = {
 				table, since, response, timer: setTimeout(() => {
 					this.release(held, 200, this.changes(table, since));
 				}, Number(url.searchParams.get('waitMs'))),
