--- a/test/platform/direct-fleet.test.ts
+++ b/test/platform/direct-fleet.test.ts
@@ -67,10 +67,10 @@
 	const [model] = await fleet.addServers('model', 1);
 	const entry = await fleet.addReadyEntry();
 	model.fault = 'inputsGone';
-	const asked = sendRequest(entry, stagedCall('g1'));
+	const pending = sendRequest(entry, stagedCall('g1'));
 	await waitUntil(() => stage.stageCalls.flat().length > 3);
 	model.fault = 'none';
-	t.match(await asked, {status: 200, text: completeStream});
+	t.match(await pending, {status: 200, text: completeStream});
 });
 
 t.test('a newer declaration is in force, an older one never; keys and routes go with it', async t => {
@@ -168,9 +168,9 @@
 	const {callers} = entry;
 	const socket = connect(callers.port, callers.address);
 	t.teardown(() => socket.destroy());
-	let heard = '';
+	let received = '';
 	socket.on('data', bytes => {
-		heard += bytes.toString();
+		received += bytes.toString();
 	});
 	socket.write('GET /look/x HTTP/1.1\r\nHost: site.ex');
 	const stopped = entry.entry.lifecycle.stop();
@@ -183,8 +183,8 @@
 		}
 	});
 	socket.write('ample\r\nAttempt-Id: late\r\nAuthorization: Bearer key-1\r\n\r\n');
-	await waitUntil(() => heard.includes('\r\n\r\n'));
-	t.match(heard, /^HTTP\/1\.1 503 [\s\S]*retry-after/v);
+	await waitUntil(() => received.includes('\r\n\r\n'));
+	t.match(received, /^HTTP\/1\.1 503 [\s\S]*retry-after/v);
 	t.notOk(server.seen.some(({id}) => id === 'late'));
 	await stopped;
 	await held.catch(() => undefined);
@@ -210,10 +210,10 @@
 	stage.stageGate = new Promise(() => {
 		// It ends with the test.
 	});
-	const asked = sendRequest(entry, {...stagedCall('w1'), deadlineMs: 60_000}).catch(() => 'cut');
+	const pending = sendRequest(entry, {...stagedCall('w1'), deadlineMs: 60_000}).catch(() => 'cut');
 	await waitUntil(() => stage.stageCalls.length > 0);
 	await entry.entry.lifecycle.stop();
-	const answer = await asked;
+	const answer = await pending;
 	t.match(answer, {status: 503, isWhole: true});
 	t.match(answer, {headers: {'retry-after': /./v}});
 	t.equal(model.seen.length, 0);
@@ -243,10 +243,10 @@
 		stage.stageGate = new Promise(resolve => {
 			openGate = resolve;
 		});
-		const asked = sendRequest(entry, {...stagedCall(`x${index}`), signal: controller.signal});
+		const pending = sendRequest(entry, {...stagedCall(`x${index}`), signal: controller.signal});
 		await waitUntil(() => stage.stageCalls.length === index + 1);
 		controller.abort();
-		await t.rejects(asked);
+		await t.rejects(pending);
 		await waitUntil(() => entry.lines.some(line => line.includes('A request has ended.') && line.includes(`"x${index}"`)));
 		openGate();
 		await waitUntil(() => stage.releasedResults.length >= 2 * (index + 1));
--- a/test/platform/direct-requests.test.ts
+++ b/test/platform/direct-requests.test.ts
@@ -130,11 +130,11 @@
 		server.fault = 'cutStream';
 	}
 
-	const asked = sendRequest(entry, streamCall('/draft/x'));
+	const pending = sendRequest(entry, streamCall('/draft/x'));
 	await waitUntil(() => servers.some(server => server.seen.length > 0));
 	const [, other] = servers[0].seen.length > 0 ? servers : servers.toReversed();
 	other.fault = 'none';
-	t.match(await asked, {status: 200, text: completeStream, isWhole: true});
+	t.match(await pending, {status: 200, text: completeStream, isWhole: true});
 	t.equal(other.seen[0].headers['last-event-id'], '2');
 });
 
@@ -142,10 +142,10 @@
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	server.fault = 'silent';
 	const controller = new AbortController();
-	const asked = sendRequest(entry, {method: 'POST', path: '/book/x', signal: controller.signal});
+	const pending = sendRequest(entry, {method: 'POST', path: '/book/x', signal: controller.signal});
 	await waitUntil(() => server.seen.length === 1);
 	controller.abort();
-	await t.rejects(asked);
+	await t.rejects(pending);
 	await waitUntil(() => server.closedEarlyCount === 1);
 });
 
--- a/test/platform/fatal-request.test.ts
+++ b/test/platform/fatal-request.test.ts
@@ -53,7 +53,7 @@
 		entries.push(await fleet.addReadyEntry());
 	}
 
-	return {fleet, entries, crashCount: () => servers.filter(({hasCrashed: hasEnded}) => hasEnded).length};
+	return {fleet, entries, crashCount: () => servers.filter(({hasCrashed: hasCrashed}) => hasCrashed).length};
 }
 
 /** Waits until an entry knows of so many ends, if it ever does. */
@@ -121,7 +121,7 @@
 	}
 
 	const entries = [await fleet.addReadyEntry(), await fleet.addReadyEntry()];
-	const endedCount = () => servers.filter(({hasCrashed: hasEnded}) => hasEnded).length;
+	const crashCount = () => servers.filter(({hasCrashed: hasCrashed}) => hasCrashed).length;
 	const others: CallerResponse[] = [];
 	const answers: CallerResponse[] = [];
 	for (let index = 0; index < 4; index++) {
@@ -129,11 +129,11 @@
 		const concurrent = [0, 1].map(async other => sendRequest(entry, stagedCall(`other-${index}-${other}`, `harmless ${index} ${other}`)));
 		answers.push(await sendRequest(entry, stagedCall(`try-${index}`, fatalBody)));
 		others.push(...await Promise.all(concurrent));
-		const known = Math.min(endedCount(), maxCrashes);
+		const known = Math.min(crashCount(), maxCrashes);
 		await Promise.all(entries.map(async running => waitUntilKnown(running, known)));
 	}
 
-	t.ok(endedCount() <= maxCrashes, `${endedCount()} servers have ended`);
+	t.ok(crashCount() <= maxCrashes, `${crashCount()} servers have ended`);
 	t.match(answers.at(-1), {status: 503, text: /quarantine/v});
 	t.same(others.map(({status}) => status), others.map(() => 200));
 });
--- a/test/platform/hall-drain.test.ts
+++ b/test/platform/hall-drain.test.ts
@@ -68,12 +68,12 @@
 
 	t.test('a repeat of a request does not go to a hall that is drained', async t => {
 		const fleet = await makeFleet(t);
-		const [sound] = await fleet.addServers('plain', 1, 2, otherHall);
+		const [healthy] = await fleet.addServers('plain', 1, 2, otherHall);
 		const [other] = await fleet.addServers('plain', 1);
 		const entry = await fleet.addReadyEntry();
 		fleet.store.put('op', drainKey, {});
 		await waitForVersion(fleet, [entry], 2);
-		sound.fault = 'error';
+		healthy.fault = 'error';
 		t.equal((await sendRequest(entry, {path: '/look/x'})).status, 500);
 		t.equal(other.arrivedMs.length, 0);
 	});
@@ -121,7 +121,7 @@
 
 	t.test('a host that starts while the store is away learns of drained halls from a peer', async t => {
 		const fleet = await makeFleet(t);
-		const [sound] = await fleet.addServers('plain', 1, 2, otherHall);
+		const [healthy] = await fleet.addServers('plain', 1, 2, otherHall);
 		const [drained] = await fleet.addServers('plain', 1);
 		const first = await fleet.addReadyEntry();
 		fleet.store.put('op', drainKey, {});
@@ -134,7 +134,7 @@
 		}
 
 		t.equal(drained.arrivedMs.length, 0);
-		t.equal(sound.seen.length, 8);
+		t.equal(healthy.seen.length, 8);
 	});
 
 	t.test('a hall that was given back while the history was forgotten is used again', async t => {
@@ -158,7 +158,7 @@
 
 	t.test('strange rows about halls cost no more than themselves', async t => {
 		const fleet = await makeFleet(t);
-		const [sound] = await fleet.addServers('plain', 1, 2, otherHall);
+		const [healthy] = await fleet.addServers('plain', 1, 2, otherHall);
 		const [drained] = await fleet.addServers('plain', 1);
 		const entry = await fleet.addReadyEntry();
 		fleet.store.put('op', 'evacuate/nowhere', {});
@@ -171,7 +171,7 @@
 		}
 
 		t.equal(drained.arrivedMs.length, 0, 'the row is there: what it holds does not matter');
-		t.equal(sound.seen.length, 8);
+		t.equal(healthy.seen.length, 8);
 		t.equal(entry.lines.filter(line => line.includes('nowhere')).length, 1, 'one line tells of a hall that no server is in');
 	});
 });
--- a/test/platform/leaving-server.test.ts
+++ b/test/platform/leaving-server.test.ts
@@ -17,9 +17,9 @@
 const leavingWithinMs = 2000;
 
 function assertNothingMoreSent(t: Test, server: ServerStandin): void {
-	const saidMs = server.leavingReportedMs ?? Infinity;
-	t.ok(saidMs < Infinity, `${server.serverId} has said so`);
-	t.equal(server.arrivedMs.filter(atMs => atMs > saidMs + leavingWithinMs).length, 0, `calls to ${server.serverId} later than ${leavingWithinMs} ms`);
+	const reportedMs = server.leavingReportedMs ?? Infinity;
+	t.ok(reportedMs < Infinity, `${server.serverId} has said so`);
+	t.equal(server.arrivedMs.filter(atMs => atMs > reportedMs + leavingWithinMs).length, 0, `calls to ${server.serverId} later than ${leavingWithinMs} ms`);
 }
 
 t.test('an upstream that says in its answers that it leaves', async t => {
@@ -48,9 +48,9 @@
 		const begun = sendRequest(host, streamCall('/chat/1', {id: 'begun'}));
 		await sleep(300);
 		engine.reportLeaving();
-		const [first, told] = await Promise.all([begun, sendRequest(host, streamCall('/chat/1', {id: 'told'}))]);
+		const [first, second] = await Promise.all([begun, sendRequest(host, streamCall('/chat/1', {id: 'told'}))]);
 		t.equal(first.text, completeStream);
-		t.equal(told.text, completeStream);
+		t.equal(second.text, completeStream);
 	});
 
 	t.test('with all others of its pool leaves callers a quick refusal, and a new one is used as soon as it is listed', async t => {
--- a/test/platform/refusing-server.test.ts
+++ b/test/platform/refusing-server.test.ts
@@ -33,20 +33,20 @@
 ];
 
 /** A server that refuses all is tried once a second by each host after the first second; one host batches the steps of a pool. */
-function assertSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, beganMs}: {readonly forMs: number; readonly beganMs: number}): void {
-	const sinceMs = Math.max(beganMs, server.arrivedMs.find(atMs => atMs >= beganMs) ?? 0) + detectionMs;
+function assertSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, startMs: startMs}: {readonly forMs: number; readonly startMs: number}): void {
+	const sinceMs = Math.max(startMs, server.arrivedMs.find(atMs => atMs >= startMs) ?? 0) + detectionMs;
 	const count = server.arrivedMs.filter(atMs => atMs > sinceMs).length;
 	const maxCount = (forMs / 1000) * (pool === 'stage' ? 1 : hostCount);
 	t.ok(count <= maxCount, `${server.serverId} got ${count} after the first second, allowed ${maxCount}`);
 }
 
 /** Four servers for each kind of call, the first of which refuse. */
-async function makePools(t: Test, turnsAway: readonly RefusalPolicy[]) {
+async function makePools(t: Test, refusalPolicies: readonly RefusalPolicy[]) {
 	const fleet = await makeLongTimeoutFleet(t);
 	const servers = new Map<Kind, readonly ServerStandin[]>();
 	for (const kind of kinds) {
 		const pool = await fleet.addServers(kind.pool, 4, kind.stepMs);
-		for (const [index, each] of turnsAway.entries()) {
+		for (const [index, each] of refusalPolicies.entries()) {
 			pool[index].refusalPolicy = each;
 		}
 
@@ -71,7 +71,7 @@
 
 			if (share === 1) {
 				for (const [kind, [refusing]] of servers) {
-					assertSeldomTried(t, refusing, kind, {forMs: loadMs, beganMs: 0});
+					assertSeldomTried(t, refusing, kind, {forMs: loadMs, startMs: 0});
 				}
 			}
 		});
@@ -89,7 +89,7 @@
 
 		await loadAll(hosts, recoveryMs - 1000);
 		// How requests spread over sound servers is not even. That they are no longer avoided shows where the others refuse: these draw no requests.
-		const beganMs = performance.now();
+		const startMs = performance.now();
 		for (const pool of servers.values()) {
 			for (const other of pool.slice(2)) {
 				other.refusalPolicy = {share: 1};
@@ -102,7 +102,7 @@
 
 		for (const [kind, pool] of servers) {
 			for (const other of pool.slice(2)) {
-				assertSeldomTried(t, other, kind, {forMs: secondLoadMs, beganMs});
+				assertSeldomTried(t, other, kind, {forMs: secondLoadMs, startMs: startMs});
 			}
 		}
 	});
--- a/test/platform/server-backoff.test.ts
+++ b/test/platform/server-backoff.test.ts
@@ -26,7 +26,7 @@
 }
 
 t.test('an upstream that asks for rest', async t => {
-	for (const [what, turnsAway] of [['all', {share: 1, retryAfter: '3'}], ['three in ten', {share: 0.3, retryAfter: '1.5'}]] as const) {
+	for (const [what, refusalPolicy] of [['all', {share: 1, retryAfter: '3'}], ['three in ten', {share: 0.3, retryAfter: '1.5'}]] as const) {
 		t.test(`as it turns ${what} away is left alone by that host, for each kind of call; others serve the rest`, async t => {
 			const fleet = await makeLongTimeoutFleet(t);
 			const pools = [await fleet.addServers('plain', 4, 20), await fleet.addServers('model', 4), await fleet.addServers('stage', 3)];
@@ -35,14 +35,14 @@
 			await sleep(500);
 			for (const server of pools[2]) {
 				// Steps go to any worker that is free: each of them rests now and then.
-				server.refusalPolicy = {...turnsAway, share: turnsAway.share / 2};
+				server.refusalPolicy = {...refusalPolicy, share: refusalPolicy.share / 2};
 			}
 
 			const refusing = await Promise.all(pools.map(async servers => {
 				const server = await atNextRequest(servers, next => {
-					next.refusalPolicy = {...turnsAway, share: 1};
+					next.refusalPolicy = {...refusalPolicy, share: 1};
 				});
-				server.refusalPolicy = turnsAway;
+				server.refusalPolicy = refusalPolicy;
 				return server;
 			}));
 			const answers = await Promise.all(loads);
@@ -57,11 +57,11 @@
 
 	t.test('is used again once its rest is over', async t => {
 		const fleet = await makeFleet(t);
-		const [resting, other] = await fleet.addServers('plain', 2, 20);
-		resting.refusalPolicy = {share: 1, retryAfter: '1'};
+		const [refusing, other] = await fleet.addServers('plain', 2, 20);
+		refusing.refusalPolicy = {share: 1, retryAfter: '1'};
 		const hosts = await addHosts(fleet, 3);
 		await load(hosts, plainCall, 60, 1000);
-		resting.refusalPolicy = undefined;
+		refusing.refusalPolicy = undefined;
 		await load(hosts, plainCall, 60, 2000);
 		// How requests spread over sound servers is not even. That it is used shows where nobody else takes work.
 		other.refusalPolicy = {share: 1};
@@ -98,12 +98,12 @@
 			routes: config.routes.map(({backend, ...route}) => route.name === 'look' ? {...route, trafficSplit} : {...route, backend}),
 			backends: [...config.backends, {name: 'spare', maxConns: 50}],
 		});
-		const [resting] = await fleet.addServers('plain', 1, 20);
+		const [refusing] = await fleet.addServers('plain', 1, 20);
 		await fleet.addServers('spare', 1, 20);
-		resting.refusalPolicy = {share: 1, retryAfter: '60'};
+		refusing.refusalPolicy = {share: 1, retryAfter: '60'};
 		const [host] = await addHosts(fleet, 1);
 		const answers = await load([host], plainCall, 40, 1000);
-		t.equal(resting.refusals.length, 1);
+		t.equal(refusing.refusals.length, 1);
 		t.ok(answers.filter(({status}) => status !== 200).length <= 1, 'only the caller that was refused before the rest was known');
 	});
 
@@ -126,12 +126,12 @@
 
 	t.test('for longer than anybody can wait, or for none, is taken at its word', async t => {
 		const fleet = await makeFleet(t);
-		const [long, none] = await fleet.addServers('plain', 3, 20);
-		long.refusalPolicy = {share: 1, retryAfter: '9'.repeat(400)};
-		none.refusalPolicy = {share: 1, retryAfter: '0'};
+		const [unboundedBackoff, zeroBackoff] = await fleet.addServers('plain', 3, 20);
+		unboundedBackoff.refusalPolicy = {share: 1, retryAfter: '9'.repeat(400)};
+		zeroBackoff.refusalPolicy = {share: 1, retryAfter: '0'};
 		const [host] = await addHosts(fleet, 1);
 		await load([host], plainCall, 40, 2500);
-		t.equal(long.refusals.length, 1);
-		t.ok(none.refusals.length > 1);
+		t.equal(unboundedBackoff.refusals.length, 1);
+		t.ok(zeroBackoff.refusals.length > 1);
 	});
 });
