--- a/test/platform/fatal-request.test.ts
+++ b/test/platform/fatal-request.test.ts
@@ -53,7 +53,7 @@
 		entries.push(await fleet.addReadyEntry());
 	}
 
-	return {fleet, entries, crashCount: () => servers.filter(({hasCrashed: hasCrashed}) => hasCrashed).length};
+	return {fleet, entries, crashCount: () => servers.filter(({hasCrashed}) => hasCrashed).length};
 }
 
 /** Waits until an entry knows of so many ends, if it ever does. */
@@ -65,7 +65,7 @@
 }
 
 /** Asks for the same again and again, at the entries in turn; each knows of the ends before the next one is asked. */
-async function sendRepeatedly({entries, crashCount: crashCount}: Fleet, call: Call, attempts: number): Promise<CallerResponse[]> {
+async function sendRepeatedly({entries, crashCount}: Fleet, call: Call, attempts: number): Promise<CallerResponse[]> {
 	const answers: CallerResponse[] = [];
 	for (let index = 0; index < attempts; index++) {
 		answers.push(await sendRequest(entries[index % entries.length], callOf(call, `try-${index}`, fatalBody)));
@@ -121,7 +121,7 @@
 	}
 
 	const entries = [await fleet.addReadyEntry(), await fleet.addReadyEntry()];
-	const crashCount = () => servers.filter(({hasCrashed: hasCrashed}) => hasCrashed).length;
+	const crashCount = () => servers.filter(({hasCrashed}) => hasCrashed).length;
 	const others: CallerResponse[] = [];
 	const answers: CallerResponse[] = [];
 	for (let index = 0; index < 4; index++) {
--- a/test/platform/refusing-server.test.ts
+++ b/test/platform/refusing-server.test.ts
@@ -33,7 +33,7 @@
 ];
 
 /** A server that refuses all is tried once a second by each host after the first second; one host batches the steps of a pool. */
-function assertSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, startMs: startMs}: {readonly forMs: number; readonly startMs: number}): void {
+function assertSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, startMs}: {readonly forMs: number; readonly startMs: number}): void {
 	const sinceMs = Math.max(startMs, server.arrivedMs.find(atMs => atMs >= startMs) ?? 0) + detectionMs;
 	const count = server.arrivedMs.filter(atMs => atMs > sinceMs).length;
 	const maxCount = (forMs / 1000) * (pool === 'stage' ? 1 : hostCount);
@@ -102,7 +102,7 @@
 
 		for (const [kind, pool] of servers) {
 			for (const other of pool.slice(2)) {
-				assertSeldomTried(t, other, kind, {forMs: secondLoadMs, startMs: startMs});
+				assertSeldomTried(t, other, kind, {forMs: secondLoadMs, startMs});
 			}
 		}
 	});
