--- a/test/platform/bundled-program.test.ts
+++ b/test/platform/bundled-program.test.ts
@@ -1,4 +1,4 @@
-/** The program as it is deployed: bundled, with its compiled code beside it, run as a process of its own. */
+/** Runs the program as it is deployed: bundled, with its compiled code beside it, in a process of its own. */
 import {spawn, spawnSync} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
@@ -13,7 +13,7 @@
 const startedMessage = 'The entry has started.';
 const lineSchema = z.looseObject({message: z.string(), callers: z.string().optional()});
 
-/** The file as the platform lays it for a host that is alone. */
+/** Returns the settings file that the platform writes for a single host. */
 function settingsOf(storePort: number) {
 	return {
 		nodeName: 'entry-1',
@@ -30,7 +30,7 @@
 	};
 }
 
-/** Makes the program and runs it; it ends with the test. */
+/** Bundles and starts the program; it is killed at the end of the test. */
 function runProgram(t: Test, storePort: number) {
 	const folder = t.testdir({settings: JSON.stringify(settingsOf(storePort))});
 	const built = spawnSync(process.execPath, ['scripts/bundle.js', folder], {cwd: projectRoot, encoding: 'utf8'});
@@ -49,7 +49,7 @@
 	return {child, exit: once(child, 'exit'), readOutput: () => output};
 }
 
-/** Where callers connect, as the line of the start tells. */
+/** Reads the endpoint for callers from the log line of the start. */
 function callerEndpointOf(output: string) {
 	const started = output.split('\n').filter(line => line.startsWith('{')).map(line => lineSchema.parse(JSON.parse(line)))
 		.find(({message}) => message === startedMessage);
@@ -57,7 +57,7 @@
 	return {address, port: Number(port)};
 }
 
-t.test('the bundled program takes its compiled code and serves from store and servers', async t => {
+t.test('the bundled program uses its compiled code and serves requests with store and servers', async t => {
 	const store = await StoreStandin.create();
 	const server = await ServerStandin.create('plain-0');
 	t.teardown(() => {
@@ -73,5 +73,5 @@
 	t.equal(answer.status, 200);
 	t.notMatch(readOutput(), /compiled code was not taken/v);
 	child.kill('SIGTERM');
-	t.same(await exit, [0, null], 'it ends by itself, by no signal');
+	t.same(await exit, [0, null], 'it exits by itself, not by a signal');
 });
--- a/test/platform/canceled-calls.test.ts
+++ b/test/platform/canceled-calls.test.ts
@@ -1,8 +1,8 @@
 /**
-Callers that give their requests up, before real entries.
+Tests requests that callers cancel, with real hosts.
 
-Seen: of 60 that did, each took along one request that came in the same moment and may run only once: it ended with 502, though nothing of it was sent. A stream that
-fell silent was given up, and its second try failed within 6 ms.
+Guards against a canceled request making another one fail: each of 60 cancellations failed one request that arrived at the same moment and
+may run only once. It ended with 502 although nothing of it had been sent. A stream that had stalled was canceled, and its second attempt failed within 6 ms.
 */
 import {Agent} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -12,16 +12,16 @@
 
 const rounds = 40;
 const maxPauseMs = 20;
-/** Every other time the next requests come at once. */
+/** In every other round the next requests follow without a pause. */
 const pauseOf = (round: number) => round % 2 === 0 ? 0 : Math.floor(round * maxPauseMs / rounds);
 
-t.test('a caller that gives its request up takes no other one along', async t => {
+t.test('canceling a request makes no other one fail', async t => {
 	const fleet = await makeFleet(t);
 	const [plain] = await fleet.addServers('plain', 1, 40);
 	await fleet.addServers('model', 1, 5);
 	await fleet.addServers('stage', 1, 5);
 	const [host] = await addHosts(fleet, 1);
-	// On connections that are open, requests reach the host in the moment in which the other caller's close does.
+	// On connections that are already open, requests reach the host at the same moment as the close of the other caller's connection.
 	const agent = new Agent({keepAlive: true});
 	t.teardown(() => {
 		agent.destroy();
@@ -45,5 +45,5 @@
 	}
 
 	const books = plain.seen.filter(({path}) => path === '/book/x');
-	t.equal(books.length, rounds, 'each of those that may run only once has run once');
+	t.equal(books.length, rounds, 'each request that may run only once ran once');
 });
--- a/test/platform/cold-servers.test.ts
+++ b/test/platform/cold-servers.test.ts
@@ -1,8 +1,8 @@
 /**
-Seen: in the second after a data hall came back, all hosts sent to its idle servers at once, since they looked best to each of
-them; the servers, which had just started, fell over.
-Cause: that a server is cold, and what it bears meanwhile, was not read; each host chose as if it were alone.
-Proof: stand-ins that end above their rate, before two hosts that share all requests.
+Guards against overloading servers that are still cold. In the second after the drain of a data hall ended, all hosts sent to its idle
+servers at once, since these looked best to each host, and the servers, which had just started, crashed. The hosts did not read that a
+server is cold and which rate it tolerates meanwhile, and each host chose as if it were the only one.
+The stand-ins here crash above their rate; two hosts share all requests.
 */
 import t, {type Test} from 'tap';
 import {
@@ -11,7 +11,7 @@
 import type {ServerStandin} from './server-standin.js';
 
 const coldPerS = 4;
-/** 1.5 times what a cold server bears, and 5 besides: the bounds of the harness. */
+/** Maximum arrivals within a second: 1.5 times the rate that a cold server tolerates plus 5, the bounds of the harness. */
 const maxPerS = 11;
 const coldLeftMs = 600_000;
 
@@ -35,7 +35,7 @@
 
 const isPeerConnected = ({lines}: RunningEntry) => lines.some(line => line.includes('A peer is connected.'));
 
-/** Servers of the model's pool that are cold for long, and end where more is sent than they bear. */
+/** Adds servers to the pool `model` that stay cold for the whole test and crash above the tolerated rate. */
 async function addCold(fleet: DirectFleet, count: number, hall?: string): Promise<ServerStandin[]> {
 	const servers = await fleet.addServers('model', count, 2, hall);
 	for (const server of servers) {
@@ -54,7 +54,7 @@
 }
 
 t.test('a server that is cold', async t => {
-	t.test('gets no more than it bears from all hosts together, though it looks best to each', async t => {
+	t.test('gets no more than it tolerates from all hosts together, though it looks best to each', async t => {
 		const fleet = await makeFleet(t);
 		await fleet.addServers('model', 1);
 		const [cold] = await addCold(fleet, 1);
@@ -70,7 +70,7 @@
 		t.notOk(cold.hasCrashed);
 	});
 
-	t.test('serves what it bears where all are cold; the rest is refused at once, as not run', async t => {
+	t.test('serves what it tolerates where all are cold; other requests are refused at once, as not run', async t => {
 		const fleet = await makeFleet(t);
 		const [cold] = await addCold(fleet, 1);
 		const entry = await fleet.addReadyEntry();
@@ -89,7 +89,7 @@
 		t.notOk(cold.hasCrashed);
 	});
 
-	t.test('is one in a hall that was just given back, until its entry says otherwise', async t => {
+	t.test('is each server of a hall whose drain has just ended, until its entry says otherwise', async t => {
 		const fleet = await makeFleet(t);
 		const [back] = await fleet.addServers('model', 1);
 		const [other] = await fleet.addServers('model', 1, 2, 'hall-b');
@@ -105,6 +105,6 @@
 		fleet.store.put('servers', other.serverId, other.entry('model', 'draining'));
 		await waitUntil(() => entry.lines.some(line => line.includes('"leaving"')));
 		const answers = await sendMany([entry], 40, 'c');
-		t.ok(answers.every(({status}) => status === 200), 'it is warm by what its entry says');
+		t.ok(answers.every(({status}) => status === 200), 'its entry says that it is warm');
 	});
 });
--- a/test/platform/direct-fleet.test.ts
+++ b/test/platform/direct-fleet.test.ts
@@ -14,7 +14,7 @@
 
 const stagedCall = (id: string) => streamCall('/staged/x', {id, headers: {'chunk-count': '2,1', 'chunk-key': 'k'}});
 
-t.test('steps before a request are batched, their results given up, and the model is told the last ones', async t => {
+t.test('preparation steps are batched, their results released, and the model gets the handles of the last ones', async t => {
 	const fleet = await makeFleet(t);
 	const [stage] = await fleet.addServers('stage', 1, 15);
 	const [model] = await fleet.addServers('model', 1);
@@ -31,10 +31,10 @@
 	}
 
 	await waitUntil(() => stage.releasedResults.length === 12);
-	t.equal(new Set(stage.releasedResults).size, 12, 'each result is given up once');
+	t.equal(new Set(stage.releasedResults).size, 12, 'each result is released once');
 });
 
-t.test('numbers that make no sense harm their own request only', async t => {
+t.test('malformed numbers affect only their own request', async t => {
 	const fleet = await makeFleet(t);
 	await fleet.addServers('stage', 1);
 	await fleet.addServers('model', 1);
@@ -48,7 +48,7 @@
 	t.match(await sendRequest(entry, streamCall('/draft/x')), {status: 200, text: completeStream});
 });
 
-t.test('two entries share one queue of a pool', async t => {
+t.test('two hosts share one queue of a pool', async t => {
 	const fleet = await makeFleet(t);
 	const [stage] = await fleet.addServers('stage', 1, 40);
 	await fleet.addServers('model', 1);
@@ -58,10 +58,10 @@
 	const answers = await Promise.all([first, second, first, second, first, second].map(async (entry, index) => sendRequest(entry, stagedCall(`q${index}`))));
 	t.ok(answers.every(({status, text}) => status === 200 && text === completeStream));
 	const isShared = stage.stageCalls.some(call => new Set(call.map(piece => Number(String(piece.instanceId).slice(1)) % 2)).size === 2);
-	t.ok(isShared, 'a call carries pieces of both');
+	t.ok(isShared, 'a call contains pieces of both hosts');
 });
 
-t.test('results that are lost are made again', async t => {
+t.test('lost results are computed again', async t => {
 	const fleet = await makeFleet(t);
 	const [stage] = await fleet.addServers('stage', 1);
 	const [model] = await fleet.addServers('model', 1);
@@ -73,7 +73,7 @@
 	t.match(await pending, {status: 200, text: completeStream});
 });
 
-t.test('a newer declaration is in force, an older one never; keys and routes go with it', async t => {
+t.test('a newer declaration comes into force with its keys and routes; an older one never does', async t => {
 	const fleet = await makeFleet(t);
 	await fleet.addServers('plain', 1);
 	const entry = await fleet.addReadyEntry();
@@ -86,7 +86,7 @@
 	t.equal((await sendRequest(entry, {path: '/look/x', key: 'key-1'})).status, 200);
 });
 
-t.test('an entry without a declaration is not ready and says that it ran nothing', async t => {
+t.test('a host without a declaration is not ready and refuses requests as not run', async t => {
 	const fleet = await makeFleet(t);
 	fleet.store.mode = 'busy';
 	const entry = await fleet.addEntry();
@@ -96,7 +96,7 @@
 	t.ok(answer.headers['retry-after']);
 });
 
-t.test('an entry that starts while the store is away learns from a peer', async t => {
+t.test('a host that starts while the store is unavailable gets its state from a peer', async t => {
 	const fleet = await makeFleet(t);
 	await fleet.addServers('plain', 1);
 	await fleet.addReadyEntry();
@@ -106,7 +106,7 @@
 	t.equal((await sendRequest(fresh, {path: '/look/x'})).status, 200);
 });
 
-t.test('the last declaration stays in force while the store is away, and what changed is seen after', async t => {
+t.test('the last declaration stays in force while the store is unavailable; changes apply once it has recovered', async t => {
 	const fleet = await makeFleet(t);
 	const [old] = await fleet.addServers('plain', 1);
 	const entry = await fleet.addReadyEntry();
@@ -122,7 +122,7 @@
 	await waitUntil(async () => (await sendRequest(entry, {path: '/look/x'})).text.includes(fresh.serverId));
 });
 
-t.test('a server that leaves gets no new work', async t => {
+t.test('a leaving server gets no new work', async t => {
 	const fleet = await makeFleet(t);
 	const [first, second] = await fleet.addServers('plain', 2);
 	const entry = await fleet.addReadyEntry();
@@ -138,7 +138,7 @@
 	t.equal(second.seen.length, 5);
 });
 
-t.test('a planned stop finishes what is there and still takes requests for a while', async t => {
+t.test('a planned stop finishes open requests and still accepts new ones for a while', async t => {
 	const fleet = await makeFleet(t);
 	await fleet.addServers('plain', 1, 150);
 	const entry = await fleet.addReadyEntry();
@@ -157,7 +157,7 @@
 	await t.rejects(sendRequest(entry, {path: '/look/x'}));
 });
 
-t.test('a stopping entry takes nothing that might not end: new connections are refused, open ones told so', async t => {
+t.test('a stopping host accepts nothing that it may not finish: new connections are refused, requests on open ones get 503', async t => {
 	const fleet = await makeFleet(t);
 	const [server] = await fleet.addServers('plain', 1, 5);
 	const entry = await fleet.addReadyEntry();
@@ -191,12 +191,11 @@
 });
 
 /*
-Seen: callers whose requests a stopping host had taken got neither an answer nor a refusal.
-How it came about: the requests still waited for their steps, for which all upstreams were busy, when the host had to end.
-Cause: a planned stop waited for what was open, and then closed the connections of what still was.
-Proof: the host's log tells eight open requests at its end, none of which any model had been sent.
+Guards against a stopping host that leaves callers without a response. Requests that it had accepted still waited for their steps, for
+which all upstreams were busy, when the host had to exit. The planned stop waited for open requests and then closed the connections of
+those that were left: the log of a host showed eight open requests at its exit, none of which had been sent to a model.
 */
-t.test('a request that still waits for its steps when its host must end is refused as not run', async t => {
+t.test('a request that still waits for its steps when its host must exit is refused as not run', async t => {
 	const fleet = await makeFleet(t);
 	const config = configOf(2);
 	fleet.store.put('op', 'config', {
@@ -208,7 +207,7 @@
 	const [model] = await fleet.addServers('model', 1);
 	const entry = await fleet.addReadyEntry();
 	stage.stageGate = new Promise(() => {
-		// It ends with the test.
+		// Never resolved: the calls stay open until the end of the test.
 	});
 	const pending = sendRequest(entry, {...stagedCall('w1'), deadlineMs: 60_000}).catch(() => 'cut');
 	await waitUntil(() => stage.stageCalls.length > 0);
@@ -219,7 +218,7 @@
 	t.equal(model.seen.length, 0);
 });
 
-t.test('another server at a known address is not taken for the one that was there', async t => {
+t.test('another server at a known address is not mistaken for the former one', async t => {
 	const fleet = await makeFleet(t);
 	const [server] = await fleet.addServers('plain', 1);
 	const entry = await fleet.addReadyEntry();
@@ -230,7 +229,7 @@
 	}
 });
 
-t.test('results made for a request that has ended meanwhile are given up', async t => {
+t.test('results for a request that has ended meanwhile are released', async t => {
 	const fleet = await makeFleet(t);
 	const [stage] = await fleet.addServers('stage', 1);
 	await fleet.addServers('model', 1);
@@ -251,6 +250,6 @@
 		openGate();
 		await waitUntil(() => stage.releasedResults.length >= 2 * (index + 1));
 		t.equal(stage.releasedResults.length, 2 * (index + 1));
-		t.equal(stage.stageCalls.length, index + 1, 'nothing more is begun for it');
+		t.equal(stage.stageCalls.length, index + 1, 'no further step is started for it');
 	}
 });
--- a/test/platform/direct-harness.ts
+++ b/test/platform/direct-harness.ts
@@ -1,4 +1,4 @@
-/** Entries of the users' platform on loopback, before stand-ins of its store and servers: the same parts as in the real program. */
+/** Runs hosts of the users' platform on loopback, with stand-ins for its store and servers; the components are those of the real program. */
 import {request as httpRequest, type Agent, type IncomingHttpHeaders} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {PlatformCallerProtocol} from '../../platform/caller-headers.js';
@@ -17,18 +17,19 @@
 const loopback = '127.0.0.1';
 const anyPort: Endpoint = {address: loopback, port: 0};
 
-/** A started entry. */
+/** A started host with its endpoints and log lines. */
 export type RunningEntry = {readonly entry: DirectEntry; readonly callers: Endpoint; readonly readiness: Endpoint; readonly peers: Endpoint; readonly lines: string[]};
 
-/** An answer as a caller saw it. */
+/** A response as the caller received it; `isWhole` is true if it is complete. */
 export type CallerResponse = {readonly status: number; readonly headers: IncomingHttpHeaders; readonly text: string; readonly isWhole: boolean};
 
+/** A request of a caller. */
 export type CallerCall = {
 	readonly method?: string; readonly path: string; readonly id?: string; readonly key?: string; readonly body?: string; readonly deadlineMs?: number;
 	readonly headers?: Record<string, string>;
-	/** Aborts the call. */
+	/** Cancels the request. */
 	readonly signal?: AbortSignal;
-	/** Keeps connections; each call has one of its own otherwise. */
+	/** Reuses connections; without it each request has a connection of its own. */
 	readonly agent?: Agent;
 };
 
@@ -36,7 +37,7 @@
 	name, hostname: 'site.example', pathPrefix, routeType, timeoutMs: 5000, goalMs: 500, prio: 1, backend: 'plain', maxAttempts: 2, isPublic: false, ...more,
 });
 
-/** A config with one route of each kind. */
+/** Returns a config with routes of each kind. */
 export function configOf(generationNum: number, changes: Record<string, unknown> = {}) {
 	return {
 		generationNum,
@@ -67,13 +68,13 @@
 	};
 }
 
-/** The same with targets and time limits that no slow machine misses: for tests of where work goes, not when. */
+/** Returns the same config with targets and timeouts that even a slow machine meets, for tests of where work is sent, not when. */
 export function longTimeoutConfig(version: number) {
 	const config = configOf(version);
 	return {...config, routes: config.routes.map(route => ({...route, timeoutMs: 60_000, goalMs: 30_000}))};
 }
 
-/** Store, servers and entries of one test. */
+/** Store, servers and hosts of one test. */
 export class DirectFleet {
 	static async create(): Promise<DirectFleet> {
 		const fleet = new DirectFleet(await StoreStandin.create());
@@ -86,7 +87,7 @@
 
 	private constructor(readonly store: StoreStandin) {}
 
-	/** Starts servers of a pool and lists them. */
+	/** Starts servers of a pool and adds their entries to the store. */
 	async addServers(pool: string, count: number, stepMs?: number, hall?: string): Promise<ServerStandin[]> {
 		const added: ServerStandin[] = [];
 		for (let index = 0; index < count; index++) {
@@ -99,7 +100,7 @@
 		return added;
 	}
 
-	/** Starts an entry, without waiting until it is ready. */
+	/** Starts a host without waiting until it is ready. */
 	async addEntry(stopGraceMs = 4200): Promise<RunningEntry> {
 		const log = silentLoggers.for('store');
 		const lines: string[] = [];
@@ -136,7 +137,7 @@
 		return running;
 	}
 
-	/** Starts an entry and waits until the balancer would use it. */
+	/** Starts a host and waits until the load balancer would use it and it knows all servers. */
 	async addReadyEntry(): Promise<RunningEntry> {
 		const running = await this.addEntry();
 		await waitUntil(async () => await readinessOf(running) === 200 && this.servers.every(server => running.lines.some(line => line.includes(`"${server.serverId}"`))));
@@ -156,21 +157,21 @@
 	}
 }
 
-/** Asks an entry what the balancer asks. */
+/** Returns the status of the host's readiness endpoint, which the load balancer requests. */
 export async function readinessOf({readiness}: RunningEntry): Promise<number> {
 	const response = await fetch(`http://${readiness.address}:${readiness.port}/v1/readyz`);
 	await response.text();
 	return response.status;
 }
 
-/** Waits until something holds; the test's own time limit ends it otherwise. */
+/** Waits until a condition is true; bounded only by the timeout of the test. */
 export async function waitUntil(isTrue: () => boolean | Promise<boolean>): Promise<void> {
 	while (!await isTrue()) {
 		await sleep(5);
 	}
 }
 
-/** Sends a caller's request and reads its answer as far as it comes. */
+/** Sends a caller's request and reads the response, which may be incomplete. */
 export async function sendRequest({callers}: Pick<RunningEntry, 'callers'>, call: CallerCall): Promise<CallerResponse> {
 	return new Promise((resolve, reject) => {
 		const request = httpRequest({
@@ -199,12 +200,12 @@
 	});
 }
 
-/** A request of a streaming route. */
+/** Returns a request to a streaming route. */
 export function streamCall(path: string, more: Partial<CallerCall> = {}): CallerCall {
 	return {
 		method: 'POST', path, body: 'prompt', ...more, headers: {accept: 'text/event-stream', 'prompt-prefix': 'aa:10,bb:5', ...more.headers},
 	};
 }
 
-/** All five events of a stand-in's stream. */
+/** All five events that a stand-in streams. */
 export const completeStream = [1, 2, 3, 4, 5].map(index => `id: ${index}\ndata: event ${index}\n\n`).join('');
--- a/test/platform/direct-load.ts
+++ b/test/platform/direct-load.ts
@@ -1,4 +1,4 @@
-/** Steady loads of each kind of call on hosts of the users' platform. */
+/** Constant load of each kind of request on hosts of the users' platform. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Test} from 'tap';
 import {
@@ -7,22 +7,22 @@
 import type {ServerStandin} from './server-standin.js';
 
 const defaultLoadMs = 5200;
-/** Part of the requests that is served where other upstreams have room. */
+/** Minimum share of requests that are served while other upstreams have free capacity. */
 const minServedShare = 0.99;
 
-/** Makes the request of an id. */
+/** Returns the request with the given id. */
 export type MakeCall = (id: string) => CallerCall;
 
 export const plainCall: MakeCall = id => ({path: '/look/1', id});
 export const streamOf: MakeCall = id => streamCall('/draft/1', {id, headers: {'prompt-prefix': `${id}a:10,bb:5`}});
 export const stepsCall: MakeCall = id => streamCall('/staged/1', {id, headers: {'chunk-count': '2,1', 'chunk-key': `key-${id}`}});
 
-/** Long enough for any machine. */
+/** Long enough for slow machines. */
 const longDeadlineMs = 60_000;
 
 /**
-Makes a fleet for a test of where work goes, not when: no target is missed on a slow machine.
-@param t - the test, with which it ends.
+Creates a fleet with long timeouts, for tests of where work is sent, not when: even a slow machine meets all targets.
+@param t - the test; the fleet is disposed at its end.
 */
 export async function makeLongTimeoutFleet(t: Test): Promise<DirectFleet> {
 	const fleet = await makeFleet(t);
@@ -30,10 +30,10 @@
 	return fleet;
 }
 
-/** The same calls from callers that wait as long as it takes. */
+/** Returns the same requests with a long deadline. */
 export const withLongDeadline = (makeCall: MakeCall): MakeCall => id => ({...makeCall(id), deadlineMs: longDeadlineMs});
 
-/** Makes a fleet that ends with its test. */
+/** Creates a fleet that is disposed at the end of the test. */
 export async function makeFleet(t: Test): Promise<DirectFleet> {
 	const fleet = await DirectFleet.create();
 	t.teardown(() => {
@@ -44,7 +44,7 @@
 
 const countPeers = ({lines}: RunningEntry) => lines.filter(line => line.includes('A peer is connected.')).length;
 
-/** Starts hosts and waits until all have met. */
+/** Starts hosts and waits until all are connected with each other. */
 export async function addHosts(fleet: DirectFleet, count: number): Promise<RunningEntry[]> {
 	const hosts: RunningEntry[] = [];
 	for (let index = 0; index < count; index++) {
@@ -56,12 +56,12 @@
 }
 
 /**
-Sends requests to the hosts in turn, at a steady rate.
+Sends requests to the hosts in turn, at a constant rate.
 @param hosts - the hosts; the request ids end with `@` and the index of the host.
-@param makeCall - makes each request.
-@param perS - requests a second.
-@param forMs - how long.
-@returns the answers, in the order of the requests.
+@param makeCall - returns each request.
+@param perS - requests per second.
+@param forMs - duration of the load.
+@returns the responses, in the order of the requests.
 */
 export async function load(hosts: readonly RunningEntry[], makeCall: MakeCall, perS: number, forMs = defaultLoadMs): Promise<CallerResponse[]> {
 	const responses: Array<Promise<CallerResponse>> = [];
@@ -76,9 +76,9 @@
 }
 
 /**
-Has something happen to the server that gets the next request. Sends spread unevenly over sound servers: one that is named before may get none for seconds.
-@param servers - of one pool, which is under load.
-@param act - done before the request is answered.
+Runs an action on the server that gets the next request. Requests are distributed unevenly over healthy servers: one that is chosen in advance may get none for seconds.
+@param servers - servers of one pool, which is under load.
+@param act - called before the request is handled.
 @returns the server.
 */
 export async function atNextRequest(servers: readonly ServerStandin[], act: (server: ServerStandin) => void): Promise<ServerStandin> {
@@ -98,7 +98,7 @@
 
 export const countServed = (responses: readonly CallerResponse[]) => responses.filter(({status}) => status === 200).length;
 
-/** Checks that nearly all are served. */
+/** Asserts that nearly all requests were served. */
 export function assertServed(t: Test, responses: readonly CallerResponse[]): void {
 	const unserved = responses.find(({status}) => status !== 200);
 	const reason = unserved ? `; one got ${unserved.status}, ${unserved.text.slice(0, 80)}` : '';
