--- a/test/platform/direct-requests.test.ts
+++ b/test/platform/direct-requests.test.ts
@@ -13,7 +13,7 @@
 	return {fleet, servers, entry: await fleet.addReadyEntry()};
 }
 
-t.test('a request reaches its server as the caller sent it, and the answer comes back as it is', async t => {
+t.test('a request is forwarded as the caller sent it, and the response is returned unchanged', async t => {
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	const answer = await sendRequest(entry, {
 		method: 'POST', path: '/look/a?b=1', id: 'r1', body: 'hello', headers: {
@@ -28,13 +28,13 @@
 		'attempt-id': 'r1', tenant: 'buyers', 'expect-instance': server.serverId, 'x-other': '2', host: 'site.example',
 	});
 	for (const name of ['authorization', 'kv-hold', 'pin-ms', 'kv-from', 'kv-backup', 'input-count', 'x-hop']) {
-		t.notOk(headers[name], `${name} goes no further`);
+		t.notOk(headers[name], `${name} is not forwarded`);
 	}
 
 	t.ok(Number(headers['deadline-ms']) <= 4000);
 });
 
-t.test('unknown routes and keys are turned away; public routes need no key', async t => {
+t.test('unknown routes and keys are refused; public routes need no key', async t => {
 	const {entry} = await start(t, 'plain', 1);
 	t.equal((await sendRequest(entry, {path: '/nowhere/'})).status, 404);
 	t.equal((await sendRequest(entry, {path: '/look/x', key: 'wrong'})).status, 401);
@@ -43,7 +43,7 @@
 	t.equal((await sendRequest(entry, {method: 'POST', path: '/look/x', body: 'x'.repeat(100_001)})).status, 413);
 });
 
-t.test('a server that did not run a request leaves it to another one', async t => {
+t.test('a request that a server did not run is sent to another one', async t => {
 	const {servers, entry} = await start(t, 'plain', 2);
 	servers[0].fault = 'full';
 	for (let index = 0; index < 6; index++) {
@@ -53,7 +53,7 @@
 	t.equal(servers[1].seen.length, 6);
 });
 
-t.test('where every server is full the caller is told when to come back', async t => {
+t.test('if every server is full the response states when to retry', async t => {
 	const {servers, entry} = await start(t, 'plain', 2);
 	for (const server of servers) {
 		server.fault = 'full';
@@ -65,7 +65,7 @@
 	t.equal(servers[0].seen.length + servers[1].seen.length, 0);
 });
 
-t.test('a request that may run once is not sent again once it may have run', async t => {
+t.test('a request that may run only once is not sent again if it may have run', async t => {
 	const {servers, entry} = await start(t, 'plain', 2);
 	for (const server of servers) {
 		server.fault = 'reset';
@@ -75,7 +75,7 @@
 	t.equal(servers[0].seen.length + servers[1].seen.length, 1);
 });
 
-t.test('a request that may run again is sent to another server after an error, a reset or a foreign answer', async t => {
+t.test('a repeatable request is sent to another server after an error, a reset or a response to another request', async t => {
 	for (const fault of ['error', 'reset', 'foreign', 'unframedReset'] as const) {
 		const {servers, entry} = await start(t, 'plain', 2);
 		servers[0].fault = fault;
@@ -85,7 +85,7 @@
 	}
 });
 
-t.test('an error of every server is told as the server told it', async t => {
+t.test('if every server fails, the error response of a server is returned unchanged', async t => {
 	const {servers, entry} = await start(t, 'plain', 2);
 	for (const server of servers) {
 		server.fault = 'error';
@@ -97,7 +97,7 @@
 	t.equal(servers[0].seen.length + servers[1].seen.length, 2);
 });
 
-t.test('an answer that was cut is never passed on as whole', async t => {
+t.test('a truncated response is never forwarded as complete', async t => {
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	for (const fault of ['unframedReset', 'chunkedReset', 'chunkedClose', 'foreign'] as const) {
 		server.fault = fault;
@@ -105,7 +105,7 @@
 	}
 });
 
-t.test('an answer without a length is passed on without one: nobody knows that it is whole', async t => {
+t.test('a response without a length is forwarded without one, since it may be incomplete', async t => {
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	server.fault = 'unframedClose';
 	const {status, text, headers} = await sendRequest(entry, {method: 'POST', path: '/book/x'});
@@ -115,7 +115,7 @@
 	t.equal(headers.connection, 'close');
 });
 
-t.test('a stream passes event by event; a cut one breaks off after a whole event', async t => {
+t.test('a stream is forwarded event by event; an interrupted one ends after a complete event', async t => {
 	const {servers: [server], entry} = await start(t, 'model', 1);
 	t.match(await sendRequest(entry, streamCall('/chat/x')), {status: 200, text: completeStream, isWhole: true});
 	server.fault = 'cutStream';
@@ -124,7 +124,7 @@
 	t.equal(cut.text, 'id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n');
 });
 
-t.test('a stream that may be taken up goes on at another server without a gap', async t => {
+t.test('a resumable stream continues at another server without a gap', async t => {
 	const {servers, entry} = await start(t, 'model', 2);
 	for (const server of servers) {
 		server.fault = 'cutStream';
@@ -138,7 +138,7 @@
 	t.equal(other.seen[0].headers['last-event-id'], '2');
 });
 
-t.test('a caller that leaves is noticed at the server', async t => {
+t.test('the server notices that a caller disconnects', async t => {
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	server.fault = 'silent';
 	const controller = new AbortController();
@@ -149,13 +149,13 @@
 	await waitUntil(() => server.closedEarlyCount === 1);
 });
 
-t.test('a request past its time gets its last answer', async t => {
+t.test('a request past its deadline gets a time-out response', async t => {
 	const {servers: [server], entry} = await start(t, 'plain', 1);
 	server.fault = 'silent';
 	t.equal((await sendRequest(entry, {method: 'POST', path: '/book/x', deadlineMs: 200})).status, 504);
 });
 
-t.test('a repeatable request is sent a second time where the first server stays silent', async t => {
+t.test('a repeatable request is sent a second time if the first server does not respond', async t => {
 	const {servers, entry} = await start(t, 'plain', 2);
 	servers[0].fault = 'silent';
 	for (let index = 0; index < 3; index++) {
--- a/test/platform/fatal-request.test.ts
+++ b/test/platform/fatal-request.test.ts
@@ -1,10 +1,10 @@
 /**
-Requests that end the servers that run them, before real entries.
+Tests requests that crash the servers that run them, with real hosts.
 
-Seen: one request ended eleven of 13 engines within 13 s, and another one ten more; a tenth of all other requests was not served
-meanwhile. How it came about: its caller asked again and again, with a new id for each try, at whichever host. Cause: what a host
-knows of a request ended with the try, so that each try was a first one, and went to a server that had not met it; and no host saw
-more than three of the tries. Proof: the tries below, which ended every server there was.
+Guards against a request that crashes one server after the other: one request crashed eleven of 13 engines within 13 s and another one ten
+more, and a tenth of all other requests was not served meanwhile. The caller repeated the request with a new id for each attempt, at any
+host. A host dropped what it knew of a request at the end of the attempt, so each attempt counted as the first one and went to a server that
+had not run it yet; and no host saw more than three of the attempts. The attempts below then crashed every server.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
@@ -13,12 +13,12 @@
 } from './direct-harness.js';
 
 const fatalBody = 'ends whoever runs it';
-/** Ends under one request after which it is sent no more. */
+/** Number of crashes after which a request is no longer sent. */
 const maxCrashes = 3;
-/** How long a request is barred at first, and how long its callers wait here. */
+/** Duration of the first quarantine of a request, and how long its callers wait in these tests. */
 const firstQuarantineS = 60;
 const callerWaitsS = 4;
-/** Longest wait for what hosts tell each other; it usually takes a tenth of that. */
+/** Maximum wait for updates between hosts, which typically take a tenth of it. */
 const maxWaitMs = 1000;
 const pollIntervalMs = 20;
 
@@ -56,7 +56,7 @@
 	return {fleet, entries, crashCount: () => servers.filter(({hasCrashed}) => hasCrashed).length};
 }
 
-/** Waits until an entry knows of so many ends, if it ever does. */
+/** Waits until a host knows of the given number of crashes, for `maxWaitMs` at most. */
 async function waitUntilKnown({lines}: RunningEntry, crashCount: number): Promise<void> {
 	const isKnown = () => lines.filter(line => line.includes('A server ended while it ran a request.')).length >= crashCount;
 	for (let waitedMs = 0; waitedMs < maxWaitMs && !isKnown(); waitedMs += pollIntervalMs) {
@@ -64,7 +64,7 @@
 	}
 }
 
-/** Asks for the same again and again, at the entries in turn; each knows of the ends before the next one is asked. */
+/** Sends the same request repeatedly to the hosts in turn; all hosts know of the crashes before the next attempt. */
 async function sendRepeatedly({entries, crashCount}: Fleet, call: Call, attempts: number): Promise<CallerResponse[]> {
 	const answers: CallerResponse[] = [];
 	for (let index = 0; index < attempts; index++) {
@@ -76,21 +76,21 @@
 	return answers;
 }
 
-t.test('a request under which three servers ended is sent to no fourth, at whichever entry it comes', async t => {
+t.test('a request that crashed three servers is not sent to a fourth, whichever host gets it', async t => {
 	for (const call of [plainCall, onceCall, streamOnceCall, resumableCall]) {
 		const fleet = await makeFleet(t, call.isStream ? 'model' : 'plain', 8, 3);
 		const answers = await sendRepeatedly(fleet, call, 8);
-		t.ok(fleet.crashCount() <= maxCrashes, `${call.path}: ${fleet.crashCount()} servers have ended`);
+		t.ok(fleet.crashCount() <= maxCrashes, `${call.path}: ${fleet.crashCount()} servers have crashed`);
 		const last = answers.at(-1)!;
 		t.match(last, {status: 503, text: /quarantine/v}, call.path);
 		const retryAfterS = Number(last.headers['retry-after']);
-		t.ok(retryAfterS > callerWaitsS && retryAfterS <= firstQuarantineS, 'and its caller is told that it is not tried again while it waits');
+		t.ok(retryAfterS > callerWaitsS && retryAfterS <= firstQuarantineS, 'the caller is asked to retry later than it waits');
 		const other = await sendRequest(fleet.entries[0], callOf(call, 'other', 'harmless'));
-		t.equal(other.status, 200, 'what differs from it is served');
+		t.equal(other.status, 200, 'a different request is served');
 	}
 });
 
-t.test('an entry that starts after three servers ended under a request does not send it', async t => {
+t.test('a host that starts after a request has crashed three servers does not send it', async t => {
 	const fleet = await makeFleet(t, 'plain', 6, 2);
 	await sendRepeatedly(fleet, onceCall, 3);
 	t.equal(fleet.crashCount(), maxCrashes);
@@ -106,10 +106,10 @@
 }
 
 /**
-A step of a request can end the servers that work on it just as well. Found by looking for the same cause elsewhere: a piece was
-handed to four servers for each try of its request, each time with the same pieces of other requests in the call, and then made anew.
+A step of a request can crash the servers that run it as well; this was found by looking for the same cause elsewhere. A piece was
+sent to four servers for each attempt of its request, each time in a call with the same pieces of other requests, and was then created anew.
 */
-t.test('a request whose step ends the servers that work on it is handed to three of them, and costs others little', async t => {
+t.test('a request whose step crashes servers is sent to three of them at most, and other requests are still served', async t => {
 	const fleet = await DirectFleet.create();
 	t.teardown(() => {
 		fleet.dispose();
@@ -133,12 +133,12 @@
 		await Promise.all(entries.map(async running => waitUntilKnown(running, known)));
 	}
 
-	t.ok(crashCount() <= maxCrashes, `${crashCount()} servers have ended`);
+	t.ok(crashCount() <= maxCrashes, `${crashCount()} servers have crashed`);
 	t.match(answers.at(-1), {status: 503, text: /quarantine/v});
 	t.same(others.map(({status}) => status), others.map(() => 200));
 });
 
-t.test('requests that are asked for again and again are served while servers end for no request\'s sake', async t => {
+t.test('repeated requests are served while servers stop for reasons unrelated to requests', async t => {
 	const {fleet, entries} = await makeFleet(t, 'plain', 8, 2);
 	const texts = new Set<string>();
 	const polling = new AbortController();
@@ -157,5 +157,5 @@
 	await Promise.all(callers);
 	const last = await Promise.all([0, 1, 2, 3].map(async caller => sendRequest(entries[caller % 2], {path: `/look/${caller}`, id: `last-${caller}`})));
 	t.same(last.map(({status}) => status), [200, 200, 200, 200]);
-	t.same([...texts].filter(text => text.includes('quarantine')), [], 'none is shut out');
+	t.same([...texts].filter(text => text.includes('quarantine')), [], 'none is quarantined');
 });
--- a/test/platform/hall-drain.test.ts
+++ b/test/platform/hall-drain.test.ts
@@ -1,9 +1,9 @@
 /**
-Seen: requests, their repeats, pieces of their steps and releases of results went on to the servers of a data hall seconds
-after the operator's wish that it get nothing had been confirmed; so did those of hosts that started in the middle of it.
-Cause: hosts read the operator's table for the declaration alone, and passed the rows of drained halls over.
-Proof: here a hall is drained before a version of the declaration is written; once that version is in force the row before
-it has been read as well, and no time needs to be waited for.
+Guards against work that is sent to a drained data hall. Requests, their retries and hedges, pieces of their steps and releases of results
+still went to its servers seconds after the drain had been confirmed to the operator, also from hosts that started during the drain: hosts
+read only the declaration from the operator's table and ignored the rows of drained halls.
+Here a hall is drained before a version of the declaration is written. Once that version is in force the earlier row has been read as
+well, so that the tests need not wait for a fixed time.
 */
 import t, {type Test} from 'tap';
 import {
@@ -11,7 +11,7 @@
 } from './direct-harness.js';
 import type {ServerStandin} from './server-standin.js';
 
-/** The hall that is drained is the entry's own, whose servers it prefers. */
+/** The drained hall is the one of the host itself, whose servers it prefers. */
 const drainKey = 'evacuate/hall-a';
 const otherHall = 'hall-b';
 
@@ -23,7 +23,7 @@
 	return fleet;
 }
 
-/** Waits until an entry has taken in all that was written to the operator's table before. */
+/** Writes a version of the declaration and waits until the hosts have applied it, and with it all earlier rows of the operator's table. */
 async function waitForVersion(fleet: DirectFleet, entries: readonly RunningEntry[], version: number): Promise<void> {
 	fleet.store.put('op', 'config', longTimeoutConfig(version));
 	await waitUntil(() => entries.every(({lines}) => lines.some(line => line.includes('A new version') && line.includes(`"version":${version},`))));
@@ -31,7 +31,7 @@
 
 const stagedCall = (id: string) => streamCall('/staged/x', {id, headers: {'chunk-count': '2,1', 'chunk-key': 'k'}});
 
-/** Several requests of each kind. */
+/** Sends several requests of each kind and returns the statuses. */
 async function sendAllKinds(entry: RunningEntry, prefix: string): Promise<number[]> {
 	const calls = Array.from({length: 4}, (_, index) => [
 		{path: '/look/x', id: `${prefix}l${index}`},
@@ -43,8 +43,8 @@
 	return answers.map(({status}) => status);
 }
 
-t.test('a hall that is drained', async t => {
-	t.test('nothing is sent to a hall that is drained, and all is again once it is given back', async t => {
+t.test('a drained hall', async t => {
+	t.test('nothing is sent to a drained hall; all its servers are used again once the drain has ended', async t => {
 		const fleet = await makeFleet(t);
 		const drained: ServerStandin[] = [];
 		for (const pool of ['plain', 'model', 'stage']) {
@@ -66,7 +66,7 @@
 		});
 	});
 
-	t.test('a repeat of a request does not go to a hall that is drained', async t => {
+	t.test('a retry is not sent to a drained hall', async t => {
 		const fleet = await makeFleet(t);
 		const [healthy] = await fleet.addServers('plain', 1, 2, otherHall);
 		const [other] = await fleet.addServers('plain', 1);
@@ -78,7 +78,7 @@
 		t.equal(other.arrivedMs.length, 0);
 	});
 
-	t.test('a pool that stands in drained halls only is refused at once, as not run', async t => {
+	t.test('requests for a pool with servers in drained halls only are refused at once, as not run', async t => {
 		const fleet = await makeFleet(t);
 		await fleet.addServers('plain', 1, 2, otherHall);
 		await fleet.addServers('stage', 1);
@@ -96,7 +96,7 @@
 		t.notOk(entry.lines.some(line => line.includes('"heldMs"') && line.includes('"d"')));
 	});
 
-	t.test('what waits for its steps is refused as not run once the hall of their pool is drained', async t => {
+	t.test('a request that waits for its steps is refused as not run once the hall of their pool is drained', async t => {
 		const fleet = await makeFleet(t);
 		const [stage] = await fleet.addServers('stage', 1);
 		const [model] = await fleet.addServers('model', 1, 2, otherHall);
@@ -119,7 +119,7 @@
 		t.equal(stage.releasedResults.length, 0, 'results are not released there either');
 	});
 
-	t.test('a host that starts while the store is away learns of drained halls from a peer', async t => {
+	t.test('a host that starts while the store is unavailable gets the drained halls from a peer', async t => {
 		const fleet = await makeFleet(t);
 		const [healthy] = await fleet.addServers('plain', 1, 2, otherHall);
 		const [drained] = await fleet.addServers('plain', 1);
@@ -137,7 +137,7 @@
 		t.equal(healthy.seen.length, 8);
 	});
 
-	t.test('a hall that was given back while the history was forgotten is used again', async t => {
+	t.test('a hall whose drain ended while the store lost its history of changes is used again', async t => {
 		const fleet = await makeFleet(t);
 		await fleet.addServers('plain', 1, 2, otherHall);
 		const [drained] = await fleet.addServers('plain', 1);
@@ -156,7 +156,7 @@
 		});
 	});
 
-	t.test('strange rows about halls cost no more than themselves', async t => {
+	t.test('malformed rows about halls have no other effect', async t => {
 		const fleet = await makeFleet(t);
 		const [healthy] = await fleet.addServers('plain', 1, 2, otherHall);
 		const [drained] = await fleet.addServers('plain', 1);
@@ -170,8 +170,8 @@
 			t.equal((await sendRequest(entry, {path: '/look/x', id: `f${index}`})).status, 200);
 		}
 
-		t.equal(drained.arrivedMs.length, 0, 'the row is there: what it holds does not matter');
+		t.equal(drained.arrivedMs.length, 0, 'the row exists, and its value does not matter');
 		t.equal(healthy.seen.length, 8);
-		t.equal(entry.lines.filter(line => line.includes('nowhere')).length, 1, 'one line tells of a hall that no server is in');
+		t.equal(entry.lines.filter(line => line.includes('nowhere')).length, 1, 'one log line reports the hall without servers');
 	});
 });
--- a/test/platform/leaving-server.test.ts
+++ b/test/platform/leaving-server.test.ts
@@ -1,9 +1,10 @@
 /**
-Upstreams that say in their answers that they leave, before real entries.
+Tests upstreams that report in their responses that they are leaving, with real hosts.
 
-Seen: an engine had said in each of its answers for ten seconds that it leaves, and got as many requests as before, also from hosts that had
-passed such answers on. Cause: no part of a host read that word; leaving was known from the store's list alone, which could not be written at
-the time. Proof: the counts below, 22 plain calls, 15 streams and 73 calls of steps, where none is allowed.
+Guards against requests to leaving upstreams: an engine had reported in each response for ten seconds that it was leaving and got as many
+requests as before, also from hosts that had forwarded such responses. Hosts did not read that header; they learned of leaving servers only
+from the store's list, which could not be written at the time. The tests below then counted 22 plain calls, 15 streams and 73 calls of
+steps where none is allowed.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
@@ -13,17 +14,17 @@
 } from './direct-load.js';
 import type {ServerStandin} from './server-standin.js';
 
-/** Nothing new reaches an upstream later than this after an answer said that it leaves. */
+/** Maximum time after the first response that reports leaving in which new requests may still reach the upstream. */
 const leavingWithinMs = 2000;
 
 function assertNothingMoreSent(t: Test, server: ServerStandin): void {
 	const reportedMs = server.leavingReportedMs ?? Infinity;
-	t.ok(reportedMs < Infinity, `${server.serverId} has said so`);
+	t.ok(reportedMs < Infinity, `${server.serverId} has reported that it is leaving`);
 	t.equal(server.arrivedMs.filter(atMs => atMs > reportedMs + leavingWithinMs).length, 0, `calls to ${server.serverId} later than ${leavingWithinMs} ms`);
 }
 
-t.test('an upstream that says in its answers that it leaves', async t => {
-	t.test('gets nothing more of any kind from any host, whatever the store\'s list says', async t => {
+t.test('an upstream that reports in its responses that it is leaving', async t => {
+	t.test('gets no more requests of any kind from any host, whatever the store\'s list says', async t => {
 		const fleet = await makeLongTimeoutFleet(t);
 		const pools = [await fleet.addServers('plain', 4), await fleet.addServers('model', 4), await fleet.addServers('stage', 4)];
 		const hosts = await addHosts(fleet, 3);
@@ -41,7 +42,7 @@
 		assertServed(t, answers.flat());
 	});
 
-	t.test('goes on with what it has', async t => {
+	t.test('finishes the requests that it has', async t => {
 		const fleet = await makeFleet(t);
 		const [engine] = await fleet.addServers('model', 1, 200);
 		const [host] = await addHosts(fleet, 1);
@@ -53,7 +54,7 @@
 		t.equal(second.text, completeStream);
 	});
 
-	t.test('with all others of its pool leaves callers a quick refusal, and a new one is used as soon as it is listed', async t => {
+	t.test('causes quick refusals if its whole pool is leaving, and a new upstream is used as soon as it is listed', async t => {
 		const fleet = await makeFleet(t);
 		const [engine] = await fleet.addServers('model', 1);
 		const [host] = await addHosts(fleet, 1);
--- a/test/platform/refusing-server.test.ts
+++ b/test/platform/refusing-server.test.ts
@@ -1,9 +1,10 @@
 /**
-Upstreams that turn requests away without asking for rest, before real entries.
+Tests upstreams that refuse requests without asking for a backoff, with real hosts.
 
-Seen: one of four upstreams refused each request at once; in 9 s it got 358 of the sends, and 260 of 541 callers were refused, though the other three could
-serve ten times what was asked. Cause: a refusal frees its upstream at once, so that least in flight and the reading time prefer it, and two or three tries of a request are used up
-on it; no choice took refusals into account. Proof: the counts below, 250 of 312 callers served and 106 sends to it in four seconds.
+Guards against refusing upstreams that attract requests: one of four upstreams refused each request at once; in 9 s it got 358 of the sends,
+and 260 of 541 callers were refused, though the other three could serve ten times the load. A refusal frees its upstream at once, so that the
+selection by requests in flight and by prefill time prefers it, and a request spends two or three attempts on it; no selection considered
+refusals. The tests below then counted 250 of 312 callers served and 106 sends to the upstream in four seconds.
 */
 import t, {type Test} from 'tap';
 import type {RunningEntry} from './direct-harness.js';
@@ -32,7 +33,7 @@
 	},
 ];
 
-/** A server that refuses all is tried once a second by each host after the first second; one host batches the steps of a pool. */
+/** Asserts that after the first second each host tries a server that refuses all requests once per second at most. The steps of a pool are batched by one host. */
 function assertSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, startMs}: {readonly forMs: number; readonly startMs: number}): void {
 	const sinceMs = Math.max(startMs, server.arrivedMs.find(atMs => atMs >= startMs) ?? 0) + detectionMs;
 	const count = server.arrivedMs.filter(atMs => atMs > sinceMs).length;
@@ -40,7 +41,7 @@
 	t.ok(count <= maxCount, `${server.serverId} got ${count} after the first second, allowed ${maxCount}`);
 }
 
-/** Four servers for each kind of call, the first of which refuse. */
+/** Adds four servers for each kind of request; the first ones get the given policies. */
 async function makePools(t: Test, refusalPolicies: readonly RefusalPolicy[]) {
 	const fleet = await makeLongTimeoutFleet(t);
 	const servers = new Map<Kind, readonly ServerStandin[]>();
@@ -61,7 +62,7 @@
 	return Promise.all(kinds.map(async ({makeCall, perS}) => load(hosts, withLongDeadline(makeCall), perS, forMs)));
 }
 
-t.test('an upstream that refuses draws no requests, and none of their callers is refused', async t => {
+t.test('an upstream that refuses does not attract requests, and no caller is refused', async t => {
 	for (const share of [1, 0.5, 0.1]) {
 		t.test(`one of four refuses ${share} of its requests`, async t => {
 			const {servers, hosts} = await makePools(t, [{share}]);
@@ -77,7 +78,7 @@
 		});
 	}
 
-	t.test('two of four refuse all; both get work again once they take it', async t => {
+	t.test('two of four refuse all; both get work again once they accept it', async t => {
 		const {servers, hosts} = await makePools(t, [{share: 1}, {share: 1, retryAfter: '0'}]);
 		for (const answers of await loadAll(hosts, 2000)) {
 			assertServed(t, answers);
@@ -88,7 +89,7 @@
 		}
 
 		await loadAll(hosts, recoveryMs - 1000);
-		// How requests spread over sound servers is not even. That they are no longer avoided shows where the others refuse: these draw no requests.
+		// Requests are distributed unevenly over healthy servers. That the two are no longer avoided shows if the others refuse and attract no requests.
 		const startMs = performance.now();
 		for (const pool of servers.values()) {
 			for (const other of pool.slice(2)) {
--- a/test/platform/server-backoff.test.ts
+++ b/test/platform/server-backoff.test.ts
@@ -1,9 +1,10 @@
 /**
-Upstreams that turn requests away and ask for rest, before real entries.
+Tests upstreams that refuse requests and ask for a backoff, with real hosts.
 
-Seen: four of 13 engines refused each request at once and asked the host for 3 s of rest; each got from the same host three requests and more in that time, and
-callers were refused after three such refusals, though nine engines served. Cause: nobody read the time that a refusal asks for; one that has refused has nothing to
-do, and so looked best for the next request. Proof: the counts below, 34 plain calls, 7 streams and 20 calls of steps where 2 are allowed.
+Guards against requests during a backoff: four of 13 engines refused each request at once and asked the host for a backoff of 3 s. Each got
+three or more requests from the same host in that time, and callers were refused after three such refusals, though nine engines served. Hosts
+did not read the requested time, and an upstream that has refused is idle, so it looked best for the next request. The tests below then
+counted 34 plain calls, 7 streams and 20 calls of steps where 2 are allowed.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
@@ -13,28 +14,28 @@
 } from './direct-load.js';
 import type {ServerStandin} from './server-standin.js';
 
-/** What was under way when the answer came does not count. */
+/** Requests sent before the refusal arrived do not count. */
 const graceMs = 500;
 const maxDuringBackoff = 2;
-/** Calls of steps wait while all workers rest: what comes in this time keeps them busy for much longer. */
+/** Shorter than the other loads: steps wait while all workers are in backoff, so that those of this time keep the workers busy for much longer. */
 const stepsLoadMs = 2000;
 
 function assertBackoffRespected(t: Test, server: ServerStandin): void {
-	t.ok(server.refusals.length > 0, `${server.serverId} has asked for rest`);
+	t.ok(server.refusals.length > 0, `${server.serverId} has asked for a backoff`);
 	const maxCount = server.maxDuringBackoff(graceMs);
-	t.ok(maxCount <= maxDuringBackoff, `${server.serverId}: ${maxCount} from one host while it rests, allowed ${maxDuringBackoff}`);
+	t.ok(maxCount <= maxDuringBackoff, `${server.serverId}: ${maxCount} from one host during its backoff, allowed ${maxDuringBackoff}`);
 }
 
-t.test('an upstream that asks for rest', async t => {
+t.test('an upstream that asks for a backoff', async t => {
 	for (const [what, refusalPolicy] of [['all', {share: 1, retryAfter: '3'}], ['three in ten', {share: 0.3, retryAfter: '1.5'}]] as const) {
-		t.test(`as it turns ${what} away is left alone by that host, for each kind of call; others serve the rest`, async t => {
+		t.test(`when it refuses ${what} gets no requests from that host meanwhile, for each kind of call; others serve the remaining ones`, async t => {
 			const fleet = await makeLongTimeoutFleet(t);
 			const pools = [await fleet.addServers('plain', 4, 20), await fleet.addServers('model', 4), await fleet.addServers('stage', 3)];
 			const hosts = await addHosts(fleet, 3);
 			const loads = [load(hosts, withLongDeadline(plainCall), 40), load(hosts, withLongDeadline(streamOf), 20), load(hosts, withLongDeadline(stepsCall), 10, stepsLoadMs)];
 			await sleep(500);
 			for (const server of pools[2]) {
-				// Steps go to any worker that is free: each of them rests now and then.
+				// Steps are sent to any free worker, so each of them is in backoff now and then.
 				server.refusalPolicy = {...refusalPolicy, share: refusalPolicy.share / 2};
 			}
 
@@ -50,12 +51,12 @@
 				assertBackoffRespected(t, server);
 			}
 
-			// All workers of steps may rest at once.
+			// All workers of the steps may be in backoff at once, so steps may fail.
 			assertServed(t, answers.slice(0, 2).flat());
 		});
 	}
 
-	t.test('is used again once its rest is over', async t => {
+	t.test('is used again once its backoff is over', async t => {
 		const fleet = await makeFleet(t);
 		const [refusing, other] = await fleet.addServers('plain', 2, 20);
 		refusing.refusalPolicy = {share: 1, retryAfter: '1'};
@@ -63,12 +64,12 @@
 		await load(hosts, plainCall, 60, 1000);
 		refusing.refusalPolicy = undefined;
 		await load(hosts, plainCall, 60, 2000);
-		// How requests spread over sound servers is not even. That it is used shows where nobody else takes work.
+		// Requests are distributed unevenly over healthy servers. That it is used shows if no other one accepts work.
 		other.refusalPolicy = {share: 1};
 		assertServed(t, await load(hosts, plainCall, 60, 1000));
 	});
 
-	t.test('beside others that all do leaves callers a quick refusal, and is used once it takes work again', async t => {
+	t.test('causes quick refusals if all others do so as well, and is used once it accepts work again', async t => {
 		const fleet = await makeFleet(t);
 		const servers = await fleet.addServers('plain', 3, 20);
 		for (const server of servers) {
@@ -89,7 +90,7 @@
 		assertServed(t, await load(hosts, plainCall, 40, 500));
 	});
 
-	t.test('leaves its route the other pool that it has', async t => {
+	t.test('does not keep its route from using another pool', async t => {
 		const fleet = await makeFleet(t);
 		const config = configOf(2);
 		const trafficSplit = [{backend: 'plain', weightVal: 3}, {backend: 'spare', weightVal: 1}];
@@ -104,10 +105,10 @@
 		const [host] = await addHosts(fleet, 1);
 		const answers = await load([host], plainCall, 40, 1000);
 		t.equal(refusing.refusals.length, 1);
-		t.ok(answers.filter(({status}) => status !== 200).length <= 1, 'only the caller that was refused before the rest was known');
+		t.ok(answers.filter(({status}) => status !== 200).length <= 1, 'only the caller that was refused before the backoff was known');
 	});
 
-	t.test('in words that can\'t be read costs nothing but a line', async t => {
+	t.test('with a malformed value causes a log line and has no other effect', async t => {
 		const fleet = await makeFleet(t);
 		const malformed = ['abc', '-3', 'Wed, 21 Oct 2026 07:28:00 GMT', '', '1,2', '1e9', '0x10', 'Infinity'];
 		const servers = await fleet.addServers('plain', malformed.length + 4, 20);
@@ -120,11 +121,11 @@
 		assertServed(t, answers);
 		for (const server of servers) {
 			const logged = host.lines.filter(line => line.includes('asks for a rest that can\'t be read') && line.includes(`"${server.serverId}"`));
-			t.equal(logged.length, Math.min(1, server.refusals.length), 'lines of one upstream');
+			t.equal(logged.length, Math.min(1, server.refusals.length), 'log lines of one upstream');
 		}
 	});
 
-	t.test('for longer than anybody can wait, or for none, is taken at its word', async t => {
+	t.test('of an extremely long time, or of none, gets exactly that', async t => {
 		const fleet = await makeFleet(t);
 		const [unboundedBackoff, zeroBackoff] = await fleet.addServers('plain', 3, 20);
 		unboundedBackoff.refusalPolicy = {share: 1, retryAfter: '9'.repeat(400)};
--- a/test/platform/server-limit.test.ts
+++ b/test/platform/server-limit.test.ts
@@ -1,9 +1,10 @@
 /**
-Upstreams that name a limit in their answers, before real entries.
+Tests upstreams that announce a rate limit in their responses, with real hosts.
 
-Seen: engines that had named a limit of 1 request a second went on to get what all others got, 12 to 17 in 4 s; nothing of what
-callers saw told of it. Cause: no host read the limit; each host counts for itself, though the limit is for all; and calls of steps asked
-for no bound of an upstream at all, not even while it was cold. Proof: the counts below, 34 to 97 in 4 s where 11 and 17 are allowed.
+Guards against ignored limits: engines that had announced a limit of 1 request per second still got as many requests as all others, 12 to 17
+in 4 s, and callers noticed nothing of it. Hosts did not read the limit; each host counts only its own requests, though the limit is for all
+of them; and calls of steps checked no bound of an upstream at all, not even while it was cold. The tests below then counted 34 to 97 in 4 s
+where 11 and 17 are allowed.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
@@ -12,13 +13,13 @@
 } from './direct-load.js';
 import type {ServerStandin} from './server-standin.js';
 
-/** The span over which arrivals are counted, and what is allowed in it: one and a half times the limit, and 5 besides. */
+/** Span in which arrivals are counted, and the maximum number in it: 1.5 times the limit plus 5. */
 const spanMs = 4000;
 const maxArrivalsAt = (limitPerS: number) => (1.5 * limitPerS * (spanMs / 1000)) + 5;
-/** All hosts heed a limit this long after an answer named it first. */
+/** Time after the first announcement of a limit from which all hosts apply it. */
 const appliedWithinMs = 1000;
 
-/** Most arrivals in the span, from when all hosts heed the limit. */
+/** Maximum arrivals in any such span, from when all hosts apply the limit. */
 const maxArrivalsOf = (server: ServerStandin) => server.maxWithin(spanMs, (server.arrivedMs.at(0) ?? 0) + appliedWithinMs);
 
 function assertWithinLimit(t: Test, server: ServerStandin, limitPerS: number): void {
@@ -26,8 +27,8 @@
 	t.ok(maxCount <= maxArrivalsAt(limitPerS), `${server.serverId}: ${maxCount} in 4 s, allowed ${maxArrivalsAt(limitPerS)}`);
 }
 
-t.test('an upstream that names a limit', async t => {
-	t.test('gets no more plain calls and streams than it names, from all hosts together; others serve the rest', async t => {
+t.test('an upstream that announces a limit', async t => {
+	t.test('gets no more plain calls and streams than its limit allows, from all hosts together; others serve the remaining ones', async t => {
 		const fleet = await makeFleet(t);
 		const [plain] = await fleet.addServers('plain', 4);
 		const [engine] = await fleet.addServers('model', 4);
@@ -43,7 +44,7 @@
 		assertServed(t, [...calls, ...streams]);
 	});
 
-	t.test('gets no more calls of steps and releases than it names', async t => {
+	t.test('gets no more calls of steps and releases than its limit allows', async t => {
 		const fleet = await makeFleet(t);
 		await fleet.addServers('model', 2);
 		const [worker] = await fleet.addServers('stage', 3);
@@ -53,7 +54,7 @@
 		assertServed(t, answers);
 	});
 
-	t.test('gets no more from a host that starts amid it', async t => {
+	t.test('gets no more if another host starts meanwhile', async t => {
 		const fleet = await makeFleet(t);
 		const [limited] = await fleet.addServers('model', 3);
 		limited.limit = '1';
@@ -67,7 +68,7 @@
 		assertWithinLimit(t, limited, 1);
 	});
 
-	t.test('beside others that do serves what it names; the rest is refused at once, as not run', async t => {
+	t.test('serves up to its limit if all others have one as well; other requests are refused at once, as not run', async t => {
 		const fleet = await makeFleet(t);
 		const servers = await fleet.addServers('plain', 3);
 		for (const server of servers) {
@@ -77,7 +78,7 @@
 		const answers = await load(await addHosts(fleet, 3), plainCall, 40);
 		for (const server of servers) {
 			assertWithinLimit(t, server, 2);
-			t.ok(maxArrivalsOf(server) >= 4, `${maxArrivalsOf(server)} in 4 s: half of what it names at least`);
+			t.ok(maxArrivalsOf(server) >= 4, `${maxArrivalsOf(server)} in 4 s: at least half of its limit`);
 		}
 
 		const refused = answers.filter(({status}) => status === 503);
@@ -87,7 +88,7 @@
 		t.ok(refused.every(({headers}) => /^[\d.]+$/v.test(String(headers['retry-after']))));
 	});
 
-	t.test('gets its usual part again once it names none any more', async t => {
+	t.test('gets its typical share again once it announces no limit', async t => {
 		const fleet = await makeFleet(t);
 		const [limited] = await fleet.addServers('model', 2);
 		limited.limit = '1';
@@ -101,10 +102,10 @@
 			assertServed(t, await load(hosts, streamOf, 30, 1000));
 		}
 
-		t.ok(isBack(), 'it gets work as before');
+		t.ok(isBack(), 'it gets as much work as before');
 	});
 
-	t.test('that can\'t be read costs nothing but a line', async t => {
+	t.test('that is malformed causes a log line and has no other effect', async t => {
 		const fleet = await makeFleet(t);
 		const servers = await fleet.addServers('plain', 9);
 		const malformed = ['abc', '-3', 'NaN', '9'.repeat(400), '', '1,2', '1e999', '0x10', 'Infinity'];
@@ -117,13 +118,13 @@
 		t.equal(countServed(answers), answers.length);
 		for (const server of servers) {
 			const logged = host.lines.filter(line => line.includes('names a limit that can\'t be read') && line.includes(`"${server.serverId}"`));
-			t.equal(logged.length, Math.min(1, server.arrivedMs.length), 'lines of one upstream');
+			t.equal(logged.length, Math.min(1, server.arrivedMs.length), 'log lines of one upstream');
 		}
 	});
 });
 
-t.test('a pool whose upstreams all name limits', async t => {
-	t.test('gets no steps done for what it can\'t take', async t => {
+t.test('a pool whose upstreams all announce limits', async t => {
+	t.test('causes no steps to run for requests that it can\'t accept', async t => {
 		const fleet = await makeFleet(t);
 		const engines = await fleet.addServers('model', 3);
 		for (const engine of engines) {
--- a/test/platform/server-restart.test.ts
+++ b/test/platform/server-restart.test.ts
@@ -1,11 +1,11 @@
-/** A server that starts again under the id that it had, before real entries: nothing of its earlier life counts. */
+/** Tests a server that restarts under the same id, with real hosts: nothing known of its former process may count. */
 import t, {type Test} from 'tap';
 import {
 	sendRequest, DirectFleet, waitUntil, type RunningEntry,
 } from './direct-harness.js';
 import {ServerStandin} from './server-standin.js';
 
-/** A fleet with one server that tells when it started, and an entry that has met it. */
+/** Creates a fleet with one server whose entry states its start time, and a host that knows this server. */
 async function makeFleet(t: Test, pool: string) {
 	const fleet = await DirectFleet.create();
 	t.teardown(() => {
@@ -22,7 +22,7 @@
 	return lines.some(line => texts.every(text => line.includes(text)));
 }
 
-/** The server starts again, at another address. */
+/** Restarts the server at another address. */
 async function restart(t: Test, {fleet, entry}: {readonly fleet: DirectFleet; readonly entry: RunningEntry}, {serverId}: ServerStandin, pool: string): Promise<ServerStandin> {
 	const restarted = await ServerStandin.create(serverId);
 	t.teardown(() => {
@@ -33,14 +33,14 @@
 	return restarted;
 }
 
-t.test('a later start is served though the one before was leaving, and no late entry brings that one back', async t => {
+t.test('a restarted server is used though its former process was leaving, and a delayed entry does not bring that one back', async t => {
 	const {fleet, first, entry} = await makeFleet(t, 'plain');
 	fleet.store.put('servers', first.serverId, {...first.entry('plain', 'draining'), born: 1000});
 	await waitUntil(() => hasLine(entry, '"leaving"'));
 	t.equal((await sendRequest(entry, {path: '/look/x', id: 'a', deadlineMs: 300})).status, 503);
 	const again = await restart(t, {fleet, entry}, first, 'plain');
 	t.equal((await sendRequest(entry, {path: '/look/x', id: 'b'})).status, 200);
-	t.same(again.seen.map(({headers}) => headers['expect-instance']), [first.serverId], 'it is called by the id that it tells');
+	t.same(again.seen.map(({headers}) => headers['expect-instance']), [first.serverId], 'requests carry the id of its entry');
 	fleet.store.put('servers', first.serverId, {...first.entry('plain'), born: 1000});
 	fleet.store.put('servers', 'other', {...again.entry('none'), born: 1});
 	await waitUntil(() => hasLine(entry, '"other@1"'));
--- a/test/platform/server-standin.ts
+++ b/test/platform/server-standin.ts
@@ -1,54 +1,54 @@
-/** Stand-ins of the platform's servers: plain services, model servers and stage servers, with faults to order. */
+/** Stand-in for the platform's servers: plain services, model servers and stage servers, with faults that a test selects. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {z} from 'zod';
 import {readBody, sendJson, StandinServer} from '../../src/standins/node/standin-server.js';
 
-/** A request as a server saw it. */
+/** A request as a server received it. */
 export type SeenRequest = {readonly id: string; readonly method: string; readonly path: string; readonly headers: IncomingMessage['headers']; readonly body: string};
 
-/** Which requests a server turns away as not run. */
+/** Which requests a server refuses as not run. */
 export type RefusalPolicy = {
-	/** Part of its requests. */
+	/** Share of its requests that it refuses. */
 	readonly share: number;
-	/** Value of the answers' `Retry-After`; none where absent. */
+	/** Value of the header `Retry-After` of refusals; they have no such header if absent. */
 	readonly retryAfter?: string;
 };
 
-/** A request that was turned away: by which host it was sent, and until when the server wants no more from that host. */
+/** A refused request: the host that sent it, and the end of the backoff that the server asked this host for. */
 type Refusal = {readonly host: string; readonly atMs: number; readonly untilMs: number};
 
-/** What a server does with the next requests. */
+/** Fault of a server for the next requests. */
 export type Fault
 	= | 'none'
-	/** Says that it did not run the request. */
+	/** Refuses the request as not run. */
 		| 'full'
-	/** Runs the request and answers with an error. */
+	/** Runs the request and responds with an error. */
 		| 'error'
-	/** Runs the request and cuts the connection. */
+	/** Runs the request and resets the connection. */
 		| 'reset'
-	/** Never answers. */
+	/** Never responds. */
 		| 'silent'
-	/** Answers in the name of another request. */
+	/** Responds with the id of another request. */
 		| 'foreign'
-	/** Answers without a length and cuts the connection in the middle. */
+	/** Sends half of a response without a length and resets the connection. */
 		| 'unframedReset'
-	/** Answers without a length and closes the connection in order in the middle. */
+	/** Sends half of a response without a length and closes the connection normally. */
 		| 'unframedClose'
-	/** Answers in chunks and closes the connection in order before the last one. */
+	/** Responds in chunks and closes the connection normally before the last one. */
 		| 'chunkedClose'
-	/** The same with a reset. */
+	/** Responds in chunks and resets the connection before the last one. */
 		| 'chunkedReset'
-	/** Streams two events and cuts the connection inside the third. */
+	/** Streams two events and resets the connection within the third. */
 		| 'cutStream'
-	/** Says that a result it was to read is lost. */
+	/** Reports that a result it needs is lost. */
 		| 'inputsGone';
 
 const freeSchema = z.object({sessions: z.array(z.string())});
 const runSchema = z.object({entries: z.array(z.record(z.string(), z.unknown()))});
 const eventCount = 5;
 
-/** Half an answer, and the end of its connection. */
+/** Sends half of a response and ends its connection as the fault says. */
 async function sendPartialResponse(request: IncomingMessage, id: string, fault: Fault): Promise<void> {
 	const framing = fault.startsWith('chunked') ? 'Transfer-Encoding: chunked\r\nConnection: close\r\n' : '';
 	const body = framing === '' ? 'half of it' : 'a\r\nhalf of it\r\n';
@@ -61,18 +61,18 @@
 	}
 }
 
-/** The host that sent a request, as the ids of a load tell; calls of steps and releases come from the one host that batches their pool. */
+/** Returns the host that sent a request, from the request ids of a load. Calls of steps and releases have no such id; they come from the one host that batches their pool. */
 function hostOf({headers}: IncomingMessage): string {
 	return String(headers['attempt-id'] ?? '').split('@')[1] ?? 'batches';
 }
 
-/** A server with an id that is new at each start. */
+/** A server whose id is new at each start. */
 export class ServerStandin {
 	/**
 	Starts a server.
 	@param serverId - its id.
-	@param stepMs - time of an event of a stream, or of an answer.
-	@param hall - where it stands.
+	@param stepMs - milliseconds for each event of a stream, or for a response.
+	@param hall - data hall of the server.
 	*/
 	static async create(serverId: string, stepMs = 2, hall = 'hall-a'): Promise<ServerStandin> {
 		const standin = new ServerStandin(serverId, stepMs, hall);
@@ -81,37 +81,37 @@
 	}
 
 	fault: Fault = 'none';
-	/** A request with this body ends the server as soon as it runs; nothing listens at its address from then on. */
+	/** A request with this body crashes the server when it runs; nothing listens at its address from then on. */
 	crashesOnBody: string | undefined;
-	/** The same for a call of stage work with a piece of this key. */
+	/** A call of stage work with a piece of this key crashes the server in the same way. */
 	crashesOnPieceKey: string | undefined;
 	hasCrashed = false;
 	readonly seen: SeenRequest[] = [];
-	/** Calls of stage work, each with its pieces. */
+	/** Received calls of stage work, each with its pieces. */
 	readonly stageCalls: Array<ReadonlyArray<Record<string, unknown>>> = [];
 	readonly releasedResults: string[] = [];
-	/** While it is cold, it ends once more requests than this come within a second. */
+	/** While the server is cold, it crashes once it gets more requests than this within a second. */
 	maxPerSecondWhileCold = Infinity;
-	/** How much longer it is cold, as its entry tells. */
+	/** Time for which the server is still cold according to its entry. */
 	coldLeftMs = 0;
-	/** What all its answers name as the requests a second that it takes from all hosts together. */
+	/** Limit that all responses announce: requests per second that the server accepts from all hosts together. */
 	limit: string | undefined;
-	/** When requests came, those it rejects included. */
+	/** Arrival times of requests, including refused ones. */
 	readonly arrivedMs: number[] = [];
-	/** Which requests it turns away, releases of results included. */
+	/** Which requests the server refuses, including releases of results. */
 	refusalPolicy: RefusalPolicy | undefined;
-	/** Requests that it turned away. */
+	/** Requests refused so far. */
 	readonly refusals: Refusal[] = [];
-	/** Called with each request that comes, before it is looked at. */
+	/** Called for each request before it is handled. */
 	onArrival: (() => void) | undefined;
-	/** When an answer first said that it leaves. */
+	/** Time of the first response that reported that the server is leaving. */
 	leavingReportedMs: number | undefined;
-	/** Calls of stage work are answered once this has ended. */
+	/** Calls of stage work get a response only after this promise is resolved. */
 	stageGate: Promise<void> | undefined;
-	/** Requests whose connection closed before their answer was whole. */
+	/** Number of requests whose connection closed before their response was complete. */
 	closedEarlyCount = 0;
 	private isLeaving = false;
-	/** When requests came, by the host that sent them. */
+	/** Arrival times of requests, with the host that sent them. */
 	private readonly arrivals: Array<{readonly host: string; readonly atMs: number}> = [];
 	private accumulatedShare = 0;
 	private server!: StandinServer;
@@ -123,22 +123,22 @@
 		return new URL(this.server.origin).host;
 	}
 
-	/** The entry that a server of this kind keeps in the store. */
+	/** Returns the entry that the server has in the store. */
 	entry(pool: string, phase: 'ready' | 'draining' = 'ready') {
 		return {
 			backend: pool, address: this.address, availZone: this.hall, generationNum: 'v1', slotCount: 4, phase, coldLeftMs: this.coldLeftMs, callSeq: 1,
 		};
 	}
 
-	/** Most requests that came within any one second. */
+	/** Maximum number of requests that arrived within any second. */
 	get maxInOneSecond(): number {
 		return this.maxWithin(1000, -Infinity);
 	}
 
 	/**
-	Tells how many requests came at most within any span.
-	@param spanMs - its length.
-	@param sinceMs - what came before does not count.
+	Returns the maximum number of requests that arrived within any span of the given length.
+	@param spanMs - length of the span.
+	@param sinceMs - earlier arrivals do not count.
 	*/
 	maxWithin(spanMs: number, sinceMs: number): number {
 		const countedMs = this.arrivedMs.filter(atMs => atMs >= sinceMs);
@@ -146,8 +146,8 @@
 	}
 
 	/**
-	Tells how many requests came at most from one host while it had been asked for rest.
-	@param graceMs - the rest counts from this long after the answer that asked for it.
+	Returns the maximum number of requests that arrived from one host during a backoff that the server had asked it for.
+	@param graceMs - time after the response that asked for the backoff in which requests do not count.
 	*/
 	maxDuringBackoff(graceMs: number): number {
 		const counts = this.refusals.map(({host, atMs, untilMs}) => {
@@ -157,7 +157,7 @@
 		return Math.max(0, ...counts);
 	}
 
-	/** From now on all its answers say that it leaves; its entry in the store stays as it is. */
+	/** From now on all responses report that the server is leaving; its entry in the store stays unchanged. */
 	reportLeaving(): void {
 		this.isLeaving = true;
 	}
@@ -207,7 +207,7 @@
 		}
 	}
 
-	/** The part that is turned away is spread evenly over the requests. */
+	/** Returns whether to refuse the next request, so that refusals are distributed evenly over the requests. */
 	private shouldRefuse(): boolean {
 		this.accumulatedShare += this.refusalPolicy?.share ?? 0;
 		const isRefused = this.accumulatedShare >= 1;
--- a/test/platform/slow-pool.test.ts
+++ b/test/platform/slow-pool.test.ts
@@ -1,8 +1,8 @@
 /**
-Workers that all take longer than declared, before real entries.
+Tests a pool whose workers all take longer than declared, with real hosts.
 
-Seen: with all workers of a pool three times slower than declared, 705 requests of 15 seconds were refused at the door, while all four workers
-stood idle and nothing waited.
+Guards against refusals while workers are idle: with all workers of a pool three times slower than declared, 705 requests within 15 seconds
+were refused on admission, while all four workers were idle and nothing was queued.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t from 'tap';
@@ -10,12 +10,12 @@
 	sendRequest, DirectFleet, streamCall, type CallerResponse, type RunningEntry,
 } from './direct-harness.js';
 
-/** The harness declares 20 ms a call and 2 ms a piece. */
+/** The harness declares 20 ms per call and 2 ms per piece. */
 const callDurationMs = 60;
 const requestCount = 40;
 const requestIntervalMs = 100;
 
-t.test('a pool whose workers all take three times as long as declared serves what is asked of it', async t => {
+t.test('a pool whose workers all take three times as long as declared serves its load', async t => {
 	for (const hostCount of [1, 3]) {
 		const fleet = await DirectFleet.create();
 		t.teardown(() => {
--- a/test/platform/store-standin.ts
+++ b/test/platform/store-standin.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's store: rows with one rising revision, read whole or as they change. */
+/** Stand-in for the platform's store: rows with one increasing revision; serves all rows of a table, or holds calls until rows change. */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {StandinServer, sendJson} from '../../src/standins/node/standin-server.js';
@@ -6,10 +6,10 @@
 type Row = {readonly tableName: string; readonly tlsKey: string; readonly val?: string; readonly verNum: number; readonly isGone?: boolean};
 type HeldCall = {readonly table: string; readonly since: number; readonly response: ServerResponse; readonly timer: NodeJS.Timeout};
 
-/** How the store behaves. */
+/** Whether the store responds as it should, refuses calls (`busy`), closes their connections (`reset`) or never responds (`silent`). */
 export type StoreMode = 'sound' | 'busy' | 'reset' | 'silent';
 
-/** Rows of the tables `op` and `servers`. */
+/** Stores the rows of the tables `op` and `servers`. */
 export class StoreStandin {
 	static async create(): Promise<StoreStandin> {
 		const store = new StoreStandin();
@@ -44,7 +44,7 @@
 		});
 	}
 
-	/** Forgets all changes so far; held calls are told so. */
+	/** Drops the history of changes; held calls get status 410. */
 	forgetHistory(): void {
 		this.oldestRevision = this.revision;
 		for (const held of this.held) {
