--- a/test/platform/bundled-program.test.ts
+++ b/test/platform/bundled-program.test.ts
@@ -1,19 +1,19 @@
-/** The program as it is deployed: bundled, with its compiled code beside it, run as a process of its own. */
+/** Runs the program as it is deployed: bundled, with its compiled code beside it, in a process of its own. */
 import {spawn, spawnSync} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
 import {fileURLToPath} from 'node:url';
 import t, {type Test} from 'tap';
 import {z} from 'zod';
-import {ask, configOf, until} from './direct-harness.js';
+import {sendRequest, configOf, waitUntil} from './direct-harness.js';
 import {StoreStandin} from './store-standin.js';
-import {ServerStandin} from './upstream-standins.js';
+import {ServerStandin} from './server-standin.js';
 
-const top = fileURLToPath(new URL('../../..', import.meta.url));
+const projectRoot = fileURLToPath(new URL('../../..', import.meta.url));
 const startedMessage = 'The entry has started.';
 const lineSchema = z.looseObject({message: z.string(), callers: z.string().optional()});
 
-/** The file as the platform lays it for a host that is alone. */
+/** Returns the settings file that the platform writes for a single host. */
 function settingsOf(storePort: number) {
 	return {
 		nodeName: 'entry-1',
@@ -30,34 +30,34 @@
 	};
 }
 
-/** Makes the program and runs it; it ends with the test. */
+/** Bundles and starts the program; it is killed at the end of the test. */
 function runProgram(t: Test, storePort: number) {
 	const folder = t.testdir({settings: JSON.stringify(settingsOf(storePort))});
-	const built = spawnSync(process.execPath, ['scripts/bundle.js', folder], {cwd: top, encoding: 'utf8'});
+	const built = spawnSync(process.execPath, ['scripts/bundle.js', folder], {cwd: projectRoot, encoding: 'utf8'});
 	t.equal(built.status, 0, built.stderr);
 	process.env.PUMICEHATCH_BOOT = `${folder}/settings`;
 	process.env.PUMICEHATCH_WIRE_SECRET = 'a secret of the test';
 	const child = spawn(process.execPath, [`${folder}/main.cjs`], {stdio: ['ignore', 'pipe', 'pipe']});
 	t.teardown(() => child.kill('SIGKILL'));
 	let output = '';
-	const gather = (piece: unknown) => {
-		output += String(piece);
+	const appendOutput = (chunk: unknown) => {
+		output += String(chunk);
 	};
 
-	child.stdout.on('data', gather);
-	child.stderr.on('data', gather);
+	child.stdout.on('data', appendOutput);
+	child.stderr.on('data', appendOutput);
 	return {child, exit: once(child, 'exit'), readOutput: () => output};
 }
 
-/** Where callers connect, as the line of the start tells. */
-function callersOf(output: string) {
+/** Reads the endpoint for callers from the log line of the start. */
+function callerEndpointOf(output: string) {
 	const started = output.split('\n').filter(line => line.startsWith('{')).map(line => lineSchema.parse(JSON.parse(line)))
 		.find(({message}) => message === startedMessage);
 	const [address, port] = started!.callers!.split(':');
 	return {address, port: Number(port)};
 }
 
-t.test('the bundled program takes its compiled code and serves from store and servers', async t => {
+t.test('the bundled program uses its compiled code and serves requests with store and servers', async t => {
 	const store = await StoreStandin.create();
 	const server = await ServerStandin.create('plain-0');
 	t.teardown(() => {
@@ -68,10 +68,10 @@
 	store.put('servers', server.serverId, server.entry('plain'));
 
 	const {child, exit, readOutput} = runProgram(t, store.port);
-	await until(() => [server.serverId, startedMessage, 'in force'].every(text => readOutput().includes(text)));
-	const answer = await ask({callers: callersOf(readOutput())}, {path: '/look/1'});
+	await waitUntil(() => [server.serverId, startedMessage, 'in force'].every(text => readOutput().includes(text)));
+	const answer = await sendRequest({callers: callerEndpointOf(readOutput())}, {path: '/look/1'});
 	t.equal(answer.status, 200);
 	t.notMatch(readOutput(), /code cache was rejected/v);
 	child.kill('SIGTERM');
-	t.same(await exit, [0, null], 'it ends by itself, by no signal');
+	t.same(await exit, [0, null], 'it exits by itself, not by a signal');
 });
--- a/test/platform/refusing-server.test.ts
+++ b/test/platform/refusing-server.test.ts
@@ -1,22 +1,23 @@
 /**
-Upstreams that turn requests away without asking for rest, before real entries.
+Tests upstreams that refuse requests without asking for a backoff, with real hosts.
 
-Seen: one of four upstreams refused each request at once; in 9 s it got 358 of the sends, and 260 of 541 callers were refused, though the other three could
-serve ten times what was asked. Cause: a refusal frees its upstream at once, so that least in flight and the reading time prefer it, and two or three tries of a request are used up
-on it; no choice took refusals into account. Proof: the counts below, 250 of 312 callers served and 106 sends to it in four seconds.
+Guards against refusing upstreams that attract requests: one of four upstreams refused each request at once; in 9 s it got 358 of the sends,
+and 260 of 541 callers were refused, though the other three could serve ten times the load. A refusal frees its upstream at once, so that the
+selection by requests in flight and by prefill time prefers it, and a request spends two or three attempts on it; no selection considered
+refusals. The tests below then counted 250 of 312 callers served and 106 sends to the upstream in four seconds.
 */
 import t, {type Test} from 'tap';
 import type {RunningEntry} from './direct-harness.js';
 import {
-	addHosts, areServed, load, makePatientFleet, patient, plainCall, stepsCall, streamOf, type MakeCall,
+	addHosts, assertServed, load, makeLongTimeoutFleet, withLongDeadline, plainCall, stepsCall, streamOf, type MakeCall,
 } from './direct-load.js';
-import type {ServerStandin, TurnAway} from './upstream-standins.js';
+import type {ServerStandin, RefusalPolicy} from './server-standin.js';
 
 const hostCount = 3;
 const loadMs = 5200;
-const firstMs = 1000;
-const backWithinMs = 5000;
-const againMs = 4000;
+const detectionMs = 1000;
+const recoveryMs = 5000;
+const secondLoadMs = 4000;
 
 type Kind = {readonly what: string; readonly pool: string; readonly stepMs: number; readonly perS: number; readonly makeCall: MakeCall};
 
@@ -32,22 +33,22 @@
 	},
 ];
 
-/** A server that refuses all is tried once a second by each host after the first second; one host batches the steps of a pool. */
-function isSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, beganMs}: {readonly forMs: number; readonly beganMs: number}): void {
-	const sinceMs = Math.max(beganMs, server.arrivedMs.find(atMs => atMs >= beganMs) ?? 0) + firstMs;
+/** Asserts that after the first second each host tries a server that refuses all requests once per second at most. The steps of a pool are batched by one host. */
+function assertSeldomTried(t: Test, server: ServerStandin, {pool}: Kind, {forMs, startMs}: {readonly forMs: number; readonly startMs: number}): void {
+	const sinceMs = Math.max(startMs, server.arrivedMs.find(atMs => atMs >= startMs) ?? 0) + detectionMs;
 	const count = server.arrivedMs.filter(atMs => atMs > sinceMs).length;
-	const most = (forMs / 1000) * (pool === 'stage' ? 1 : hostCount);
-	t.ok(count <= most, `${server.serverId} got ${count} after the first second, allowed ${most}`);
+	const maxCount = (forMs / 1000) * (pool === 'stage' ? 1 : hostCount);
+	t.ok(count <= maxCount, `${server.serverId} got ${count} after the first second, allowed ${maxCount}`);
 }
 
-/** Four servers for each kind of call, the first of which refuse. */
-async function makePools(t: Test, turnsAway: readonly TurnAway[]) {
-	const fleet = await makePatientFleet(t);
+/** Adds four servers for each kind of request; the first ones get the given policies. */
+async function makePools(t: Test, refusalPolicies: readonly RefusalPolicy[]) {
+	const fleet = await makeLongTimeoutFleet(t);
 	const servers = new Map<Kind, readonly ServerStandin[]>();
 	for (const kind of kinds) {
 		const pool = await fleet.addServers(kind.pool, 4, kind.stepMs);
-		for (const [index, each] of turnsAway.entries()) {
-			pool[index].turnsAway = each;
+		for (const [index, each] of refusalPolicies.entries()) {
+			pool[index].refusalPolicy = each;
 		}
 
 		servers.set(kind, pool);
@@ -58,51 +59,51 @@
 
 /** Loads all pools at once. */
 async function loadAll(hosts: readonly RunningEntry[], forMs = loadMs) {
-	return Promise.all(kinds.map(async ({makeCall, perS}) => load(hosts, patient(makeCall), perS, forMs)));
+	return Promise.all(kinds.map(async ({makeCall, perS}) => load(hosts, withLongDeadline(makeCall), perS, forMs)));
 }
 
-t.test('an upstream that refuses draws no requests, and none of their callers is refused', async t => {
+t.test('an upstream that refuses does not attract requests, and no caller is refused', async t => {
 	for (const share of [1, 0.5, 0.1]) {
 		t.test(`one of four refuses ${share} of its requests`, async t => {
 			const {servers, hosts} = await makePools(t, [{share}]);
 			for (const answers of await loadAll(hosts)) {
-				areServed(t, answers);
+				assertServed(t, answers);
 			}
 
 			if (share === 1) {
 				for (const [kind, [refusing]] of servers) {
-					isSeldomTried(t, refusing, kind, {forMs: loadMs, beganMs: 0});
+					assertSeldomTried(t, refusing, kind, {forMs: loadMs, startMs: 0});
 				}
 			}
 		});
 	}
 
-	t.test('two of four refuse all; both get work again once they take it', async t => {
+	t.test('two of four refuse all; both get work again once they accept it', async t => {
 		const {servers, hosts} = await makePools(t, [{share: 1}, {share: 1, retryAfter: '0'}]);
 		for (const answers of await loadAll(hosts, 2000)) {
-			areServed(t, answers);
+			assertServed(t, answers);
 		}
 
 		for (const server of [...servers.values()].flat()) {
-			server.turnsAway = undefined;
+			server.refusalPolicy = undefined;
 		}
 
-		await loadAll(hosts, backWithinMs - 1000);
-		// How requests spread over sound servers is not even. That they are no longer avoided shows where the others refuse: these draw no requests.
-		const beganMs = performance.now();
+		await loadAll(hosts, recoveryMs - 1000);
+		// Requests are distributed unevenly over healthy servers. That the two are no longer avoided shows if the others refuse and attract no requests.
+		const startMs = performance.now();
 		for (const pool of servers.values()) {
 			for (const other of pool.slice(2)) {
-				other.turnsAway = {share: 1};
+				other.refusalPolicy = {share: 1};
 			}
 		}
 
-		for (const answers of await loadAll(hosts, againMs)) {
-			areServed(t, answers);
+		for (const answers of await loadAll(hosts, secondLoadMs)) {
+			assertServed(t, answers);
 		}
 
 		for (const [kind, pool] of servers) {
 			for (const other of pool.slice(2)) {
-				isSeldomTried(t, other, kind, {forMs: againMs, beganMs});
+				assertSeldomTried(t, other, kind, {forMs: secondLoadMs, startMs});
 			}
 		}
 	});
--- a/test/platform/upstream-standins.ts
+++ b/test/platform/server-standin.ts
@@ -1,55 +1,55 @@
-/** Stand-ins of the platform's servers: plain services, model servers and stage servers, with faults to order. */
+/** Stand-in for the platform's servers: plain services, model servers and stage servers, with faults that a test selects. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {z} from 'zod';
 import {readBody, sendJson, StandinServer} from '../../src/standins/node/standin-server.js';
 
-/** A request as a server saw it. */
+/** A request as a server received it. */
 export type SeenRequest = {readonly id: string; readonly method: string; readonly path: string; readonly headers: IncomingMessage['headers']; readonly body: string};
 
-/** Which requests a server turns away as not run. */
-export type TurnAway = {
-	/** Part of its requests. */
+/** Which requests a server refuses as not run. */
+export type RefusalPolicy = {
+	/** Share of its requests that it refuses. */
 	readonly share: number;
-	/** Value of the answers' `Retry-After`; none where absent. */
+	/** Value of the header `Retry-After` of refusals; they have no such header if absent. */
 	readonly retryAfter?: string;
 };
 
-/** A request that was turned away: by which host it was sent, and until when the server wants no more from that host. */
+/** A refused request: the host that sent it, and the end of the backoff that the server asked this host for. */
 type Refusal = {readonly host: string; readonly atMs: number; readonly untilMs: number};
 
-/** What a server does with the next requests. */
+/** Fault of a server for the next requests. */
 export type Fault
 	= | 'none'
-	/** Says that it did not run the request. */
+	/** Refuses the request as not run. */
 		| 'full'
-	/** Runs the request and answers with an error. */
+	/** Runs the request and responds with an error. */
 		| 'error'
-	/** Runs the request and cuts the connection. */
+	/** Runs the request and resets the connection. */
 		| 'reset'
-	/** Never answers. */
+	/** Never responds. */
 		| 'silent'
-	/** Answers in the name of another request. */
+	/** Responds with the id of another request. */
 		| 'foreign'
-	/** Answers without a length and cuts the connection in the middle. */
+	/** Sends half of a response without a length and resets the connection. */
 		| 'unframedReset'
-	/** Answers without a length and closes the connection in order in the middle. */
+	/** Sends half of a response without a length and closes the connection normally. */
 		| 'unframedClose'
-	/** Answers in chunks and closes the connection in order before the last one. */
+	/** Responds in chunks and closes the connection normally before the last one. */
 		| 'chunkedClose'
-	/** The same with a reset. */
+	/** Responds in chunks and resets the connection before the last one. */
 		| 'chunkedReset'
-	/** Streams two events and cuts the connection inside the third. */
+	/** Streams two events and resets the connection within the third. */
 		| 'cutStream'
-	/** Says that a result it was to read is lost. */
+	/** Reports that a result it needs is lost. */
 		| 'inputsGone';
 
 const freeSchema = z.object({sessions: z.array(z.string())});
 const runSchema = z.object({entries: z.array(z.record(z.string(), z.unknown()))});
 const eventCount = 5;
 
-/** Half an answer, and the end of its connection. */
-async function breakOff(request: IncomingMessage, id: string, fault: Fault): Promise<void> {
+/** Sends half of a response and ends its connection as the fault says. */
+async function sendPartialResponse(request: IncomingMessage, id: string, fault: Fault): Promise<void> {
 	const framing = fault.startsWith('chunked') ? 'Transfer-Encoding: chunked\r\nConnection: close\r\n' : '';
 	const body = framing === '' ? 'half of it' : 'a\r\nhalf of it\r\n';
 	request.socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Stamp: s\r\n${framing}\r\n${body}`);
@@ -61,61 +61,61 @@
 	}
 }
 
-/** The host that sent a request, as the ids of a load tell; calls of steps and releases come from the one host that batches their pool. */
+/** Returns the host that sent a request, from the request ids of a load. Calls of steps and releases have no such id; they come from the one host that batches their pool. */
 function hostOf({headers}: IncomingMessage): string {
 	return String(headers['attempt-id'] ?? '').split('@')[1] ?? 'batches';
 }
 
-/** A server with an id that is new at each start. */
+/** A server whose id is new at each start. */
 export class ServerStandin {
 	/**
 	Starts a server.
 	@param serverId - its id.
-	@param stepMs - time of an event of a stream, or of an answer.
-	@param hall - where it stands.
+	@param stepMs - milliseconds for each event of a stream, or for a response.
+	@param hall - data hall of the server.
 	*/
 	static async create(serverId: string, stepMs = 2, hall = 'hall-a'): Promise<ServerStandin> {
 		const standin = new ServerStandin(serverId, stepMs, hall);
-		standin.server = await StandinServer.create(async (request, response) => standin.answer(request, response));
+		standin.server = await StandinServer.create(async (request, response) => standin.handleRequest(request, response));
 		return standin;
 	}
 
 	fault: Fault = 'none';
-	/** A request with this body ends the server as soon as it runs; nothing listens at its address from then on. */
-	endsOnBody: string | undefined;
-	/** The same for a call of stage work with a piece of this key. */
-	endsOnPieceKey: string | undefined;
-	hasEnded = false;
+	/** A request with this body crashes the server when it runs; nothing listens at its address from then on. */
+	crashesOnBody: string | undefined;
+	/** A call of stage work with a piece of this key crashes the server in the same way. */
+	crashesOnPieceKey: string | undefined;
+	hasCrashed = false;
 	readonly seen: SeenRequest[] = [];
-	/** Calls of stage work, each with its pieces. */
+	/** Received calls of stage work, each with its pieces. */
 	readonly stageCalls: Array<ReadonlyArray<Record<string, unknown>>> = [];
-	readonly freed: string[] = [];
-	/** While it is cold, it ends once more requests than this come within a second. */
-	mostWhileCold = Infinity;
-	/** How much longer it is cold, as its entry tells. */
+	readonly releasedResults: string[] = [];
+	/** While the server is cold, it crashes once it gets more requests than this within a second. */
+	maxPerSecondWhileCold = Infinity;
+	/** Time for which the server is still cold according to its entry. */
 	coldLeftMs = 0;
-	/** What all its answers name as the requests a second that it takes from all hosts together. */
+	/** Limit that all responses announce: requests per second that the server accepts from all hosts together. */
 	limit: string | undefined;
-	/** When requests came, those it rejects included. */
+	/** Arrival times of requests, including refused ones. */
 	readonly arrivedMs: number[] = [];
-	/** Which requests it turns away, releases of results included. */
-	turnsAway: TurnAway | undefined;
-	/** Requests that it turned away. */
+	/** Which requests the server refuses, including releases of results. */
+	refusalPolicy: RefusalPolicy | undefined;
+	/** Requests refused so far. */
 	readonly refusals: Refusal[] = [];
-	/** Called with each request that comes, before it is looked at. */
+	/** Called for each request before it is handled. */
 	onArrival: (() => void) | undefined;
-	/** When an answer first said that it leaves. */
-	saidLeavingMs: number | undefined;
-	/** Calls of stage work are answered once this has ended. */
+	/** Time of the first response that reported that the server is leaving. */
+	leavingReportedMs: number | undefined;
+	/** Calls of stage work get a response only after this promise is resolved. */
 	stageGate: Promise<void> | undefined;
-	/** Requests whose connection closed before their answer was whole. */
-	closedEarly = 0;
+	/** Number of requests whose connection closed before their response was complete. */
+	closedEarlyCount = 0;
 	private isLeaving = false;
-	/** When requests came, by the host that sent them. */
-	private readonly arrivedFromMs: Array<{readonly host: string; readonly atMs: number}> = [];
-	private awayShare = 0;
+	/** Arrival times of requests, with the host that sent them. */
+	private readonly arrivals: Array<{readonly host: string; readonly atMs: number}> = [];
+	private accumulatedShare = 0;
 	private server!: StandinServer;
-	private results = 0;
+	private resultCount = 0;
 
 	private constructor(readonly serverId: string, private readonly stepMs: number, readonly hall: string) {}
 
@@ -123,42 +123,42 @@
 		return new URL(this.server.origin).host;
 	}
 
-	/** The entry that a server of this kind keeps in the store. */
+	/** Returns the entry that the server has in the store. */
 	entry(pool: string, phase: 'ready' | 'draining' = 'ready') {
 		return {
 			backend: pool, address: this.address, availZone: this.hall, generationNum: 'v1', slotCount: 4, phase, coldLeftMs: this.coldLeftMs, callSeq: 1,
 		};
 	}
 
-	/** Most requests that came within any one second. */
-	get mostInOneSecond(): number {
-		return this.mostWithin(1000, -Infinity);
+	/** Maximum number of requests that arrived within any second. */
+	get maxInOneSecond(): number {
+		return this.maxWithin(1000, -Infinity);
 	}
 
 	/**
-	Tells how many requests came at most within any span.
-	@param spanMs - its length.
-	@param sinceMs - what came before does not count.
+	Returns the maximum number of requests that arrived within any span of the given length.
+	@param spanMs - length of the span.
+	@param sinceMs - earlier arrivals do not count.
 	*/
-	mostWithin(spanMs: number, sinceMs: number): number {
+	maxWithin(spanMs: number, sinceMs: number): number {
 		const countedMs = this.arrivedMs.filter(atMs => atMs >= sinceMs);
 		return Math.max(0, ...countedMs.map(startMs => countedMs.filter(atMs => atMs >= startMs && atMs < startMs + spanMs).length));
 	}
 
 	/**
-	Tells how many requests came at most from one host while it had been asked for rest.
-	@param graceMs - the rest counts from this long after the answer that asked for it.
+	Returns the maximum number of requests that arrived from one host during a backoff that the server had asked it for.
+	@param graceMs - time after the response that asked for the backoff in which requests do not count.
 	*/
-	mostDuringRest(graceMs: number): number {
+	maxDuringBackoff(graceMs: number): number {
 		const counts = this.refusals.map(({host, atMs, untilMs}) => {
-			const arrivals = this.arrivedFromMs.filter(arrived => arrived.host === host);
+			const arrivals = this.arrivals.filter(arrived => arrived.host === host);
 			return arrivals.filter(arrived => arrived.atMs > atMs + graceMs && arrived.atMs < untilMs).length;
 		});
 		return Math.max(0, ...counts);
 	}
 
-	/** From now on all its answers say that it leaves; its entry in the store stays as it is. */
-	leave(): void {
+	/** From now on all responses report that the server is leaving; its entry in the store stays unchanged. */
+	reportLeaving(): void {
 		this.isLeaving = true;
 	}
 
@@ -166,59 +166,59 @@
 		this.server.dispose();
 	}
 
-	private end(): void {
-		this.hasEnded = true;
+	private crash(): void {
+		this.hasCrashed = true;
 		this.dispose();
 	}
 
-	private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const body = new TextDecoder().decode(await readBody(request));
 		const path = request.url ?? '';
 		const nowMs = performance.now();
 		const host = hostOf(request);
 		this.arrivedMs.push(nowMs);
-		this.arrivedFromMs.push({host, atMs: nowMs});
+		this.arrivals.push({host, atMs: nowMs});
 		this.onArrival?.();
 		if (this.limit !== undefined) {
 			response.setHeader('server-limit', this.limit);
 		}
 
 		if (this.isLeaving) {
-			this.saidLeavingMs ??= performance.now();
+			this.leavingReportedMs ??= performance.now();
 			response.setHeader('server-leaving', '1');
 		}
 
-		if (this.coldLeftMs > 0 && this.mostInOneSecond > this.mostWhileCold) {
-			this.end();
+		if (this.coldLeftMs > 0 && this.maxInOneSecond > this.maxPerSecondWhileCold) {
+			this.crash();
 			return;
 		}
 
 		if (request.headers['expect-instance'] !== this.serverId) {
 			response.writeHead(421, {'instance-id': this.serverId}).end();
-		} else if (this.isTurnedAway()) {
-			this.turnAway(request, response, {host, nowMs});
+		} else if (this.shouldRefuse()) {
+			this.refuse(request, response, {host, nowMs});
 		} else if (path === '/v1/stage-run') {
 			await this.stageRun(body, response);
 		} else if (path === '/v1/stage-free') {
-			this.freed.push(...freeSchema.parse(JSON.parse(body)).sessions);
+			this.releasedResults.push(...freeSchema.parse(JSON.parse(body)).sessions);
 			sendJson(response, 200, {});
 		} else {
 			await this.serve(request, response, body);
 		}
 	}
 
-	/** The part that is turned away is spread evenly over the requests. */
-	private isTurnedAway(): boolean {
-		this.awayShare += this.turnsAway?.share ?? 0;
-		const isAway = this.awayShare >= 1;
-		this.awayShare -= isAway ? 1 : 0;
-		return isAway;
+	/** Returns whether to refuse the next request, so that refusals are distributed evenly over the requests. */
+	private shouldRefuse(): boolean {
+		this.accumulatedShare += this.refusalPolicy?.share ?? 0;
+		const isRefused = this.accumulatedShare >= 1;
+		this.accumulatedShare -= isRefused ? 1 : 0;
+		return isRefused;
 	}
 
-	private turnAway(request: IncomingMessage, response: ServerResponse, {host, nowMs}: {readonly host: string; readonly nowMs: number}): void {
-		const retryAfter = this.turnsAway?.retryAfter;
-		const restS = Number(retryAfter);
-		this.refusals.push({host, atMs: nowMs, untilMs: nowMs + (Number.isFinite(restS) ? restS * 1000 : 0)});
+	private refuse(request: IncomingMessage, response: ServerResponse, {host, nowMs}: {readonly host: string; readonly nowMs: number}): void {
+		const retryAfter = this.refusalPolicy?.retryAfter;
+		const backoffS = Number(retryAfter);
+		this.refusals.push({host, atMs: nowMs, untilMs: nowMs + (Number.isFinite(backoffS) ? backoffS * 1000 : 0)});
 		response.writeHead(503, {
 			'not-executed': '1', 'attempt-id': String(request.headers['attempt-id'] ?? ''), ...(retryAfter !== undefined && {'retry-after': retryAfter}),
 		}).end();
@@ -235,11 +235,11 @@
 			id, method: request.method ?? '', path: request.url ?? '', headers: request.headers, body,
 		});
 		response.on('close', () => {
-			this.closedEarly += response.writableFinished ? 0 : 1;
+			this.closedEarlyCount += response.writableFinished ? 0 : 1;
 		});
 		await sleep(this.stepMs);
-		if (body === this.endsOnBody) {
-			this.end();
+		if (body === this.crashesOnBody) {
+			this.crash();
 			return;
 		}
 
@@ -263,7 +263,7 @@
 			case 'unframedClose':
 			case 'chunkedReset':
 			case 'chunkedClose': {
-				await breakOff(request, id, this.fault);
+				await sendPartialResponse(request, id, this.fault);
 				break;
 			}
 
@@ -301,8 +301,8 @@
 		this.stageCalls.push(entries);
 		await this.stageGate;
 		await sleep(this.stepMs);
-		if (this.endsOnPieceKey !== undefined && entries.some(({tlsKey}) => tlsKey === this.endsOnPieceKey)) {
-			this.end();
+		if (this.crashesOnPieceKey !== undefined && entries.some(({tlsKey}) => tlsKey === this.crashesOnPieceKey)) {
+			this.crash();
 			return;
 		}
 
@@ -311,8 +311,8 @@
 				return {reason: 'gone'};
 			}
 
-			this.results++;
-			return {session: `${this.address}/${this.serverId}-${this.results}`};
+			this.resultCount++;
+			return {session: `${this.address}/${this.serverId}-${this.resultCount}`};
 		});
 		sendJson(response, 200, {entries: answer});
 	}
