--- a/test/platform/server-limit.test.ts
+++ b/test/platform/server-limit.test.ts
@@ -117,7 +117,7 @@
 		const answers = await load([host], plainCall, 60, 2000);
 		t.equal(countServed(answers), answers.length);
 		for (const server of servers) {
-			const logged = host.lines.filter(line => line.includes('names a limit that can\'t be read') && line.includes(`"${server.serverId}"`));
+			const logged = host.lines.filter(line => line.includes('announced a rate limit that can\'t be parsed') && line.includes(`"${server.serverId}"`));
 			t.equal(logged.length, Math.min(1, server.arrivedMs.length), 'log lines of one upstream');
 		}
 	});
