--- a/src/cli/common/tables.ts
+++ b/src/cli/common/tables.ts
@@ -15,11 +15,11 @@
 /**
 Formats a share as a percentage.
 @param part - the numerator.
-@param whole - the denominator.
+@param total - the denominator.
 @returns the percentage, or `-` if the denominator is 0.
 */
-export function formatShare(part: number, whole: number): string {
-	return whole === 0 ? '-' : `${((part / whole) * 100).toFixed(1)}%`;
+export function formatShare(part: number, total: number): string {
+	return total === 0 ? '-' : `${((part / total) * 100).toFixed(1)}%`;
 }
 
 /**
--- a/src/daemon/node/compose-agent.ts
+++ b/src/daemon/node/compose-agent.ts
@@ -16,7 +16,7 @@
 import {lifecycleToken, wireServerToken} from './daemon-tokens.js';
 import type {HostSecrets} from './load-host-settings.js';
 
-export const gateToken: InjectionToken<GateStateMachine> = Symbol('GateMachine');
+export const gateToken: InjectionToken<GateStateMachine> = Symbol('GateStateMachine');
 export const agentServiceToken: InjectionToken<AgentService> = Symbol('AgentService');
 
 /** Creates the driver for each kind of upstream; a new kind is added here. */
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -56,7 +56,7 @@
 const engineChooserToken: InjectionToken<EngineChooser> = Symbol('EngineChooser');
 const availabilityToken: InjectionToken<PoolAvailability> = Symbol('PoolAvailability');
 const routerToken: InjectionToken<DirectRouter> = Symbol('DirectRouter');
-const promptUpdatesToken: InjectionToken<PromptUpdates> = Symbol('PromptNews');
+const promptUpdatesToken: InjectionToken<PromptUpdates> = Symbol('PromptUpdates');
 const linksToken: InjectionToken<DirectLinks> = Symbol('DirectLinks');
 
 /** Share of an upstream's connections that all hosts together use; the remainder is reserved for hosts that have just joined. */
@@ -219,11 +219,11 @@
 	};
 
 	register(ingressToken, () => lifecycle.register(Ingress.create({
-		board: get(deploymentTrackerToken),
+		deploymentTracker: get(deploymentTrackerToken),
 		links: get(linksToken),
 		runner: makeRunner(),
 		protocol: ports.callers,
-		makePreparer: ask => Preparer.create(preparerOptions(), ask),
+		makePreparer: request => Preparer.create(preparerOptions(), request),
 		waits: get(batchHandlerToken),
 		predictRun: (stage, nowMs) => get(routerToken).predictRun(stage, nowMs),
 		standingOf: plan => get(routerToken).standingOf(plan),
--- a/src/deployment/common/feed.ts
+++ b/src/deployment/common/feed.ts
@@ -30,7 +30,7 @@
 	/** Cancels the call. */
 	readonly signal: AbortSignal;
 	/** To be called whenever a part of the response has arrived. */
-	readonly heard: () => void;
+	readonly onProgress: () => void;
 };
 
 /** Content of the store that can be read as a whole and followed by its changes. */
--- a/src/deployment/node/feed-follower.test.ts
+++ b/src/deployment/node/feed-follower.test.ts
@@ -238,7 +238,7 @@
 	follower.start();
 	for (let part = 0; part < 4; part++) {
 		clock.advance(600);
-		call!.heard();
+		call!.onProgress();
 	}
 
 	t.equal(call!.signal.aborted, false, '2.4 s after the start of the call');
@@ -265,7 +265,7 @@
 	});
 	follower.start();
 	clock.advance(100);
-	call!.heard();
+	call!.onProgress();
 	clock.advance(1000);
 	t.equal(call!.signal.aborted, true);
 	follower.dispose();
@@ -306,7 +306,7 @@
 	const pass = async (durationMs: number) => {
 		for (let passedMs = 0; passedMs < durationMs; passedMs += 100) {
 			clock.advance(100);
-			calls[0].heard();
+			calls[0].onProgress();
 			await turn();
 		}
 	};
--- a/src/deployment/node/feed-follower.ts
+++ b/src/deployment/node/feed-follower.ts
@@ -139,7 +139,7 @@
 		const standbyCheck = this.isSynced ? undefined : this.cancelOnceReported(limit);
 		const call = {
 			signal: limit.signal,
-			heard() {
+			onProgress() {
 				// Only silence indicates that no more data will come: thousands of routes take 1.6 s at 7 Mbit/s, more on a saturated link.
 				limit.extend(responseTimeoutMs);
 			},
--- a/src/direct/common/bounded-admission.test.ts
+++ b/src/direct/common/bounded-admission.test.ts
@@ -3,9 +3,9 @@
 
 const text = {message: 'bounded', retryAfterMs: 400};
 
-function makeAdmission(left: number) {
-	const state = {left};
-	const admission = BoundedAdmission.create({left: () => state.left, boundedText: () => text});
+function makeAdmission(remainingSends: number) {
+	const state = {remainingSends};
+	const admission = BoundedAdmission.create({remainingSends: () => state.remainingSends, boundedUnavailability: () => text});
 	return {state, admission, isAdmitted: (rank: number, nowMs: number) => admission.admit('p', rank, nowMs) === undefined};
 }
 
@@ -22,7 +22,7 @@
 	reservations[0].dispose();
 	reservations[0].dispose();
 	t.ok(isAdmitted(0, 0), 'a reservation is released only once');
-	state.left = 0;
+	state.remainingSends = 0;
 	reservations[1].dispose();
 	t.notOk(isAdmitted(0, 0));
 });
@@ -34,12 +34,12 @@
 		t.ok(isAdmitted(1, 100 * index));
 	}
 
-	state.left = 3;
+	state.remainingSends = 3;
 	t.notOk(isAdmitted(3, 900), 'eight recent ones are expected to need three more sends');
-	state.left = 4;
+	state.remainingSends = 4;
 	t.ok(isAdmitted(3, 900));
-	state.left = 1;
+	state.remainingSends = 1;
 	t.ok(isAdmitted(0, 900));
-	state.left = 1.01;
+	state.remainingSends = 1.01;
 	t.ok(isAdmitted(3, 40_000), 'the urgent requests are too long ago to count');
 });
--- a/src/direct/common/bounded-admission.ts
+++ b/src/direct/common/bounded-admission.ts
@@ -24,7 +24,7 @@
 	Creates an instance without reservations or recorded demand.
 	@param availability - provides what this host may send to a pool.
 	*/
-	static create(availability: Pick<PoolAvailability, 'left' | 'boundedText'>): BoundedAdmission {
+	static create(availability: Pick<PoolAvailability, 'remainingSends' | 'boundedUnavailability'>): BoundedAdmission {
 		return new BoundedAdmission(availability);
 	}
 
@@ -33,7 +33,7 @@
 	/** Number of requests by pool that have started and have yet to be sent to it. */
 	private readonly reservedByPool = new Map<string, number>();
 
-	private constructor(private readonly availability: Pick<PoolAvailability, 'left' | 'boundedText'>) {}
+	private constructor(private readonly availability: Pick<PoolAvailability, 'remainingSends' | 'boundedUnavailability'>) {}
 
 	/**
 	Decides whether a request may start.
@@ -44,13 +44,13 @@
 	*/
 	admit(pool: string, rank: number, nowMs: number): Unavailability | undefined {
 		this.recordDemand(pool, rank, nowMs);
-		const remaining = this.availability.left(pool, nowMs);
+		const remaining = this.availability.remainingSends(pool, nowMs);
 		if (remaining === Infinity) {
 			return undefined;
 		}
 
 		const reserved = this.reservedOf(pool) + this.expectedUrgentSends(pool, rank, nowMs);
-		return remaining - reserved >= 1 ? undefined : this.availability.boundedText(pool, nowMs);
+		return remaining - reserved >= 1 ? undefined : this.availability.boundedUnavailability(pool, nowMs);
 	}
 
 	/**
--- a/src/direct/common/direct-router.ts
+++ b/src/direct/common/direct-router.ts
@@ -63,7 +63,7 @@
 /** The data hall in which a request will most likely run, and the expected time from its send to its first token. */
 export type RunPrediction = {readonly hall: string; readonly firstTokenMs: number};
 
-type KnownServer = {readonly candidate: Candidate; readonly signs: ServerLiveness};
+type KnownServer = {readonly candidate: Candidate; readonly liveness: ServerLiveness};
 
 /** Chooses upstream servers for the requests of one host. */
 export class DirectRouter implements RequestRouter {
@@ -118,8 +118,8 @@
 	}
 
 	retryAfterMs({pool}: StagePlan, nowMs: number): number | undefined {
-		const openInMs = this.options.registry.usable(pool).map(({serverId}) => this.options.refusals.retryInMs(serverId, nowMs));
-		const soonestMs = Math.min(...openInMs);
+		const retryDelaysMs = this.options.registry.usable(pool).map(({serverId}) => this.options.refusals.retryInMs(serverId, nowMs));
+		const soonestMs = Math.min(...retryDelaysMs);
 		return soonestMs > 0 && soonestMs < Infinity ? soonestMs : undefined;
 	}
 
@@ -157,7 +157,7 @@
 			this.options.availability.recordSend(known.candidate, stage, nowMs);
 			this.options.refusals.sent(upstreamId, nowMs);
 			known.candidate.stats.inFlight++;
-			known.signs.sent(dispatchId, nowMs);
+			known.liveness.sent(dispatchId, nowMs);
 		}
 
 		const work = promptWorkOf(stage);
@@ -202,15 +202,15 @@
 			return;
 		}
 
-		const {candidate, signs} = known;
+		const {candidate, liveness} = known;
 		candidate.stats.inFlight--;
-		signs.forget(dispatchId);
+		liveness.forget(dispatchId);
 		if (neutralReasons.has(attempt.reason)) {
 			return;
 		}
 
 		if (attempt.reason === 'notSent' || attempt.reason === 'unreachable') {
-			signs.connectionFailed(nowMs, initialUnreachableBackoffMs, maxUnreachableBackoffMs);
+			liveness.connectionFailed(nowMs, initialUnreachableBackoffMs, maxUnreachableBackoffMs);
 			return;
 		}
 
@@ -266,7 +266,7 @@
 	@param nowMs - the current time.
 	*/
 	serverCrashed(serverId: string, nowMs: number): void {
-		this.knownServerOf(serverId, nowMs)?.signs.crashed(nowMs, crashedBackoffMs);
+		this.knownServerOf(serverId, nowMs)?.liveness.crashed(nowMs, crashedBackoffMs);
 	}
 
 	/**
@@ -276,7 +276,7 @@
 	@param nowMs - the current time.
 	*/
 	recordActivity(serverId: string, dispatchId: string, nowMs: number): void {
-		this.knownServers.get(serverId)?.signs.received(dispatchId, nowMs);
+		this.knownServers.get(serverId)?.liveness.received(dispatchId, nowMs);
 	}
 
 	/** Servers of the pool that may be chosen now. Suspect servers are included only if there is no other, and cold ones only if none of the rest is warm. */
@@ -288,9 +288,9 @@
 	}
 
 	private isSuspect(candidate: Candidate, stage: StagePlan, nowMs: number): boolean {
-		const {signs} = this.knownServers.get(candidate.upstreamId)!;
+		const {liveness} = this.knownServers.get(candidate.upstreamId)!;
 		const typicalMs = this.responseTimes.typicalMs(stage.key) ?? defaultResponseMs;
-		return signs.isAvoided(nowMs) || this.options.refusals.isAvoided(candidate.upstreamId, nowMs) || signs.silentMs(nowMs) > Math.max(minSilentMs, typicalMs * silentResponseTimes);
+		return liveness.isAvoided(nowMs) || this.options.refusals.isAvoided(candidate.upstreamId, nowMs) || liveness.silentMs(nowMs) > Math.max(minSilentMs, typicalMs * silentResponseTimes);
 	}
 
 	private chooseByPrompt(stage: StagePlan, candidates: readonly Candidate[], nowMs: number): Candidate | undefined {
@@ -314,7 +314,7 @@
 				candidate: {
 					upstreamId: server.serverId, hall: server.hall, stats: UpstreamStats.create(), joinedMs: nowMs,
 				},
-				signs: ServerLiveness.create(),
+				liveness: ServerLiveness.create(),
 			};
 			this.knownServers.set(server.serverId, known);
 		}
--- a/src/direct/common/pool-availability.ts
+++ b/src/direct/common/pool-availability.ts
@@ -72,7 +72,7 @@
 	@param nowMs - the current time.
 	*/
 	isOpen(pool: string, nowMs: number): boolean {
-		return this.poolsUnavailability([pool]) === undefined && this.left(pool, nowMs) >= 1;
+		return this.poolsUnavailability([pool]) === undefined && this.remainingSends(pool, nowMs) >= 1;
 	}
 
 	/**
@@ -91,11 +91,11 @@
 	@param nowMs - the current time.
 	@returns Infinity if one of the pool's upstreams is not bounded, or if it has none.
 	*/
-	left(pool: string, nowMs: number): number {
+	remainingSends(pool: string, nowMs: number): number {
 		const upstreams = this.options.registry.usable(pool);
 		let remaining = upstreams.length === 0 ? Infinity : 0;
 		for (const upstream of upstreams) {
-			remaining += this.options.bounds.allowance(upstream, directWork, nowMs).left;
+			remaining += this.options.bounds.allowance(upstream, directWork, nowMs).remaining;
 			if (remaining === Infinity) {
 				break;
 			}
@@ -109,7 +109,7 @@
 	@param pool - the pool.
 	@param nowMs - the current time.
 	*/
-	boundedText(pool: string, nowMs: number): Unavailability {
+	boundedUnavailability(pool: string, nowMs: number): Unavailability {
 		const {registry, bounds} = this.options;
 		const upstreams = registry.usable(pool);
 		return {
@@ -130,7 +130,7 @@
 	/** Returns why the bounds of a pool leave no send for this host. A request whose preparation steps are complete is not refused but waits for the next send. */
 	private boundedStageUnavailability({pool, inputBytesByHall}: StagePlan, nowMs: number): Unavailability | undefined {
 		const isPrepared = inputBytesByHall !== undefined && inputBytesByHall.size > 0;
-		return isPrepared || this.left(pool, nowMs) > 0 ? undefined : this.boundedText(pool, nowMs);
+		return isPrepared || this.remainingSends(pool, nowMs) > 0 ? undefined : this.boundedUnavailability(pool, nowMs);
 	}
 }
 
--- a/src/direct/node/admission-checks.ts
+++ b/src/direct/node/admission-checks.ts
@@ -29,12 +29,12 @@
 @returns undefined if the request may start.
 */
 export function admissionRefusal(
-	request: Pick<ResolvedRequest, 'route' | 'ask' | 'workspace'>,
+	request: Pick<ResolvedRequest, 'route' | 'callerRequest' | 'workspace'>,
 	plan: RequestPlan,
 	{standingOf, unavailabilityOf, admission}: AdmissionChecks,
 	nowMs: number,
 ): Refusal | undefined {
-	const {route, ask: {requestId, pieceCounts}} = request;
+	const {route, callerRequest: {requestId, pieceCounts}} = request;
 	const status = hostStatuses.unavailable;
 	const standing = standingOf(plan);
 	if (standing.type === 'barred') {
--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -39,11 +39,11 @@
 
 /** Dependencies of the ingress. */
 export type IngressOptions = AdmissionChecks & {
-	readonly board: DeploymentTracker;
+	readonly deploymentTracker: DeploymentTracker;
 	readonly links: DirectLinks;
 	readonly runner: RequestRunner;
 	readonly protocol: CallerProtocol;
-	readonly makePreparer: (ask: PreparationRequest) => Preparer;
+	readonly makePreparer: (request: PreparationRequest) => Preparer;
 	/** Predicts where a request with a shared prompt part will most likely run. */
 	readonly predictRun: (stage: StagePlan, nowMs: number) => RunPrediction;
 	/** Waiting times of the queues for preparation steps. */
@@ -102,7 +102,7 @@
 			const reason = options.notReadyReason();
 			sendHostResponse(response, reason === undefined ? 200 : hostStatuses.unavailable, reason ?? 'ready');
 		});
-		this.disposables.add(options.board.onDidChange(({deployment}) => {
+		this.disposables.add(options.deploymentTracker.onDidChange(({deployment}) => {
 			this.applyLimits(deployment.limits);
 		}));
 	}
@@ -179,7 +179,7 @@
 			return;
 		}
 
-		const resolved = resolveRequest(request, this.options.board.current, this.options.protocol);
+		const resolved = resolveRequest(request, this.options.deploymentTracker.current, this.options.protocol);
 		if ('status' in resolved) {
 			this.refuse(response, resolved);
 			return;
@@ -192,11 +192,11 @@
 
 		if (body === 'tooLarge') {
 			response.shouldKeepAlive = false;
-			this.refuse(response, {requestId: resolved.ask.requestId, status: hostStatuses.bodyTooLarge, reason: 'the body is larger than the limit'});
+			this.refuse(response, {requestId: resolved.callerRequest.requestId, status: hostStatuses.bodyTooLarge, reason: 'the body is larger than the limit'});
 			return;
 		}
 
-		const {route, ask: callerRequest} = resolved;
+		const {route, callerRequest} = resolved;
 		const sinceFirstTryMs = this.firstTryEstimator.sinceFirstTryMs(route.name, route.timeoutMs, callerRequest.remainingMs, receivedMs);
 		this.start({
 			...resolved, request, response, body, receivedMs, sinceFirstTryMs,
@@ -204,16 +204,16 @@
 	}
 
 	private refuse(response: ServerResponse, {requestId, status, reason, retryAfterMs, content}: Refusal): void {
-		const {board, log, metrics} = this.options;
+		const {deploymentTracker, log, metrics} = this.options;
 		log.info(requestLogMessages.refusedOnAdmission, {
-			request: requestId, status, reason, version: board.version, content,
+			request: requestId, status, reason, version: deploymentTracker.version, content,
 		});
 		metrics.increment('requests.turnedAway', 1, {status: String(status)});
 		sendHostResponse(response, status, reason, retryAfterMs);
 	}
 
 	private start(received: ReceivedRequest): void {
-		const {request, response, ask: callerRequest, receivedMs} = received;
+		const {request, response, callerRequest, receivedMs} = received;
 		const {links, runner, predictRun, clock, log, metrics} = this.options;
 		const plan = this.planOf(received);
 		const refusal = admissionRefusal(received, plan, this.options, receivedMs);
@@ -253,7 +253,7 @@
 		}).start(runner);
 	}
 
-	private planOf({request, index, route, workspace, ask: callerRequest, body, receivedMs}: ReceivedRequest): RequestPlan {
+	private planOf({request, index, route, workspace, callerRequest, body, receivedMs}: ReceivedRequest): RequestPlan {
 		const {random, isOpen} = this.options;
 		const pool = choosePool(route, random, each => isOpen(each, receivedMs));
 		return makeDirectPlan({
@@ -276,12 +276,12 @@
 	Decides whether the preparation steps of a request can still complete in time, and refuses it if not.
 	@returns whether the request was admitted.
 	*/
-	private admitSteps(received: ReceivedRequest, afterwardsMs: number): boolean {
-		const {response, index, route, ask: callerRequest} = received;
+	private admitSteps(received: ReceivedRequest, firstTokenMs: number): boolean {
+		const {response, index, route, callerRequest} = received;
 		const {random, waits, log, metrics} = this.options;
 		const rank = rankOf(received);
 		const admission = admit({
-			index, route, pieceCounts: callerRequest.pieceCounts, rank, firstTokenMs: afterwardsMs, sinceFirstTryMs: received.sinceFirstTryMs, jitter: random.next(),
+			index, route, pieceCounts: callerRequest.pieceCounts, rank, firstTokenMs, sinceFirstTryMs: received.sinceFirstTryMs, jitter: random.next(),
 		}, waits);
 		if (admission.isAdmitted) {
 			return true;
@@ -303,7 +303,7 @@
 	}
 
 	private preparerFor(received: ReceivedRequest, {requestId, workspace, http, deadlineMs}: RequestPlan, {hall, firstTokenMs}: RunPrediction): Preparer {
-		const {route, ask: callerRequest, receivedMs, sinceFirstTryMs} = received;
+		const {route, callerRequest, receivedMs, sinceFirstTryMs} = received;
 		return this.options.makePreparer({
 			requestId,
 			callerRequestId: callerRequest.requestId,
--- a/src/direct/node/prompt-updates.test.ts
+++ b/src/direct/node/prompt-updates.test.ts
@@ -31,7 +31,7 @@
 				capacity: 1,
 				mesh: {
 					onDidReceive: receive.event,
-					liveRooms: new Map(names.filter(other => other !== hostId).map(other => [other, 1])),
+					liveCapacities: new Map(names.filter(other => other !== hostId).map(other => [other, 1])),
 					send: (to, message) => this.deliver(hostId, to, message),
 					broadcast: message => {
 						for (const other of names.filter(each => each !== hostId)) {
--- a/src/direct/node/prompt-updates.ts
+++ b/src/direct/node/prompt-updates.ts
@@ -15,7 +15,7 @@
 	readonly hostId: string;
 	/** This host's capacity for shared work. */
 	readonly capacity: number;
-	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'liveRooms' | 'send' | 'broadcast'>;
+	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'liveCapacities' | 'send' | 'broadcast'>;
 	/** Called when a peer has sent a prompt to an engine. */
 	readonly onPeerPrompt: (serverId: string, parts: readonly PromptPart[]) => void;
 	readonly clock: Clock;
@@ -76,7 +76,7 @@
 	/** Sends this host's own updates to the relay, or to all hosts if there is no relay or it can't be reached. */
 	private notifyPeers(prompts: SentPrompts): void {
 		const {hostId, capacity, mesh} = this.options;
-		const relay = electRelay(new Map([...mesh.liveRooms, [hostId, capacity]]));
+		const relay = electRelay(new Map([...mesh.liveCapacities, [hostId, capacity]]));
 		if (relay === hostId) {
 			this.queueForRelay(hostId, prompts);
 		} else if (relay === undefined || !mesh.send(relay, {type: 'promptsSent', prompts, isForAll: true})) {
--- a/src/direct/node/resolve-request.ts
+++ b/src/direct/node/resolve-request.ts
@@ -14,7 +14,7 @@
 } as const;
 
 /** A request that the current declaration allows. */
-export type ResolvedRequest = {readonly index: DeploymentIndex; readonly route: Route; readonly workspace: WorkspaceDeclaration | undefined; readonly ask: CallerRequest};
+export type ResolvedRequest = {readonly index: DeploymentIndex; readonly route: Route; readonly workspace: WorkspaceDeclaration | undefined; readonly callerRequest: CallerRequest};
 /** Why a request is refused; `content` is the content id of a quarantined request. */
 export type Refusal = {readonly requestId: string; readonly status: number; readonly reason: string; readonly retryAfterMs?: number; readonly content?: string};
 
@@ -58,7 +58,7 @@
 	}
 
 	return {
-		index, route, workspace, ask: callerRequest,
+		index, route, workspace, callerRequest,
 	};
 }
 
--- a/src/peers/node/peer-mesh.test.ts
+++ b/src/peers/node/peer-mesh.test.ts
@@ -183,15 +183,15 @@
 
 /** Creates a connection to a peer that delivers what the test specifies; it has only the mesh's side. */
 function makeConnection() {
-	const heard = Emitter.create<void>();
+	const dataReceived = Emitter.create<void>();
 	const received = Emitter.create<Message>();
 	const closed = Emitter.create<string>();
 	return {
-		heard,
+		dataReceived,
 		received,
 		connection: {
 			peer: wireOf('peer').identity,
-			onDidReceiveData: heard.event,
+			onDidReceiveData: dataReceived.event,
 			onDidReceive: received.event,
 			onDidClose: closed.event,
 			send: () => true,
@@ -217,12 +217,12 @@
 		mesh.dispose();
 	});
 	mesh.start({address: '127.0.0.1', port: 1}, []);
-	const {connection, heard, received} = makeConnection();
+	const {connection, dataReceived, received} = makeConnection();
 	connected.fire(connection);
 	received.fire({...heartbeat, endpoint: '127.0.0.1:2'});
 	for (let part = 0; part < 6; part++) {
 		await advanceTime(clock, 1000);
-		heard.fire();
+		dataReceived.fire();
 	}
 
 	t.same(mesh.liveHosts, ['peer']);
--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -110,7 +110,7 @@
 	}
 
 	/** Capacities for shared work of the live hosts, without this one, in cores; 0 for a host that reports none. */
-	get liveRooms(): ReadonlyMap<string, number> {
+	get liveCapacities(): ReadonlyMap<string, number> {
 		return new Map(this.liveHosts.map(hostId => [hostId, this.peers.get(hostId)?.lastHeartbeat?.room ?? 0]));
 	}
 
--- a/src/peers/node/reader-election.test.ts
+++ b/src/peers/node/reader-election.test.ts
@@ -11,7 +11,7 @@
 		hostId,
 		capacity: 1,
 		mesh: {
-			get liveRooms() {
+			get liveCapacities() {
 				return new Map(hosts.filter(name => name !== hostId).map(name => [name, 1]));
 			},
 			storeAgesMs: ages,
--- a/src/peers/node/reader-election.ts
+++ b/src/peers/node/reader-election.ts
@@ -33,7 +33,7 @@
 	readonly hostId: string;
 	/** This host's capacity for shared work, in cores. */
 	readonly capacity: number;
-	readonly mesh: Pick<PeerMesh, 'liveRooms' | 'storeAgesMs'>;
+	readonly mesh: Pick<PeerMesh, 'liveCapacities' | 'storeAgesMs'>;
 	/** Time within which updates from the store must be acted on. */
 	readonly actWithinMs: number;
 	readonly clock: Clock;
@@ -97,13 +97,13 @@
 
 	/** Whether there are enough hosts for some of them to read for all. */
 	private get isReadingShared(): boolean {
-		return this.options.mesh.liveRooms.size + 1 >= minHostsForSharing;
+		return this.options.mesh.liveCapacities.size + 1 >= minHostsForSharing;
 	}
 
 	/** Whether this host is among those that read for all; every host that sees the same peers elects the same readers. */
 	private get isReader(): boolean {
 		const {hostId, capacity, mesh} = this.options;
-		const capacities = new Map([...mesh.liveRooms, [hostId, capacity]]);
+		const capacities = new Map([...mesh.liveCapacities, [hostId, capacity]]);
 		return rendezvousOrder(readerElectionKey, highCapacityHosts(capacities), host => host).slice(0, readerCount).includes(hostId);
 	}
 }
--- a/src/peers/node/server-limit-updates.test.ts
+++ b/src/peers/node/server-limit-updates.test.ts
@@ -7,28 +7,28 @@
 
 function makeUpdates(known: Update[] = []) {
 	const learned = Emitter.create<Update>();
-	const heard: Update[] = [];
+	const reported: Update[] = [];
 	const mesh = MeshStandin.create();
 	ServerLimitUpdates.create({
 		limits: {
 			onDidLearn: learned.event,
-			handlePeerReport(news) {
-				heard.push(...news);
+			handlePeerReport(updates) {
+				reported.push(...updates);
 			},
 			all: () => known,
 		},
 		mesh,
 		clock: ManualClock.create(),
 	});
-	return {learned, heard, mesh};
+	return {learned, reported, mesh};
 }
 
 t.test('what is learned goes to all peers, and is applied as it was sent', async t => {
-	const {learned, heard, mesh} = makeUpdates();
-	const news: Update[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
+	const {learned, reported, mesh} = makeUpdates();
+	const updates: Update[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
 		serverId: 's', perS: 0.5, namedAgoMs: 700, endedAgoMs: 20,
 	}];
-	for (const each of news) {
+	for (const each of updates) {
 		learned.fire(each);
 	}
 
@@ -37,7 +37,7 @@
 		mesh.receive('peer', message);
 	}
 
-	t.same(heard, news);
+	t.same(reported, updates);
 });
 
 t.test('a host that connects is sent everything that is known, and nothing if nothing is known', async t => {
--- a/src/preparation/common/batch-scheduler.test.ts
+++ b/src/preparation/common/batch-scheduler.test.ts
@@ -253,12 +253,12 @@
 });
 
 t.test('an upstream with a rate limit gets no call above it, and counts as the corresponding fraction of an upstream', async t => {
-	const allowance = {left: 0, perS: Infinity};
-	const scheduler = BatchScheduler.create(undefined, ({serverId}) => serverId === 'bounded' ? allowance : {left: Infinity, perS: Infinity});
+	const allowance = {remaining: 0, perS: Infinity};
+	const scheduler = BatchScheduler.create(undefined, ({serverId}) => serverId === 'bounded' ? allowance : {remaining: Infinity, perS: Infinity});
 	const both = [server('bounded'), server('free')];
 	scheduler.add(workOf('w', 8), 0);
 	t.same(scheduler.nextCalls(both, capacity, 0).map(call => call.server.serverId), ['free']);
-	allowance.left = 1;
+	allowance.remaining = 1;
 	allowance.perS = 2;
 	t.same(scheduler.nextCalls(both, capacity, 0).map(call => call.server.serverId), ['bounded']);
 	scheduler.add(workOf('next', 4), 0);
--- a/src/preparation/common/batch-scheduler.ts
+++ b/src/preparation/common/batch-scheduler.ts
@@ -41,7 +41,7 @@
 
 /** Queue and calls in progress of one pool. */
 export class BatchScheduler {
-	static create(handlingOf: HandlingSource = () => pieceHandlings.none, allowanceOf: AllowanceSource = () => ({left: Infinity, perS: Infinity})): BatchScheduler {
+	static create(handlingOf: HandlingSource = () => pieceHandlings.none, allowanceOf: AllowanceSource = () => ({remaining: Infinity, perS: Infinity})): BatchScheduler {
 		return new BatchScheduler(handlingOf, allowanceOf);
 	}
 
--- a/src/preparation/common/pool-upstreams.ts
+++ b/src/preparation/common/pool-upstreams.ts
@@ -101,7 +101,7 @@
 	@param nowMs - the current time.
 	*/
 	isAllowed(server: UpstreamServer, nowMs: number): boolean {
-		return this.allowanceOf(server, nowMs).left > 0;
+		return this.allowanceOf(server, nowMs).remaining > 0;
 	}
 
 	/**
--- a/src/preparation/node/batch-handler.test.ts
+++ b/src/preparation/node/batch-handler.test.ts
@@ -27,11 +27,11 @@
 			onDidReceive: receive.event,
 			onDidChange: change.event,
 			onDidLose: Emitter.create<string>().event,
-			liveRooms: new Map(),
+			liveCapacities: new Map(),
 			send: (to, message) => this.deliver(hostId, to, message),
 			broadcast: () => undefined,
 		};
-		Object.defineProperty(mesh, 'liveRooms', {get: () => new Map(this.live.filter(other => other !== hostId).map(other => [other, this.capacities.get(other) ?? 0]))});
+		Object.defineProperty(mesh, 'liveCapacities', {get: () => new Map(this.live.filter(other => other !== hostId).map(other => [other, this.capacities.get(other) ?? 0]))});
 		this.meshEvents.set(hostId, {receive, change});
 		const handler = BatchHandler.create({
 			hostId, capacity, mesh, clock: this.clock, log: silentLoggers.for('test'),
--- a/src/preparation/node/batch-handler.ts
+++ b/src/preparation/node/batch-handler.ts
@@ -37,7 +37,7 @@
 };
 
 /** Connections to peers, as needed for batching. */
-export type BatchPeerMesh = Pick<PeerMesh, 'onDidReceive' | 'onDidLose' | 'onDidChange' | 'liveRooms' | 'send' | 'broadcast'>;
+export type BatchPeerMesh = Pick<PeerMesh, 'onDidReceive' | 'onDidLose' | 'onDidChange' | 'liveCapacities' | 'send' | 'broadcast'>;
 
 /** Batches of one pool. */
 export type PoolBatches = Pick<BatchPool, 'isIdle' | 'add' | 'cancel' | 'handOver' | 'release' | 'waitMs' | 'dispose'>;
@@ -193,7 +193,7 @@
 	/** Returns the host that batches for a pool now. */
 	private ownerOf(pool: string): string {
 		const {hostId, capacity, mesh, isLeaving} = this.options;
-		const capacities = mesh.liveRooms;
+		const capacities = mesh.liveCapacities;
 		const isCandidate = !isLeaving() || capacities.size === 0;
 		return rendezvousOwner(pool, highCapacityHosts(isCandidate ? new Map([...capacities, [hostId, capacity]]) : capacities)) ?? hostId;
 	}
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -228,7 +228,7 @@
 	/** Whether a release may be sent. Where the rate of an upstream is limited, one send is reserved for queued pieces. */
 	private mayRelease(server: UpstreamServer): boolean {
 		const reserved = this.scheduler.waitingCount > 0 ? 1 : 0;
-		return this.options.bounds.allowance(server, soleSender, this.options.clock.nowMs()).left > reserved;
+		return this.options.bounds.allowance(server, soleSender, this.options.clock.nowMs()).remaining > reserved;
 	}
 
 	private async sendRelease(server: UpstreamServer, handles: readonly string[]): Promise<void> {
--- a/src/preparation/node/preparer.test.ts
+++ b/src/preparation/node/preparer.test.ts
@@ -139,13 +139,13 @@
 
 t.test('a step fails when its response could no longer arrive in time, or after half of the caller\'s time', async t => {
 	const given: number[] = [];
-	const start = (ask: Partial<PreparationRequest>) => {
+	const start = (request: Partial<PreparationRequest>) => {
 		void makePreparer((work, listener) => {
 			given.push(work.deadlineMs);
 			for (const piece of work.pieces) {
 				listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
 			}
-		}, {clock: SystemClock.create(), request: ask}).run(false);
+		}, {clock: SystemClock.create(), request}).run(false);
 	};
 
 	start({});
--- a/src/request/common/attempt.ts
+++ b/src/request/common/attempt.ts
@@ -62,7 +62,7 @@
 	@param chunk - the received chunk.
 	@returns whether the chunk was accepted; others are late, duplicated or out of order.
 	*/
-	take(chunk: ChunkMessage): boolean {
+	acceptChunk(chunk: ChunkMessage): boolean {
 		if (!this.isLive || chunk.sequence !== this.units) {
 			return false;
 		}
@@ -93,7 +93,7 @@
 	@param end - the message that ends the answer.
 	@returns whether its unit count and digest match what was received.
 	*/
-	isWhole(end: EndMessage): boolean {
+	isComplete(end: EndMessage): boolean {
 		return end.units === this.units && end.digest === this.digest;
 	}
 
--- a/src/request/common/stage-run.ts
+++ b/src/request/common/stage-run.ts
@@ -164,7 +164,7 @@
 
 	chunk(message: ChunkMessage, nowMs: number): void {
 		const attempt = this.attempts.findLive(message.dispatchId);
-		if (!attempt || this.isSuperseded(attempt) || !attempt.take(message)) {
+		if (!attempt || this.isSuperseded(attempt) || !attempt.acceptChunk(message)) {
 			return;
 		}
 
@@ -209,7 +209,7 @@
 		if (message.state !== attemptStates.completed) {
 			this.endAttempt(attempt, message.state, message.reason ?? 'failed', nowMs);
 			this.recover(failureCodes.upstreamFailed, message.reason ?? 'the upstream failed', nowMs);
-		} else if (attempt.isWhole(message)) {
+		} else if (attempt.isComplete(message)) {
 			this.completeAnswerReceived(attempt, nowMs);
 		} else {
 			// The end message does not match what was received: the stream was cut in transit.
--- a/src/routing/common/rate-bound.ts
+++ b/src/routing/common/rate-bound.ts
@@ -3,7 +3,7 @@
 /** A bound on the requests of all hosts together to one upstream. */
 export type RateBound = {
 	/** Maximum number of requests within any window; at least 1. */
-	readonly most: number;
+	readonly maxRequests: number;
 	readonly windowMs: number;
 	/** Whether sends are spread over the window. If all requests went out at its start, no caller would be served for the rest of the window. */
 	readonly isPaced: boolean;
@@ -44,7 +44,7 @@
 @param bounds - the bounds from the settings.
 */
 export function coldUpstreamBound(toleratedPerS: number, {excess, tolerance}: ColdBounds): RateBound {
-	return {most: Math.max(1, Math.floor(coldUsedShare * ((toleratedPerS * excess) + tolerance))), windowMs: secondMs, isPaced: false};
+	return {maxRequests: Math.max(1, Math.floor(coldUsedShare * ((toleratedPerS * excess) + tolerance))), windowMs: secondMs, isPaced: false};
 }
 
 /**
@@ -54,8 +54,8 @@
 export function limitBound(perS: number): RateBound {
 	const usedPerS = Math.max(minPerS, perS);
 	const allowed = usedPerS * limitWindowMs / secondMs;
-	const most = Math.floor(Math.min(allowed, limitUsedShare * ((limitExcess * allowed) + limitTolerance)));
-	return most >= 1 ? {most, windowMs: limitWindowMs, isPaced: true} : {most: 1, windowMs: secondMs / usedPerS, isPaced: true};
+	const maxRequests = Math.floor(Math.min(allowed, limitUsedShare * ((limitExcess * allowed) + limitTolerance)));
+	return maxRequests >= 1 ? {maxRequests, windowMs: limitWindowMs, isPaced: true} : {maxRequests: 1, windowMs: secondMs / usedPerS, isPaced: true};
 }
 
 /**
@@ -63,6 +63,6 @@
 @param bound - the bound on all hosts together.
 @returns requests per second.
 */
-export function boundPerS({most, windowMs}: RateBound): number {
-	return most * secondMs / windowMs;
+export function boundPerS({maxRequests, windowMs}: RateBound): number {
+	return maxRequests * secondMs / windowMs;
 }
--- a/src/routing/common/send-bounds.test.ts
+++ b/src/routing/common/send-bounds.test.ts
@@ -24,7 +24,7 @@
 	return {
 		state,
 		bounds,
-		left: (nowMs: number) => bounds.allowance(server, anyWork, nowMs).left,
+		left: (nowMs: number) => bounds.allowance(server, anyWork, nowMs).remaining,
 		sendAll(nowMs: number) {
 			while (bounds.maySend(server, anyWork, nowMs)) {
 				bounds.sent(server, nowMs);
@@ -57,7 +57,7 @@
 	t.equal(bounds.retryAfterMs([server], 0), 700);
 	state.limit = {perS: 1, sinceAnnouncedMs: 60_000};
 	t.equal(left(60_000), 0);
-	t.equal(bounds.allowance(server, {isSoleSender: true}, 60_000).left, 0);
+	t.equal(bounds.allowance(server, {isSoleSender: true}, 60_000).remaining, 0);
 	state.backoffMs = 0;
 	t.ok(left(60_000) > 0);
 });
--- a/src/routing/common/send-bounds.ts
+++ b/src/routing/common/send-bounds.ts
@@ -45,7 +45,7 @@
 /** What may be sent to a server now, for one kind of work. */
 export type Allowance = {
 	/** Requests that this host may send now; Infinity if unbounded. */
-	readonly left: number;
+	readonly remaining: number;
 	/** Requests per second of all hosts together; Infinity if unbounded. */
 	readonly perS: number;
 };
@@ -53,8 +53,8 @@
 /** Work that every host may send. */
 export const directWork: BoundedWork = {isSoleSender: false};
 
-const unbounded: Allowance = {left: Infinity, perS: Infinity};
-const noAllowance: Allowance = {left: 0, perS: 0};
+const unbounded: Allowance = {remaining: Infinity, perS: Infinity};
+const noAllowance: Allowance = {remaining: 0, perS: 0};
 
 export const sendBoundsToken: InjectionToken<SendBounds> = Symbol('SendBounds');
 
@@ -90,8 +90,8 @@
 			return unbounded;
 		}
 
-		const left = Math.min(...bounds.map(bound => this.options.share.remaining(server.serverId, bound, work, nowMs)));
-		return {left: left === 0 && this.isTrialDue(server, nowMs) ? 1 : left, perS: Math.min(...bounds.map(bound => boundPerS(bound)))};
+		const remaining = Math.min(...bounds.map(bound => this.options.share.remaining(server.serverId, bound, work, nowMs)));
+		return {remaining: remaining === 0 && this.isTrialDue(server, nowMs) ? 1 : remaining, perS: Math.min(...bounds.map(bound => boundPerS(bound)))};
 	}
 
 	/**
@@ -101,7 +101,7 @@
 	@param nowMs - the current time.
 	*/
 	maySend(server: BoundedServer, work: BoundedWork, nowMs: number): boolean {
-		return this.allowance(server, work, nowMs).left > 0;
+		return this.allowance(server, work, nowMs).remaining > 0;
 	}
 
 	/**
@@ -162,7 +162,7 @@
 
 		const bounds = this.boundsOf(server, nowMs);
 		// Without a quota here, other hosts send: assume the average interval of the bound.
-		return Math.max(backoffMs, ...bounds.map(bound => this.options.share.nextSendInMs(server.serverId, bound, directWork, nowMs) ?? bound.windowMs / bound.most));
+		return Math.max(backoffMs, ...bounds.map(bound => this.options.share.nextSendInMs(server.serverId, bound, directWork, nowMs) ?? bound.windowMs / bound.maxRequests));
 	}
 
 	private boundsOf(server: BoundedServer, nowMs: number): RateBound[] {
--- a/src/routing/common/send-share.test.ts
+++ b/src/routing/common/send-share.test.ts
@@ -73,17 +73,17 @@
 
 	/** Maximum number of sends within any time span of this length. */
 	maxSendsWithin(spanMs: number): number {
-		let most = 0;
+		let maxCount = 0;
 		let first = 0;
 		for (const [index, atMs] of this.sentMs.entries()) {
 			while (atMs - this.sentMs[first] >= spanMs) {
 				first++;
 			}
 
-			most = Math.max(most, index - first + 1);
+			maxCount = Math.max(maxCount, index - first + 1);
 		}
 
-		return most;
+		return maxCount;
 	}
 
 	private makeHost(index: number, upAtMs: number): Host {
@@ -147,15 +147,15 @@
 
 t.test('all hosts together stay within the bound of a cold upstream during partitions, joins and restarts', async t => {
 	fc.assert(fc.property(changesArbitrary, changes => {
-		const most = simulate(changes, coldBound).maxSendsWithin(secondMs);
-		t.ok(most <= maxPerS, `${most} of ${changes[0]} hosts`);
+		const maxSends = simulate(changes, coldBound).maxSendsWithin(secondMs);
+		t.ok(maxSends <= maxPerS, `${maxSends} of ${changes[0]} hosts`);
 	}), {seed: 1, numRuns: 40});
 });
 
 t.test('all hosts together stay within the bound of a limit during partitions, joins and restarts', async t => {
 	fc.assert(fc.property(changesArbitrary, fc.constantFrom(0, 0.2, 0.7, 1, 2, 4, 25), (changes, perS) => {
-		const most = simulate(changes, limitBound(perS)).maxSendsWithin(limitSpanMs);
-		t.ok(most <= maxSendsAtLimit(perS), `${most} of ${changes[0]} hosts at a limit of ${perS}`);
+		const maxSends = simulate(changes, limitBound(perS)).maxSendsWithin(limitSpanMs);
+		t.ok(maxSends <= maxSendsAtLimit(perS), `${maxSends} of ${changes[0]} hosts at a limit of ${perS}`);
 	}), {seed: 2, numRuns: 15});
 });
 
@@ -204,7 +204,7 @@
 			}
 		}
 
-		t.equal(sent, bound.most);
+		t.equal(sent, bound.maxRequests);
 	}
 
 	const unsettled = SendShare.create(() => ({ownName: 'h1', hosts, isSettled: false}));
@@ -212,21 +212,21 @@
 });
 
 t.test('a limit of less than one request per window is one request in a longer window', async t => {
-	t.equal(limitBound(0.2).most, 1);
+	t.equal(limitBound(0.2).maxRequests, 1);
 	t.equal(limitBound(0.2).windowMs, 5000);
 	t.same(limitBound(0), limitBound(0.2));
-	t.same(limitBound(1), {most: 4, windowMs: 4000, isPaced: true});
+	t.same(limitBound(1), {maxRequests: 4, windowMs: 4000, isPaced: true});
 	t.equal(boundPerS(limitBound(4)), 3.5, 'half of the tolerated requests');
 });
 
 t.test('the next send is due when the oldest send leaves the window', async t => {
 	const share = SendShare.create(() => ({ownName: 'a', hosts: ['a'], isSettled: true}));
-	const bound = {most: 2, windowMs: 1000, isPaced: false};
+	const bound = {maxRequests: 2, windowMs: 1000, isPaced: false};
 	share.sent('s', 0);
 	share.sent('s', 300);
 	t.equal(share.remaining('s', bound, anyWork, 300), 0);
 	t.equal(share.nextSendInMs('s', bound, anyWork, 400), 600);
-	const paced = {most: 2, windowMs: 1000, isPaced: true};
+	const paced = {maxRequests: 2, windowMs: 1000, isPaced: true};
 	t.equal(share.nextSendInMs('t', paced, anyWork, 400), 0);
 	share.sent('t', 400);
 	t.equal(share.nextSendInMs('t', paced, anyWork, 400), 500, 'half of the window for each of two');
--- a/src/routing/common/send-share.ts
+++ b/src/routing/common/send-share.ts
@@ -142,7 +142,7 @@
 	}
 
 	/** The number of requests that this host may send within a window. */
-	private quotaOf(upstreamId: string, {most, isPaced}: RateBound, {isSoleSender}: BoundedWork, nowMs: number): number {
+	private quotaOf(upstreamId: string, {maxRequests, isPaced}: RateBound, {isSoleSender}: BoundedWork, nowMs: number): number {
 		const view = this.viewOf(nowMs);
 		const {hosts, isSettled} = view;
 		if (!isSettled) {
@@ -150,13 +150,13 @@
 		}
 
 		if (isSoleSender) {
-			return most;
+			return maxRequests;
 		}
 
-		const senderCount = Math.min(hosts.length, most, Math.max(minSenders, Math.floor(most / (isPaced ? pacedRequestsPerSender : requestsPerSender))));
+		const senderCount = Math.min(hosts.length, maxRequests, Math.max(minSenders, Math.floor(maxRequests / (isPaced ? pacedRequestsPerSender : requestsPerSender))));
 		const rank = this.rankAmong(upstreamId, view);
-		const isAmongFirst = rank < most % senderCount;
-		return rank < senderCount ? Math.floor(most / senderCount) + (isAmongFirst ? 1 : 0) : 0;
+		const isAmongFirst = rank < maxRequests % senderCount;
+		return rank < senderCount ? Math.floor(maxRequests / senderCount) + (isAmongFirst ? 1 : 0) : 0;
 	}
 
 	/** Time until fewer than the given number of sends lie within a time span. */
--- a/src/routing/common/suspend.test.ts
+++ b/src/routing/common/suspend.test.ts
@@ -32,11 +32,11 @@
 
 t.test('the avoidance of an upstream is not prolonged by a suspend', async t => {
 	const clock = ManualClock.create();
-	const signs = ServerLiveness.create();
-	signs.connectionFailed(clock.nowMs(), 400, 4000);
-	t.ok(signs.isAvoided(clock.nowMs()));
+	const liveness = ServerLiveness.create();
+	liveness.connectionFailed(clock.nowMs(), 400, 4000);
+	t.ok(liveness.isAvoided(clock.nowMs()));
 	clock.suspend(500);
-	t.notOk(signs.isAvoided(clock.nowMs()));
+	t.notOk(liveness.isAvoided(clock.nowMs()));
 });
 
 t.test('a quarantine of a content expires during a suspend', async t => {
@@ -129,10 +129,10 @@
 
 t.test('a backoff continues during a suspend, and is over on resume if its time has passed', async t => {
 	const clock = ManualClock.create();
-	const rests = ServerBackoffs.create({log: silentLoggers.for('test'), metrics: noMetrics});
-	rests.handleResponse({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
+	const backoffs = ServerBackoffs.create({log: silentLoggers.for('test'), metrics: noMetrics});
+	backoffs.handleResponse({serverId: 's', pool: 'p'}, {kind: 'asked', forMs: 3000}, clock.nowMs());
 	clock.suspend(2000);
-	t.equal(rests.remainingMs('s', clock.nowMs()), 1000);
+	t.equal(backoffs.remainingMs('s', clock.nowMs()), 1000);
 	clock.suspend(2000);
-	t.equal(rests.remainingMs('s', clock.nowMs()), 0);
+	t.equal(backoffs.remainingMs('s', clock.nowMs()), 0);
 });
--- a/src/routing/common/windowed-budget.ts
+++ b/src/routing/common/windowed-budget.ts
@@ -14,7 +14,7 @@
 /** Share of the bounds that is used. The margin covers that the windows of hosts are not aligned and that the bounds apply to sends when they arrive. */
 const usedShare = 0.85;
 
-type WindowBucket = {readonly atMs: number; firsts: number; repeats: number; hosts: number};
+type WindowBucket = {readonly atMs: number; firstSends: number; repeats: number; hostCount: number};
 
 /** Counts the first sends and repeats to one pool on this host. */
 export class WindowedBudget {
@@ -37,7 +37,7 @@
 	@param count - the number of sends.
 	*/
 	countFirstSends(nowMs: number, count = 1): void {
-		this.bucketAt(nowMs).firsts += count;
+		this.bucketAt(nowMs).firstSends += count;
 	}
 
 	/**
@@ -53,9 +53,9 @@
 		// Hosts that are partitioned or have left may have used their part of the slack within this window.
 		let maxHosts = 1;
 		for (const bucket of this.buckets) {
-			firstSends += bucket.firsts;
+			firstSends += bucket.firstSends;
 			repeats += bucket.repeats;
-			maxHosts = Math.max(maxHosts, bucket.hosts);
+			maxHosts = Math.max(maxHosts, bucket.hostCount);
 		}
 
 		const {ratio, slack} = this.bounds;
@@ -75,14 +75,14 @@
 		}
 
 		const last = this.buckets.at(-1);
-		const hosts = this.hostCount();
+		const hostCount = this.hostCount();
 		if (last && nowMs < last.atMs + (windowMs / bucketsPerWindow)) {
-			last.hosts = Math.max(last.hosts, hosts);
+			last.hostCount = Math.max(last.hostCount, hostCount);
 			return last;
 		}
 
 		const bucket = {
-			atMs: nowMs, firsts: 0, repeats: 0, hosts,
+			atMs: nowMs, firstSends: 0, repeats: 0, hostCount,
 		};
 		this.buckets.push(bucket);
 		return bucket;
--- a/test/request-fuzz.test.ts
+++ b/test/request-fuzz.test.ts
@@ -19,17 +19,17 @@
 }
 
 t.test('the fuzzer detects a chunk that is accepted twice or out of order', async t => {
-	const {take} = Attempt.prototype;
-	t.intercept(Attempt.prototype, 'take', {
+	const {acceptChunk} = Attempt.prototype;
+	t.intercept(Attempt.prototype, 'acceptChunk', {
 		value(this: Attempt, chunk: ChunkMessage) {
-			return take.call(this, {...chunk, sequence: this.units});
+			return acceptChunk.call(this, {...chunk, sequence: this.units});
 		},
 	});
 	t.ok(await isCaught(/promise 1/v));
 });
 
 t.test('the fuzzer detects a truncated answer that is taken for complete', async t => {
-	t.intercept(Attempt.prototype, 'isWhole', {value: () => true});
+	t.intercept(Attempt.prototype, 'isComplete', {value: () => true});
 	t.ok(await isCaught(/promise [12]/v));
 });
 
