--- a/src/agent/common/suspend-detector.ts
+++ b/src/agent/common/suspend-detector.ts
@@ -1,4 +1,4 @@
-/** Detects that this process was suspended: what it reads afterwards may be old, however fresh it looks. */
+/** Detects that this process was suspended: data that it reads afterwards may be stale although it has only just arrived. */
 
 /** Gap between two ticks above which the process counts as having been suspended. */
 export const suspendThresholdMs = 500;
--- a/src/agent/node/agent-service.ts
+++ b/src/agent/node/agent-service.ts
@@ -25,7 +25,7 @@
 const idleTickMs = 50;
 const stateReadIntervalMs = 2000;
 const orphanRetryDelayMs = 1000;
-/** How long a stopping agent keeps responding after its last work has ended, so that every entry learns that it is leaving. */
+/** How long a stopping agent keeps responding after its last work has ended, so that every entry is notified that it is leaving. */
 const announceLeavingMs = 300;
 /** Maximum time for which a dispatch waits for the settings revision that it was made with. */
 const maxSettingsWaitMs = 300;
--- a/src/base/common/disposable.ts
+++ b/src/base/common/disposable.ts
@@ -1,4 +1,4 @@
-/** Ownership of resources: code that creates a resource registers it with an owner at once. */
+/** Ownership of resources: code that creates a resource registers it with an owner immediately. */
 
 /** An object that holds a resource until it is disposed; disposing it twice has no further effect. */
 export type Disposable = {
@@ -32,7 +32,7 @@
 	private isDisposed = false;
 
 	/**
-	Takes ownership of an item; one that is added after the store was disposed is disposed at once.
+	Takes ownership of an item; one that is added after the store was disposed is disposed immediately.
 	@param item - the item to own.
 	@returns the item.
 	*/
--- a/src/base/common/lifecycle.ts
+++ b/src/base/common/lifecycle.ts
@@ -64,7 +64,7 @@
 		return this.stopping;
 	}
 
-	/** Disposes all components at once, without waiting for their work. */
+	/** Disposes all components immediately, without waiting for their work. */
 	stopNow(): void {
 		if (this.currentPhase !== lifecyclePhases.stopped) {
 			this.currentPhase = lifecyclePhases.stopped;
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -63,7 +63,7 @@
 const usedConnectionShare = 0.8;
 /** Connections that this host may always have to one upstream, regardless of the number of hosts. */
 const minConnections = 4;
-/** How often the list of servers is checked for missing servers whose time to come back is over. */
+/** How often the list of servers is checked for missing entries that can no longer come back. */
 const sweepIntervalMs = 200;
 
 /**
@@ -265,7 +265,7 @@
 	lifecycle.register(setRepeating(clock, () => sweepIntervalMs, () => {
 		get(serverRegistryToken).removeOverdue(clock.nowMs());
 	}));
-	// Created at once, so that peers' updates are received before the first request.
+	// Created immediately, so that peers' updates are received before the first request.
 	get(promptUpdatesToken);
 }
 
--- a/src/daemon/node/direct-entry.ts
+++ b/src/daemon/node/direct-entry.ts
@@ -98,7 +98,7 @@
 		// Requests accepted later might not finish in time; the load balancer was notified well before.
 		ingress.stopAccepting();
 		await this.waitUntil(() => clock.nowMs() >= latestMs || (ingress.openCount === 0 && batchHandler.isIdle));
-		// If a connection closes without a response, its caller learns nothing, not even that it may retry.
+		// If a connection closes without a response, its caller receives no information, not even that it may retry.
 		ingress.refuseUnstarted();
 		await this.waitUntil(() => clock.nowMs() >= latestMs + lastResponsesMs || ingress.openCount === 0);
 		log.info('The entry has stopped.', {open: ingress.openCount, tookMs: Math.round(clock.nowMs() - startMs)});
--- a/src/deployment/common/deployment-patch.test.ts
+++ b/src/deployment/common/deployment-patch.test.ts
@@ -70,7 +70,7 @@
 	});
 });
 
-t.test('a peer whose version is not kept gets the whole declaration', async t => {
+t.test('a peer whose version is not kept gets the complete declaration', async t => {
 	const tracker = DeploymentTracker.create(silentLoggers.for('test'));
 	t.equal(tracker.patchFrom(0), undefined, 'no version is known yet');
 	for (let version = 1; version <= 30; version++) {
--- a/src/deployment/common/deployment-patch.ts
+++ b/src/deployment/common/deployment-patch.ts
@@ -1,6 +1,6 @@
 /**
-The difference between two versions of the declaration. A change of one setting takes a few hundred bytes, however much
-else is declared; a whole declaration is sent as a patch without a base version.
+The difference between two versions of the declaration. A change of one setting takes a few hundred bytes, regardless of the
+size of the declaration; a complete declaration is sent as a patch without a base version.
 */
 import {z} from 'zod';
 import {fail, ok, type Outcome} from '../../base/common/outcome.js';
@@ -12,7 +12,7 @@
 const count = z.number().int().nonnegative();
 
 export const deploymentPatchSchema = z.object({
-	/** The version that the patch applies to; 0 if it holds the whole declaration. */
+	/** The version that the patch applies to; 0 if it holds the complete declaration. */
 	baseVersion: count,
 	version: count,
 	routes: listPatchSchema(routeSchema),
--- a/src/deployment/common/deployment-tracker.ts
+++ b/src/deployment/common/deployment-tracker.ts
@@ -10,7 +10,7 @@
 /**
 Number of versions that are kept to make patches for peers that have one of them: about as many as arrive, at one every
 300 ms, within the time in which each must be in force everywhere. They share what did not change; a peer with an older
-version gets the whole declaration.
+version gets the complete declaration.
 */
 const maxKeptVersions = 16;
 
@@ -72,7 +72,7 @@
 	/**
 	Makes the patch that brings a peer to the version in force.
 	@param version - the version that the peer has; 0 for none.
-	@returns the difference, or the whole declaration if that version is not kept; undefined before the first version.
+	@returns the difference, or the complete declaration if that version is not kept; undefined before the first version.
 	*/
 	patchFrom(version: number): DeploymentPatch | undefined {
 		const known = this.recent.find(deployment => deployment.version === version);
--- a/src/deployment/common/feed.ts
+++ b/src/deployment/common/feed.ts
@@ -33,12 +33,12 @@
 	readonly onProgress: () => void;
 };
 
-/** Content of the store that can be read as a whole and followed by its changes. */
+/** Content of the store that can be read completely and then followed change by change. */
 export type FeedSource<T> = {
 	/**
-	Reads the whole content.
+	Reads the complete content.
 	@param call - signals to and from the caller.
-	@returns the whole content as changes from nothing.
+	@returns the complete content, as changes from an empty state.
 	*/
 	readAll(call: FeedCall): Promise<Outcome<FeedChanges<T>, FeedFailure>>;
 	/**
--- a/src/deployment/common/hall-drains.ts
+++ b/src/deployment/common/hall-drains.ts
@@ -1,5 +1,5 @@
 /**
-Tracks which data halls are being drained: operators want nothing more to be sent to the servers there.
+Tracks which data halls are being drained: nothing more is to be sent to the servers there.
 
 Each hall has the store revision of the write that began or ended its drain, and the newest write counts. Updates arrive from
 the store's feed and from peers, late, twice and in any order; hosts that have received the same updates have the same state.
@@ -14,7 +14,7 @@
 /** Maximum number of halls that are remembered; beyond it, those whose drain ended longest ago are evicted. */
 export const maxHalls = 100;
 
-/** The beginning or the end of a drain, and where it was learned from. */
+/** The beginning or the end of a drain, and the source that reported it. */
 export type HallDrainChange = HallDrain & {readonly source: ListSource};
 
 export const hallDrainsToken: InjectionToken<HallDrains> = Symbol('HallDrains');
--- a/src/deployment/common/missing-entries.ts
+++ b/src/deployment/common/missing-entries.ts
@@ -11,7 +11,7 @@
 */
 export const lapseGraceMs = 2200;
 /**
-Fraction of `leavingWithinMs` during which a missing entry may come back, counted from when this host learned that it is missing.
+Fraction of `leavingWithinMs` during which a missing entry may come back, counted from when this host detected that it is missing.
 The remainder, 0.7 s of 2 s, allows for the sweep that removes the entry and for the last call to connect.
 */
 const maxMissingFraction = 0.65;
--- a/src/deployment/common/server-backoffs.ts
+++ b/src/deployment/common/server-backoffs.ts
@@ -1,6 +1,6 @@
 /**
 Tracks the backoffs of servers: a server that rejects a request may ask for a time without requests. Unlike leaving and rate limits, a backoff concerns
-only the host that was asked; others go on. It is not ended by a later and shorter backoff, nor by the response to a call that was in progress.
+only the host that made the request; other hosts continue to send. It is not ended by a later and shorter backoff, nor by the response to a call that was in progress.
 */
 import type {InjectionToken} from 'tsyringe';
 import type {Logger} from '../../base/common/logger.js';
@@ -8,7 +8,7 @@
 import {LoggedOnce} from './logged-once.js';
 import type {UpstreamServer} from './upstream-server.js';
 
-/** What a response says about a backoff. */
+/** What a response states about a backoff. */
 export type BackoffReading
 	= | {readonly kind: 'none'}
 		| {readonly kind: 'asked'; readonly forMs: number}
@@ -66,7 +66,7 @@
 	/**
 	Handles a response of a server to this host.
 	@param server - the server.
-	@param reading - what the response says about a backoff.
+	@param reading - what the response states about a backoff.
 	@param nowMs - current time.
 	*/
 	handleResponse({serverId, pool}: Pick<UpstreamServer, 'serverId' | 'pool'>, reading: BackoffReading, nowMs: number): void {
--- a/src/deployment/common/server-limits.ts
+++ b/src/deployment/common/server-limits.ts
@@ -16,7 +16,7 @@
 import {LoggedOnce} from './logged-once.js';
 import type {UpstreamServer} from './upstream-server.js';
 
-/** What a response says about the rate limit of its server. */
+/** What a response states about the rate limit of its server. */
 export type LimitReading
 	= | {readonly kind: 'named'; readonly perS: number}
 		| {readonly kind: 'none'}
@@ -119,7 +119,7 @@
 	/**
 	Handles a response of a server to this host.
 	@param server - the server.
-	@param reading - what the response says about a limit.
+	@param reading - what the response states about a limit.
 	@param sentMs - when the call was sent.
 	@param nowMs - current time.
 	*/
--- a/src/deployment/common/server-registry.test.ts
+++ b/src/deployment/common/server-registry.test.ts
@@ -128,7 +128,7 @@
 });
 
 /*
-Guards against sending work to a server that has left while this host alone was cut off from the store. The host can't distinguish
+Guards against sending work to a server that has left while only this host had lost its connection to the store. The host can't distinguish
 that from an outage of the store; when every missing entry was expected to come back, it sent requests to the server for 2.2 s,
 until the entry counted as gone.
 */
--- a/src/deployment/common/server-registry.ts
+++ b/src/deployment/common/server-registry.ts
@@ -3,7 +3,7 @@
 
 A start of a server that is leaving or gone never comes back, with one exception: an entry that lapsed while the store
 was unavailable is kept until its server has had time to write it again. A server may start again under the same
-`instanceId`: the later start replaces the earlier one, which is gone from then on, however late a report of it arrives.
+`instanceId`: the later start replaces the earlier one, which is gone from then on, even if a report of it arrives later.
 
 Updates arrive from the store's feed and from peers, late, twice and in any order. Each entry has the revision of the
 write that made it, and the list is complete as of a revision of its own: anything older than either is ignored,
--- a/src/deployment/common/upstream-server.ts
+++ b/src/deployment/common/upstream-server.ts
@@ -2,7 +2,7 @@
 import {z} from 'zod';
 import {addressPattern, maxPort} from '../../wire/common/endpoint.js';
 
-/** Longest remaining cold time that is accepted; servers are cold for seconds, so an entry with a longer time is invalid. */
+/** Maximum remaining cold time that is accepted; servers are cold for seconds, so an entry with a longer time is invalid. */
 export const maxColdMs = 3_600_000;
 
 export const upstreamServerSchema = z.object({
@@ -37,12 +37,12 @@
 /** A list of servers received from a peer. */
 export type ReportedServerList = {
 	readonly list: ServerList;
-	/** Number of entries that could not be parsed and are left out. */
+	/** Number of entries that could not be parsed and were omitted. */
 	readonly unreadableCount: number;
 };
 
 /**
-Parses a list received from a peer; a malformed entry is left out without affecting the others.
+Parses a list received from a peer; a malformed entry is omitted without affecting the others.
 @param value - the decoded message.
 @throws z.ZodError if the value is not a list of servers.
 */
--- a/src/deployment/node/collect-response.ts
+++ b/src/deployment/node/collect-response.ts
@@ -17,7 +17,7 @@
 	readonly headers: readonly Header[];
 };
 
-/** A response with its whole body. */
+/** A response with its complete body. */
 export type CompleteResponse = ResponseHead & {readonly body: Uint8Array};
 
 /** Why there is no complete response. */
@@ -32,7 +32,7 @@
 @param connection - one that carries no call; it is released afterwards, or discarded if there is no complete response.
 @param options - what to send.
 @param signal - cancels the call.
-@param onHead - called as soon as the head has arrived: what it says about its server is valid even if the body fails.
+@param onHead - called as soon as the head has arrived: what it states about its server is valid even if the body fails.
 @returns the response, or why there is none.
 */
 export async function collectResponse(
--- a/src/deployment/node/connection-pool.ts
+++ b/src/deployment/node/connection-pool.ts
@@ -7,7 +7,7 @@
 import {isUnframed} from '../common/hop-headers.js';
 import type {UpstreamServer} from '../common/upstream-server.js';
 
-/** Longest time for opening a connection: hosts are a few milliseconds apart, and a lost first packet is resent only after a second. */
+/** Maximum time for opening a connection: hosts are a few milliseconds apart, and a lost first packet is resent only after a second. */
 const connectTimeoutMs = 400;
 /** How long an idle connection is kept if the upstream gives no time: upstreams close those within a second. */
 const defaultKeepAliveMs = 500;
--- a/src/deployment/node/feed-follower.ts
+++ b/src/deployment/node/feed-follower.ts
@@ -11,7 +11,7 @@
 const changeDelayMs = 60;
 /** Interval at which a host on standby checks whether it must read: a small part of the time within which changes must be acted on. */
 const standbyCheckMs = 200;
-/** Longest gap between parts of a response, and longest wait for it beyond the hold time: many times the store's typical 4 ms. */
+/** Maximum gap between parts of a response, and maximum wait for it beyond the hold time: many times the store's typical 4 ms. */
 const responseTimeoutMs = 700;
 /** Bounds of the delay between failed calls, which doubles with each failure. */
 const minRetryMs = 60;
@@ -132,7 +132,7 @@
 		// A held call would show only at the next change that the store is available again, up to two seconds late.
 		const waitMs = this.revision === undefined || this.hasFailed ? 0 : holdMs();
 		const limit = TimeLimit.create(clock, waitMs + responseTimeoutMs, this.controller.signal);
-		// After a suspend this host knows only the state from before it, and its connection may have been lost.
+		// After a suspension this host knows only the state from before it, and its connection may have been lost.
 		const resumeListener = clock.onDidResume(() => {
 			limit.abort();
 		});
--- a/src/direct/common/bounded-admission.ts
+++ b/src/direct/common/bounded-admission.ts
@@ -22,7 +22,7 @@
 export class BoundedAdmission {
 	/**
 	Creates an instance without reservations or recorded demand.
-	@param availability - provides what this host may send to a pool.
+	@param availability - provides the number of requests that this host may send to a pool.
 	*/
 	static create(availability: Pick<PoolAvailability, 'remainingSends' | 'boundedUnavailability'>): BoundedAdmission {
 		return new BoundedAdmission(availability);
--- a/src/direct/common/caller-protocol.ts
+++ b/src/direct/common/caller-protocol.ts
@@ -12,7 +12,7 @@
 	readonly key: string | undefined;
 	/** Headers that are forwarded to the upstream unchanged. */
 	readonly forwardedHeaders: readonly Header[];
-	/** Parts of the prompt in order; the last one belongs to this request or its session alone. */
+	/** Parts of the prompt in order; the last one belongs only to this request or its session. */
 	readonly promptParts: ReadonlyArray<{readonly id: string; readonly tokens: number}>;
 	/** Number of pieces in each preparation step. */
 	readonly pieceCounts: readonly number[];
--- a/src/direct/common/direct-router.ts
+++ b/src/direct/common/direct-router.ts
@@ -84,7 +84,7 @@
 			}
 
 			if (change === 'gone' || change === 'cold') {
-				// Its prompt cache is lost, or may be.
+				// Its prompt cache has been lost or may have been.
 				options.engines.forgetEngine(server.serverId);
 			}
 		});
--- a/src/direct/common/event-splitter.ts
+++ b/src/direct/common/event-splitter.ts
@@ -1,4 +1,4 @@
-/** Splits an event stream (text/event-stream) into complete events, so that a stream that breaks off never ends within an event. */
+/** Splits an event stream (text/event-stream) into complete events, so that an interrupted stream never ends within an event. */
 import {joinBytes} from '../../base/common/bytes.js';
 
 const newline = 0x0A;
--- a/src/direct/common/pool-availability.ts
+++ b/src/direct/common/pool-availability.ts
@@ -89,7 +89,7 @@
 	Returns how many requests of any kind this host may send to a pool now.
 	@param pool - the pool.
 	@param nowMs - the current time.
-	@returns Infinity if one of the pool's upstreams is not bounded, or if it has none.
+	@returns the number of requests; Infinity if one of the pool's upstreams is not bounded, or if it has none.
 	*/
 	remainingSends(pool: string, nowMs: number): number {
 		const upstreams = this.options.registry.usable(pool);
--- a/src/entry/common/fleet-router.ts
+++ b/src/entry/common/fleet-router.ts
@@ -19,7 +19,7 @@
 const waitCacheMs = 25;
 /** Time for which the cached candidates of a pool are used while no member changes. */
 const viewCacheMs = 100;
-/** Reasons for the end of an attempt that say nothing about the upstream, so that the attempt is not counted in its statistics. */
+/** Reasons for the end of an attempt that are no evidence about the upstream, so that the attempt is not counted in its statistics. */
 const neutralReasons = new Set(['lostRace', 'abandoned']);
 
 /** Dependencies of the router; the policies can be replaced by baselines. */
--- a/src/entry/node/caller-request.ts
+++ b/src/entry/node/caller-request.ts
@@ -82,7 +82,7 @@
 /**
 Checks that a request body is valid JSON.
 @param body - bytes of the body.
-@returns undefined if it is valid, else a problem that says what is wrong and where.
+@returns undefined if it is valid, else a problem that describes the fault and its location.
 */
 export function checkJsonBody(body: Uint8Array): Problem | undefined {
 	const document = readJsonc(body, 'body', true);
--- a/src/entry/node/fleet-links.ts
+++ b/src/entry/node/fleet-links.ts
@@ -18,7 +18,7 @@
 const listIntervalMs = 1000;
 /** Number of ping intervals without a message after which an upstream counts as silent. */
 const maxMissedPings = 3;
-/** Shortest time without a message after which a connection is closed. */
+/** Minimum time without a message after which a connection is closed. */
 const minSilenceTimeoutMs = 4000;
 /** Number of consecutive reads of the host list that must lack a host before its link is removed. */
 const missesBeforeRemoval = 10;
--- a/src/entry/node/response-writer.ts
+++ b/src/entry/node/response-writer.ts
@@ -32,7 +32,7 @@
 	Writes units of a streamed response.
 	@param units - number of units.
 	@param data - bytes of the units.
-	@returns a promise that resolves when the response accepts more data; undefined if it does so at once.
+	@returns a promise that resolves when the response accepts more data; undefined if it does so immediately.
 	*/
 	deliver(units: number, data: Uint8Array): Promise<void> | undefined {
 		this.openStream();
--- a/src/membership/common/member-table.test.ts
+++ b/src/membership/common/member-table.test.ts
@@ -31,7 +31,7 @@
 	t.strictSame(idsAt(table, 30).toSorted(), ['u0', 'u1', 'u3']);
 });
 
-t.test('a few silent upstreams are left out; if most are silent at once, the entry assumes that the fault is its own', async t => {
+t.test('a few silent upstreams get no new work; if most are silent at once, the entry assumes that the fault is its own', async t => {
 	const table = tableOf(10);
 	for (let number = 0; number < 7; number++) {
 		table.received(`u${number}`, 'serving', 2000);
@@ -42,7 +42,7 @@
 	t.equal(idsAt(table, 9000).length, 10, 'all are silent: the silence is ignored');
 });
 
-t.test('a lost connection removes an upstream at once, and the loss of an old incarnation does not affect the new one', async t => {
+t.test('a lost connection removes an upstream immediately, and the loss of an old incarnation does not affect the new one', async t => {
 	const table = tableOf(2);
 	table.disconnected('u0', 'i1');
 	t.strictSame(idsAt(table, 1), ['u1']);
--- a/src/membership/common/member-table.ts
+++ b/src/membership/common/member-table.ts
@@ -92,7 +92,7 @@
 
 		if (known) {
 			this.pools.get(known.member.pool)?.delete(upstreamId);
-			// A host list that named the old incarnation as leaving does not apply to the new one, unless it reports that again.
+			// A host list that listed the old incarnation as leaving does not apply to the new one, unless it reports that again.
 			this.leavingHosts.delete(hostId);
 		}
 
--- a/src/peers/common/fleet-tracker.ts
+++ b/src/peers/common/fleet-tracker.ts
@@ -1,6 +1,7 @@
 /**
 Tracks which hosts a deployment has, as known to one host: those it has been connected to, and those that they have been connected to. A
-host behind a network partition keeps the others, since what all hosts share does not become its own just because it sees no other host.
+host behind a network partition keeps counting the others: even without a connection to them it may use only its own part of what all
+hosts share.
 */
 
 import {parseEndpoint} from '../../wire/common/endpoint.js';
@@ -12,7 +13,7 @@
 const discoveryMs = 2000;
 /**
 A host to which a seed was not reported yet may be partitioned from part of the deployment. After this long the seed is assumed to be gone:
-tolerated partitions are shorter, and a seed may be named by outdated settings.
+tolerated partitions are shorter, and a seed may be listed in outdated settings.
 */
 const missingSeedTimeoutMs = 30_000;
 
--- a/src/peers/node/declaration-propagation.test.ts
+++ b/src/peers/node/declaration-propagation.test.ts
@@ -34,7 +34,7 @@
 /** Messages in transit from one host to another, in order. */
 type Flow = {readonly from: Host; readonly to: Host; readonly frames: Array<{readonly message: Message; remainingBytes: number}>};
 
-/** A host that does not read the store itself: all it learns comes from its peers. */
+/** A host that does not read the store itself and receives everything from its peers. */
 class Host {
 	static create(network: Network, hostId: string, bytesPerMs: number): Host {
 		return new Host(network, hostId, bytesPerMs);
@@ -176,7 +176,7 @@
 	});
 }
 
-/** Lets all readers learn of a version from the store at once. */
+/** Makes all readers receive a version from the store at the same time. */
 function declare(network: Network, deployment: Deployment): void {
 	for (const {tracker} of network.hosts.slice(0, readerCount)) {
 		tracker.offer(structuredClone(deployment), 'store');
--- a/src/peers/node/reader-election.ts
+++ b/src/peers/node/reader-election.ts
@@ -1,6 +1,6 @@
 /**
 Elects the hosts that read the platform's store for all. Each call to the store has a price, and many hosts that read the same feeds
-read the same bytes: above a few hosts, three of them read and notify the others at once. A host relies on that only
+read the same bytes: above a few hosts, three of them read and notify the others immediately. A host relies on that only
 while two of them had a response recently; otherwise it reads for itself, as all hosts do in a small deployment.
 */
 import type {InjectionToken} from 'tsyringe';
--- a/src/peers/node/server-limit-updates.ts
+++ b/src/peers/node/server-limit-updates.ts
@@ -12,7 +12,7 @@
 	readonly clock: Clock;
 };
 
-/** Keeps the limits that hosts know consistent: updates go to all peers at once, everything known to a host that has just connected. */
+/** Keeps the limits that hosts know consistent: updates are sent to all peers immediately, and everything known to a host that has just connected. */
 export class ServerLimitUpdates implements Disposable {
 	static create(options: ServerLimitUpdatesOptions): ServerLimitUpdates {
 		return new ServerLimitUpdates(options);
--- a/src/peers/node/state-exchange.ts
+++ b/src/peers/node/state-exchange.ts
@@ -73,7 +73,7 @@
 		this.owned.dispose();
 	}
 
-	/** Schedules a notification of peers: those that do not read the store learn of servers from those that do. */
+	/** Schedules a notification of peers: those that do not read the store are notified of servers by those that do. */
 	private scheduleAnnouncement(): void {
 		const {clock, mesh, isListUnavailable} = this.options;
 		if (!isListUnavailable()) {
@@ -170,7 +170,7 @@
 		log.info('Received the declaration from a peer.', {
 			peer: hostId, version, baseVersion, sizeBytes: patch.byteLength, isNews: isNew, ...(tookMs !== undefined && {tookMs: Math.round(tookMs)}),
 		});
-		// Late replies from peers that were asked before are not decompressed, so they cost nothing more.
+		// Late replies from peers to earlier requests are not decompressed, so they cost nothing more.
 		if (!isNew) {
 			return;
 		}
--- a/src/placement/common/lease.ts
+++ b/src/placement/common/lease.ts
@@ -73,7 +73,7 @@
 		}
 	}
 
-	/** Releases the lease, so that another process can take it at once. */
+	/** Releases the lease, so that another process can take it immediately. */
 	async release(): Promise<void> {
 		this.heldUntilMs = -Infinity;
 		const rows = await this.table.read([leaseKey]);
--- a/src/placement/common/order-planner.ts
+++ b/src/placement/common/order-planner.ts
@@ -16,7 +16,7 @@
 
 type WantedModel = NonNullable<PoolNode['models']>[number];
 
-/** Maximum share of a pool's engines that change at once, so that the others go on serving. */
+/** Maximum share of a pool's engines that change at once, so that the others continue to serve. */
 const maxChangingShare = 0.25;
 
 /**
--- a/src/placement/common/placement-service.ts
+++ b/src/placement/common/placement-service.ts
@@ -35,7 +35,7 @@
 
 type PendingOrder = {readonly step: OrderStep; readonly expiresAtMs: number};
 
-/** Sends fenced orders while it holds the lease; without the lease, engines go on serving the models that they have loaded. */
+/** Sends fenced orders while it holds the lease; without the lease, engines continue to serve the models that they have loaded. */
 export class PlacementService implements Disposable {
 	static create(options: PlacementOptions): PlacementService {
 		return new PlacementService(options);
--- a/src/preparation/common/admission.ts
+++ b/src/preparation/common/admission.ts
@@ -20,7 +20,7 @@
 const retryAgeShare = 0.1;
 const minRetryAfterMs = 600;
 /**
-Callers honor a delay of up to a third of their remaining time. Beyond that, the current queue says little about the
+Callers honor a delay of up to a third of their remaining time. Beyond that, the current queue indicates little about the
 queue at the time of the retry.
 */
 const maxRetryAfterMs = 2500;
--- a/src/preparation/common/batch-scheduler.ts
+++ b/src/preparation/common/batch-scheduler.ts
@@ -181,7 +181,7 @@
 	}
 
 	/**
-	Handles a call that failed as a whole.
+	Handles a call that failed for all of its pieces.
 	@param call - the call.
 	@param reason - why it failed.
 	@param nowMs - the current time.
--- a/src/preparation/common/piece-order.ts
+++ b/src/preparation/common/piece-order.ts
@@ -8,7 +8,7 @@
 the same as 250 ms where the most expensive kind accounts for most of the value.
 */
 export const rankPenaltyMs = 250;
-/** Longest wait for an upstream in the data hall of the inputs: about a full call, in which each upstream becomes free once. */
+/** Maximum wait for an upstream in the data hall of the inputs: about a full call, in which each upstream becomes free once. */
 const maxHallWaitMs = 300;
 
 /** Later than any due time: places late pieces behind all that can still be in time. */
--- a/src/preparation/common/preparation.ts
+++ b/src/preparation/common/preparation.ts
@@ -2,7 +2,7 @@
 import type {PreparationStep} from '../../deployment/common/declaration.js';
 import type {ResultRef, StepWork} from './work.js';
 
-/** A deferrable step starts once the longest other path has no more than this many steps left. */
+/** A deferrable step starts once the longest other path has no more than this many steps remaining. */
 const maxOtherRemainingSteps = 2;
 
 type Step = {
--- a/src/preparation/common/step-times.ts
+++ b/src/preparation/common/step-times.ts
@@ -3,7 +3,7 @@
 /** Weight of a new duration: about ten of them follow a change, which takes less than a second under load. */
 const smoothing = 0.1;
 /**
-Durations are capped at this multiple of the typical one: a step that gave way to more urgent ones says little about the
+Durations are capped at this multiple of the typical one: a step that was delayed by more urgent ones indicates little about the
 pool.
 */
 const maxFactor = 3;
--- a/src/preparation/node/batch-handler.ts
+++ b/src/preparation/node/batch-handler.ts
@@ -325,7 +325,7 @@
 		this.resubmitWorkOf(hostId);
 	}
 
-	/** Cancels the work that a lost host submitted: nobody waits for it any more. */
+	/** Cancels the work that a lost host submitted: no host waits for it any more. */
 	private cancelWorkOf(hostId: string): void {
 		for (const [workId, peerWork] of this.peerWorks) {
 			if (peerWork.hostId === hostId) {
--- a/src/preparation/node/preparer.ts
+++ b/src/preparation/node/preparer.ts
@@ -17,7 +17,7 @@
 
 /** Maximum number of failures before the request fails. */
 const maxFailures = 6;
-/** Failures that are not retried: a piece that is late at once, or one that no upstream accepts, would be requested for ever. */
+/** Failures that are not retried: a piece that is late at once, or one that no upstream accepts, would be retried without end. */
 const permanentFailures = new Set<string>([pieceFailures.late, pieceFailures.noUpstream]);
 /**
 Multiple of the target after which late work is useless. Callers of streams disconnect when nothing has arrived for four
@@ -201,7 +201,7 @@
 			resultBytes: step.resultBytes,
 			rank: request.rank,
 			dueMs,
-			// A caller disconnects according to the time of this attempt, however long ago its first one was.
+			// A caller disconnects according to the time of this attempt, regardless of when it sent its first one.
 			lateDueMs: Math.min(waitDeadlineMs, request.receivedMs + (maxWaitTargets * request.route.targetMs) - remainingMs),
 			deadlineMs: waitDeadlineMs,
 			...this.preferredHallOf(work),
--- a/src/quarantine/common/crash-record.test.ts
+++ b/src/quarantine/common/crash-record.test.ts
@@ -83,7 +83,7 @@
 		peer.merge(item, 62_000);
 	}
 
-	t.equal(peer.barredUntilMs(content, 62_000), 181_000, 'a peer knows of the trial request');
+	t.equal(peer.barredUntilMs(content, 62_000), 181_000, 'a peer has recorded the trial request');
 	t.equal(record.recordTrial('d'.repeat(32), 62_000), undefined, 'a content that is not barred needs none');
 	record.merge(crashOf('d'), 181_000);
 	t.equal(record.barredUntilMs(content, 181_000), 301_000, 'the crash caused by the trial request does not double the time again');
--- a/src/quarantine/common/request-content.ts
+++ b/src/quarantine/common/request-content.ts
@@ -10,7 +10,7 @@
 };
 
 /**
-Computes the digest of a request without its body. It is cheap, and most requests are told apart by it alone.
+Computes the digest of a request without its body. It is cheap, and enough to distinguish most requests.
 @param source - the request.
 @returns 16 hexadecimal digits.
 */
--- a/src/request/common/claim-store.test.ts
+++ b/src/request/common/claim-store.test.ts
@@ -61,7 +61,7 @@
 	t.ok(table.writeCount <= 5, `${table.writeCount} transactions for 51 claims`);
 });
 
-t.test('of two entries that claim a key at once, one gets it and the other is told which request holds it', async t => {
+t.test('of two entries that claim a key at once, one gets it and the other receives the id of the request that holds it', async t => {
 	const {clock, storeOf, claimOf} = setUp();
 	const results = Promise.all(['a', 'b'].map(async writer => storeOf(writer).claim(claimKey('w', 'k'), claimOf(writer, `r-${writer}`))));
 	await advanceTime(clock, 100);
--- a/src/request/common/claim-store.ts
+++ b/src/request/common/claim-store.ts
@@ -56,7 +56,7 @@
 
 	/** Number of transactions sent. */
 	writeCount = 0;
-	/** Number of outcomes that are neither written nor given up. */
+	/** Number of outcomes that are neither written nor abandoned. */
 	private settlingCount = 0;
 	private pendingWrites: PendingWrite[] = [];
 	private isWriting = false;
@@ -64,7 +64,7 @@
 
 	private constructor(private readonly options: ClaimStoreOptions) {}
 
-	/** Whether every outcome has been written or given up. */
+	/** Whether every outcome has been written or abandoned. */
 	get isSettled(): boolean {
 		return this.settlingCount === 0;
 	}
--- a/src/request/common/gate-state-machine.ts
+++ b/src/request/common/gate-state-machine.ts
@@ -8,7 +8,7 @@
 import {EndedJobs} from './ended-jobs.js';
 import {makeJob, resumeOffsetOf, type GateJob} from './gate-job.js';
 
-/** How long repeatable work runs on after its entry's connection was lost, in case the entry reconnects. */
+/** How long repeatable work continues to run after its entry's connection was lost, in case the entry reconnects. */
 const orphanGraceMs = 1500;
 
 /** Makes all decisions about dispatches at one upstream. The current time is passed with each call. */
@@ -104,7 +104,7 @@
 	}
 
 	/**
-	Cancels a dispatch that its entry gives up. Work that may not be repeated is cancelled only before it has started.
+	Cancels a dispatch that its entry no longer needs. Work that may not be repeated is cancelled only before it has started.
 	@param dispatchId - the dispatch.
 	@param nowMs - the current time.
 	*/
--- a/src/request/common/request-router.ts
+++ b/src/request/common/request-router.ts
@@ -7,7 +7,7 @@
 /** Why no upstream of a pool accepts work for so long that holding the request would not help. */
 export type Unavailability = {readonly message: string; readonly retryAfterMs: number};
 
-/** Decides about upstreams, and learns from the attempts made. */
+/** Chooses upstreams, and updates its statistics from the attempts made. */
 export type RequestRouter = {
 	/** @returns the quarantine status of a request, derived from the outcomes of earlier requests with the same content. */
 	standingOf(plan: RequestPlan): Standing;
@@ -20,7 +20,7 @@
 	@returns the choice, or `undefined` if no upstream may be chosen.
 	*/
 	choose(stage: StagePlan, excluded: ReadonlySet<string>, prefixHash: number, nowMs: number): Choice | undefined;
-	/** @returns why a stage without an available upstream is to be refused at once, or `undefined` if it may wait for one. */
+	/** @returns why a stage without an available upstream is to be refused immediately, or `undefined` if it may wait for one. */
 	unavailability(stage: StagePlan, nowMs: number): Unavailability | undefined;
 	/** @returns after how long a caller that a stage's upstreams refused should retry, or `undefined` if that is not known. */
 	retryAfterMs(stage: StagePlan, nowMs: number): number | undefined;
--- a/src/request/common/request-state-machine.ts
+++ b/src/request/common/request-state-machine.ts
@@ -339,7 +339,7 @@
 		// Work that may not be repeated continues, so that a repeat of the request gets its outcome.
 	}
 
-	/** Fails a request that still waits for its preparation or for an upstream once it is barred, so that its caller knows at once. */
+	/** Fails a request that still waits for its preparation or for an upstream once it is barred, so that its caller is notified immediately. */
 	private refuseIfBarred(nowMs: number): void {
 		const standing = this.router.standingOf(this.plan);
 		if (standing.type === 'barred' && !this.runs.mayHaveRun && this.phase !== 'claiming') {
@@ -347,7 +347,7 @@
 		}
 	}
 
-	/** Refuses a request that no upstream can have begun as not run, so that its caller can turn to another host at once. */
+	/** Refuses a request that no upstream can have begun as not run, so that its caller can retry at another host immediately. */
 	private hostStops(nowMs: number): void {
 		if (!this.runs.mayHaveRun && this.phase !== 'claiming') {
 			this.finishFailed(failureCodes.stopping, 'this host stops before it could run', nowMs, otherHostRetryAfterMs);
--- a/src/request/node/request-runner.ts
+++ b/src/request/node/request-runner.ts
@@ -33,7 +33,7 @@
 	@param units - the number of units.
 	@param data - the bytes of the units.
 	@param http - status and headers of the upstream's answer.
-	@returns a promise that resolves when the caller can take more, or `undefined` if it can at once.
+	@returns a promise that resolves when the caller can take more, or `undefined` if it can immediately.
 	*/
 	deliver(units: number, data: Uint8Array, http?: HttpResponseHead): Promise<void> | undefined;
 	/** Gives the caller the final answer. */
@@ -107,7 +107,7 @@
 		};
 	}
 
-	/** Refuses all requests that no upstream can have begun, since the process is about to stop. The others go on as long as they can. */
+	/** Refuses all requests that no upstream can have begun, since the process is about to stop. The others continue as long as they can. */
 	refuseUnstarted(): void {
 		this.broadcast({type: 'hostStops'});
 	}
--- a/src/routing/common/retry-budget.ts
+++ b/src/routing/common/retry-budget.ts
@@ -10,7 +10,7 @@
 	/**
 	Creates a budget.
 	@param nowMs - the current time.
-	@param floorTokens - tokens that accrue with time alone; 0 for hedges, which a workspace with few requests can do without.
+	@param floorTokens - tokens that accrue with time, without first attempts; 0 for hedges, which a workspace with few requests can do without.
 	*/
 	static create(nowMs: number, floorTokens = defaultFloorTokens): RetryBudget {
 		return new RetryBudget(nowMs, floorTokens);
--- a/src/routing/common/send-bounds.ts
+++ b/src/routing/common/send-bounds.ts
@@ -32,7 +32,7 @@
 export type SendBoundsOptions = {
 	readonly registry: Pick<ServerRegistry, 'remainingColdMs' | 'acceptsNewWork' | 'onDidChange'>;
 	readonly limits: Pick<ServerLimits, 'limitOf' | 'forget'>;
-	/** Servers that have asked this host to send nothing for a while. */
+	/** Servers that have asked this host for a backoff. */
 	readonly backoffs: Pick<ServerBackoffs, 'remainingMs' | 'forget'>;
 	/** This host's share of the bounds on all hosts together. */
 	readonly share: SendShare;
--- a/src/routing/common/windowed-budget.test.ts
+++ b/src/routing/common/windowed-budget.test.ts
@@ -19,7 +19,7 @@
 	t.equal(withdrawAll(9000), 0);
 	hosts = 1;
 	t.equal(withdrawAll(9000), 0, 'alone, but the others may have used their parts of the slack');
-	t.equal(withdrawAll(21_000), 42, 'the whole slack after a window alone');
+	t.equal(withdrawAll(21_000), 42, 'the entire slack after a window without other hosts');
 });
 
 t.test('hosts that left within the window still count, since they may have used their part', async t => {
@@ -33,5 +33,5 @@
 	}
 
 	t.equal(paid, 8, 'a quarter of the slack, less the margin');
-	t.ok(budget.tryWithdraw(20_000), 'the whole slack after a window alone');
+	t.ok(budget.tryWithdraw(20_000), 'the entire slack after a window without other hosts');
 });
--- a/src/settings/common/settings-store.ts
+++ b/src/settings/common/settings-store.ts
@@ -141,7 +141,7 @@
 	}
 
 	/**
-	Stores a snapshot unless a newer one exists. Writes the object before the row that names it, so that a reader never finds
+	Stores a snapshot unless a newer one exists. Writes the object before the row that refers to it, so that a reader never finds
 	a name without its object.
 	@param snapshot - all nodes at a revision.
 	*/
--- a/src/standins/node/engine-server.ts
+++ b/src/standins/node/engine-server.ts
@@ -21,7 +21,7 @@
 export type EngineFaults = {
 	/** Factor by which steps are slower. */
 	slowFactor: number;
-	/** Whether every generation fails at once. */
+	/** Whether every generation fails immediately. */
 	isFailing: boolean;
 	/** Number of tokens after which streams are closed without an end marker. */
 	cutAfterTokens: number;
@@ -35,7 +35,7 @@
 	readonly models: readonly LoadedModel[];
 	/** Whether orders with a lower fencing token are refused; true by default. */
 	readonly isFenceChecked?: boolean;
-	/** Origin of the weight store; without one, models load at once. */
+	/** Origin of the weight store; without one, models load immediately. */
 	readonly weightOrigin?: string;
 };
 
--- a/src/wire/common/messages.ts
+++ b/src/wire/common/messages.ts
@@ -234,7 +234,7 @@
 	isLeaving: z.boolean(),
 	/** The sender's capacity for shared work, in cores; absent in messages of older hosts. */
 	room: z.number().nonnegative().optional(),
-	/** Longest time until the sender sends its next message; absent in messages of older hosts, which send one every 500 ms. */
+	/** Maximum time until the sender sends its next message; absent in messages of older hosts, which send one every 500 ms. */
 	nextWithinMs: z.number().positive().optional(),
 	/** Time since the store last responded to the sender; absent while the sender does not read the store. */
 	storeAgeMs: z.number().nonnegative().optional(),
@@ -263,7 +263,7 @@
 	type: z.literal('stateReply'), deployment: packedDeploymentSchema.optional(), servers: bytes.optional(),
 });
 
-/** Prompts that the sender has sent to model engines, which tell what the engines have yet to prefill and what they will cache. */
+/** Prompts that the sender has sent to model engines. The receiver derives from them what the engines have yet to prefill and what they will cache. */
 const sentPromptsSchema = z.array(z.strictObject({serverId, parts: z.array(z.strictObject({key: count, tokens: count})).max(64)})).max(10_000);
 const promptsSentSchema = z.strictObject({
 	type: z.literal('promptsSent'),
