--- a/src/agent/node/agent-service.ts
+++ b/src/agent/node/agent-service.ts
@@ -56,7 +56,7 @@
 	}
 
 	private readonly connections = new Map<number, WireConnection>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly runner: CallRunner;
 	private readonly suspendDetector: SuspendDetector;
 	private readonly orderHandler: OrderHandler;
@@ -71,19 +71,19 @@
 		this.runner = CallRunner.create(gate, driver, clock, actions => {
 			this.perform(actions);
 		});
-		this.owned.add(server.onDidConnect(connection => {
+		this.disposables.add(server.onDidConnect(connection => {
 			this.accept(connection);
 		}));
-		this.owned.add(settings.onDidChangeRevision(() => {
+		this.disposables.add(settings.onDidChangeRevision(() => {
 			this.applySettings();
 		}));
-		this.owned.add(lifecycle.onWillStop(event => {
+		this.disposables.add(lifecycle.onWillStop(event => {
 			event.waitFor(this.drain());
 		}));
-		this.owned.add(setRepeating(clock, () => gate.isIdle ? idleTickMs : tickMs, () => {
+		this.disposables.add(setRepeating(clock, () => gate.isIdle ? idleTickMs : tickMs, () => {
 			this.tick();
 		}));
-		this.owned.add(setRepeating(clock, () => stateReadIntervalMs, async () => this.readState()));
+		this.disposables.add(setRepeating(clock, () => stateReadIntervalMs, async () => this.readState()));
 	}
 
 	/**
@@ -102,7 +102,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private accept(connection: WireConnection): void {
--- a/src/base/common/time-limit.ts
+++ b/src/base/common/time-limit.ts
@@ -21,7 +21,7 @@
 	}
 
 	private readonly controller = new AbortController();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private dueMs: number;
 	private timer: Disposable | undefined;
 	private isDisposed = false;
@@ -38,7 +38,7 @@
 		};
 
 		stop.addEventListener('abort', onStop, {once: true});
-		this.owned.add(toDisposable(() => {
+		this.disposables.add(toDisposable(() => {
 			stop.removeEventListener('abort', onStop);
 		}));
 		this.arm();
@@ -71,7 +71,7 @@
 	dispose(): void {
 		this.isDisposed = true;
 		this.timer?.dispose();
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private arm(): void {
--- a/src/deployment/common/hop-headers.ts
+++ b/src/deployment/common/hop-headers.ts
@@ -11,18 +11,18 @@
 @returns the headers to forward.
 */
 export function endToEndHeaders(headers: readonly Header[]): Header[] {
-	const named = new Set<string>();
+	const connectionOptions = new Set<string>();
 	for (const {name, value} of headers) {
 		if (name.toLowerCase() === 'connection') {
 			for (const item of value.split(',')) {
-				named.add(item.trim().toLowerCase());
+				connectionOptions.add(item.trim().toLowerCase());
 			}
 		}
 	}
 
 	return headers.filter(({name}) => {
 		const lowerName = name.toLowerCase();
-		return !connectionHeaders.has(lowerName) && !named.has(lowerName);
+		return !connectionHeaders.has(lowerName) && !connectionOptions.has(lowerName);
 	});
 }
 
--- a/src/deployment/common/leaving-servers.test.ts
+++ b/src/deployment/common/leaving-servers.test.ts
@@ -5,24 +5,24 @@
 function makeLeaving() {
 	const leaving = LeavingServers.create(silentLoggers.for('test'));
 	const reported: string[] = [];
-	const learned: string[] = [];
+	const observed: string[] = [];
 	leaving.onDidServerReport(serverId => {
 		reported.push(serverId);
 	});
-	leaving.onDidLearn(serverId => {
-		learned.push(serverId);
+	leaving.onDidObserve(serverId => {
+		observed.push(serverId);
 	});
-	return {leaving, reported, learned};
+	return {leaving, reported, observed};
 }
 
 t.test('a server is recorded once; only a report that it made to this host first is passed on to peers', async t => {
-	const {leaving, reported, learned} = makeLeaving();
+	const {leaving, reported, observed} = makeLeaving();
 	leaving.handleServerReport({serverId: 'a', pool: 'p'});
 	leaving.handleServerReport({serverId: 'a', pool: 'p'});
 	leaving.handlePeerReport(['a', 'b'], 'peer');
 	leaving.handleServerReport({serverId: 'b', pool: 'p'});
 	t.same(reported, ['a']);
-	t.same(learned, ['a', 'b']);
+	t.same(observed, ['a', 'b']);
 	t.ok(leaving.has('b'));
 	t.notOk(leaving.has('c'));
 });
--- a/src/deployment/common/leaving-servers.ts
+++ b/src/deployment/common/leaving-servers.ts
@@ -19,7 +19,7 @@
 	}
 
 	private readonly didServerReport = Emitter.create<string>();
-	private readonly didLearn = Emitter.create<string>();
+	private readonly didObserve = Emitter.create<string>();
 	/** Values of `serverId`, oldest first. */
 	private readonly known = new Set<string>();
 
@@ -31,8 +31,8 @@
 	}
 
 	/** Fires with each `serverId` that becomes known here, whether from a response or from a peer. */
-	get onDidLearn() {
-		return this.didLearn.event;
+	get onDidObserve() {
+		return this.didObserve.event;
 	}
 
 	/** All that are known, oldest first. */
@@ -84,7 +84,7 @@
 			this.known.delete(oldest);
 		}
 
-		this.didLearn.fire(serverId);
+		this.didObserve.fire(serverId);
 		return true;
 	}
 }
--- a/src/deployment/common/server-limits.test.ts
+++ b/src/deployment/common/server-limits.test.ts
@@ -6,7 +6,7 @@
 import {ServerLimits, type LimitUpdate, type LimitReading} from './server-limits.js';
 
 const server = {serverId: 's@1', pool: 'p'};
-const named = (perS: number): LimitReading => ({kind: 'named', perS});
+const announced = (perS: number): LimitReading => ({kind: 'named', perS});
 const none: LimitReading = {kind: 'none'};
 /** Time after which an end has taken effect on every host. */
 const maxEndDelayMs = 4000;
@@ -16,7 +16,7 @@
 	clock.advance(100_000);
 	const limits = ServerLimits.create({random: SeededRandom.create(seed), log: silentLoggers.for('test'), metrics: noMetrics});
 	const reported: LimitUpdate[] = [];
-	limits.onDidLearn(update => {
+	limits.onDidObserve(update => {
 		reported.push(update);
 	});
 	return {
@@ -38,17 +38,17 @@
 t.test('a limit is in force from its first announcement for as long as it is announced; changes are reported to peers', async t => {
 	const {clock, respond, perS, reported} = makeLimits();
 	t.equal(perS(), undefined);
-	respond(named(2));
+	respond(announced(2));
 	t.equal(perS(), 2);
 	clock.advance(100);
-	respond(named(2));
+	respond(announced(2));
 	t.equal(reported.length, 1, 'nothing has changed');
 	clock.advance(150);
-	respond(named(0.5));
+	respond(announced(0.5));
 	t.equal(perS(), 0.5);
 	t.match(reported.at(-1), {serverId: 's@1', perS: 0.5, namedAgoMs: 0});
 	clock.advance(5000);
-	respond(named(0.5));
+	respond(announced(0.5));
 	t.equal(reported.length, 3, 'it is reported at intervals that the limit is still in force');
 	clock.advance(60_000);
 	t.equal(perS(), 0.5, 'no response has ended it');
@@ -56,7 +56,7 @@
 
 t.test('a response without a limit ends it only if its call was sent after the last response with one; the end takes effect after a delay', async t => {
 	const {clock, respond, perS, reported} = makeLimits();
-	respond(named(1));
+	respond(announced(1));
 	clock.advance(50);
 	respond(none, 80);
 	clock.advance(maxEndDelayMs);
@@ -71,11 +71,11 @@
 
 t.test('a limit that is announced again before its end takes effect stays in force', async t => {
 	const {clock, respond, perS} = makeLimits();
-	respond(named(1));
+	respond(announced(1));
 	clock.advance(10);
 	respond(none);
 	clock.advance(500);
-	respond(named(1));
+	respond(announced(1));
 	clock.advance(60_000);
 	t.equal(perS(), 1);
 });
@@ -83,7 +83,7 @@
 t.test('hosts end a limit at different times, and a low limit later', async t => {
 	const endOf = (seed: number, limitPerS: number) => {
 		const {clock, respond, perS} = makeLimits(seed);
-		respond(named(limitPerS));
+		respond(announced(limitPerS));
 		clock.advance(10);
 		respond(none);
 		const startMs = clock.nowMs();
@@ -120,11 +120,11 @@
 
 t.test('an end that a peer reports takes effect unless the limit is announced meanwhile', async t => {
 	const {clock, respond, receive, perS} = makeLimits();
-	respond(named(1));
+	respond(announced(1));
 	clock.advance(1000);
 	receive({endedAgoMs: 5});
 	clock.advance(100);
-	respond(named(1));
+	respond(announced(1));
 	clock.advance(60_000);
 	t.equal(perS(), 1);
 	receive({endedAgoMs: 5});
@@ -134,7 +134,7 @@
 
 t.test('a server that is gone has no limit; a later start of it has its own', async t => {
 	const {clock, limits, respond, perS} = makeLimits();
-	respond(named(1));
+	respond(announced(1));
 	limits.forget(server.serverId);
 	t.equal(perS(), undefined);
 	t.same(limits.all(clock.nowMs()), []);
@@ -142,14 +142,14 @@
 
 t.test('known limits age while the host is suspended', async t => {
 	const {clock, limits, respond} = makeLimits();
-	respond(named(1));
+	respond(announced(1));
 	clock.suspend(9000);
 	t.same(limits.all(clock.nowMs()), [{serverId: 's@1', perS: 1, namedAgoMs: 9000}]);
 });
 
 t.test('limits that can\'t be parsed and those of other servers change nothing; the number of limits is bounded', async t => {
 	const {clock, limits, respond, perS} = makeLimits();
-	respond(named(1));
+	respond(announced(1));
 	clock.advance(10);
 	respond({kind: 'unreadable', text: 'x'.repeat(5000)});
 	respond({kind: 'silent'});
@@ -172,13 +172,13 @@
 		const {clock, respond, perS, reported} = makeLimits();
 		for (let index = 0; index < 1000; index++) {
 			const limitPerS = limitOf(index);
-			respond(limitPerS === undefined ? none : named(limitPerS));
+			respond(limitPerS === undefined ? none : announced(limitPerS));
 			clock.advance(1);
 		}
 
 		t.ok(reported.length <= 5, `${reported.length} reports in a second`);
 		clock.advance(500);
-		respond(named(7));
+		respond(announced(7));
 		t.equal(perS(), 7);
 		t.match(reported.at(-1), {perS: 7});
 		t.equal(reported.at(-1)!.endedAgoMs, undefined);
--- a/src/deployment/common/server-limits.ts
+++ b/src/deployment/common/server-limits.ts
@@ -83,7 +83,7 @@
 		return new ServerLimits(options);
 	}
 
-	private readonly didLearn = Emitter.create<LimitUpdate>();
+	private readonly didObserve = Emitter.create<LimitUpdate>();
 	/** By `serverId`, least recently updated first. */
 	private readonly known = new Map<string, KnownLimit>();
 	private readonly loggedMalformed = LoggedOnce.create();
@@ -91,8 +91,8 @@
 	private constructor(private readonly options: ServerLimitsOptions) {}
 
 	/** Fires with what is to be reported to peers. */
-	get onDidLearn() {
-		return this.didLearn.event;
+	get onDidObserve() {
+		return this.didObserve.event;
 	}
 
 	/**
@@ -202,7 +202,7 @@
 		const isDue = nowMs - known.reportedMs >= (known.isReported ? repeatReportMs : minReportIntervalMs);
 		if (isDue) {
 			this.keep(serverId, {...known, reportedMs: nowMs, isReported: true});
-			this.didLearn.fire(updateOf(serverId, known, nowMs));
+			this.didObserve.fire(updateOf(serverId, known, nowMs));
 		}
 
 		return isDue;
--- a/src/deployment/common/server-registry.ts
+++ b/src/deployment/common/server-registry.ts
@@ -43,7 +43,7 @@
 	/** Drained halls, whose servers get no new work; none if absent. */
 	readonly drains?: Pick<HallDrains, 'isDrained' | 'onDidChange'>;
 	/** Servers that have reported themselves that they are leaving; none if absent. */
-	readonly leaving?: Pick<LeavingServers, 'has' | 'onDidLearn'>;
+	readonly leaving?: Pick<LeavingServers, 'has' | 'onDidObserve'>;
 };
 
 /** Keeps the servers of all pools. */
@@ -72,7 +72,7 @@
 		options.drains?.onDidChange(change => {
 			this.handleDrainChange(change);
 		});
-		options.leaving?.onDidLearn(serverId => {
+		options.leaving?.onDidObserve(serverId => {
 			this.markLeaving(serverId);
 		});
 	}
--- a/src/peers/common/heartbeat-schedule.test.ts
+++ b/src/peers/common/heartbeat-schedule.test.ts
@@ -44,8 +44,8 @@
 high-capacity ones.
 */
 t.test('signs of life a second to each low-capacity host, by the size of the fleet', async t => {
-	const signsPerSecond = (highCapacityCount: number, lowCapacityCount: number) =>
+	const heartbeatsPerSecond = (highCapacityCount: number, lowCapacityCount: number) =>
 		(highCapacityCount * 1000 / heartbeatIntervalMs([0.2, 1.35], 1.35)) + ((lowCapacityCount - 1) * 1000 / heartbeatIntervalMs([0.2, 0.2], 1.35));
-	t.equal(signsPerSecond(15, 53), 56);
-	t.equal(signsPerSecond(0, 68) > signsPerSecond(15, 53), false);
+	t.equal(heartbeatsPerSecond(15, 53), 56);
+	t.equal(heartbeatsPerSecond(0, 68) > heartbeatsPerSecond(15, 53), false);
 });
--- a/src/peers/node/leaving-server-updates.ts
+++ b/src/peers/node/leaving-server-updates.ts
@@ -16,18 +16,18 @@
 		return new LeavingServerUpdates(options);
 	}
 
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 
 	private constructor({leaving, mesh}: LeavingServerUpdatesOptions) {
-		this.owned.add(leaving.onDidServerReport(serverId => {
+		this.disposables.add(leaving.onDidServerReport(serverId => {
 			mesh.broadcast({type: 'leavingServers', serverIds: [serverId]});
 		}));
-		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
+		this.disposables.add(mesh.onDidReceive(({hostId, message}) => {
 			if (message.type === 'leavingServers') {
 				leaving.handlePeerReport(message.serverIds, hostId);
 			}
 		}));
-		this.owned.add(mesh.onDidConnect(hostId => {
+		this.disposables.add(mesh.onDidConnect(hostId => {
 			const {all} = leaving;
 			if (all.length > 0) {
 				mesh.send(hostId, {type: 'leavingServers', serverIds: all.slice(-maxLeavingServers)});
@@ -36,6 +36,6 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 }
--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -52,7 +52,7 @@
 	}
 
 	private readonly peers = new Map<string, Peer>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly dialer: PeerDialer;
 	/** All hosts of the deployment, connected now or not. */
 	private fleetTracker: FleetTracker;
@@ -72,7 +72,7 @@
 	private constructor(private readonly options: PeerMeshOptions) {
 		const {server, wire, clock} = options;
 		this.fleetTracker = FleetTracker.create('', clock.nowMs());
-		this.dialer = this.owned.add(PeerDialer.create({
+		this.dialer = this.disposables.add(PeerDialer.create({
 			wire,
 			clock,
 			onConnected: connection => {
@@ -80,7 +80,7 @@
 			},
 			connectedEndpoints: () => this.knownEndpoints(),
 		}));
-		this.owned.add(server.onDidConnect(connection => {
+		this.disposables.add(server.onDidConnect(connection => {
 			this.addConnection(connection);
 		}));
 	}
@@ -141,7 +141,7 @@
 		this.fleetTracker = FleetTracker.create(this.dialer.ownEndpoint, this.options.clock.nowMs());
 		this.lastTickMs = this.options.clock.nowMs();
 		this.addSeeds(seeds);
-		this.owned.add(setRepeating(this.options.clock, () => defaultHeartbeatIntervalMs, () => {
+		this.disposables.add(setRepeating(this.options.clock, () => defaultHeartbeatIntervalMs, () => {
 			this.tick();
 		}));
 	}
@@ -177,7 +177,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private tick(): void {
--- a/src/peers/node/server-limit-updates.test.ts
+++ b/src/peers/node/server-limit-updates.test.ts
@@ -6,12 +6,12 @@
 import {ServerLimitUpdates} from './server-limit-updates.js';
 
 function makeUpdates(known: Update[] = []) {
-	const learned = Emitter.create<Update>();
+	const observed = Emitter.create<Update>();
 	const reported: Update[] = [];
 	const mesh = MeshStandin.create();
 	ServerLimitUpdates.create({
 		limits: {
-			onDidLearn: learned.event,
+			onDidObserve: observed.event,
 			handlePeerReport(updates) {
 				reported.push(...updates);
 			},
@@ -20,16 +20,16 @@
 		mesh,
 		clock: ManualClock.create(),
 	});
-	return {learned, reported, mesh};
+	return {observed, reported, mesh};
 }
 
 t.test('what is learned goes to all peers, and is applied as it was sent', async t => {
-	const {learned, reported, mesh} = makeUpdates();
+	const {observed, reported, mesh} = makeUpdates();
 	const updates: Update[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
 		serverId: 's', perS: 0.5, namedAgoMs: 700, endedAgoMs: 20,
 	}];
 	for (const each of updates) {
-		learned.fire(each);
+		observed.fire(each);
 	}
 
 	for (const {to, message} of mesh.sent) {
--- a/src/peers/node/server-limit-updates.ts
+++ b/src/peers/node/server-limit-updates.ts
@@ -7,7 +7,7 @@
 
 /** Dependencies of `ServerLimitUpdates`. */
 export type ServerLimitUpdatesOptions = {
-	readonly limits: Pick<ServerLimits, 'onDidLearn' | 'handlePeerReport' | 'all'>;
+	readonly limits: Pick<ServerLimits, 'onDidObserve' | 'handlePeerReport' | 'all'>;
 	readonly mesh: Pick<PeerMesh, 'onDidReceive' | 'onDidConnect' | 'send' | 'broadcast'>;
 	readonly clock: Clock;
 };
@@ -18,18 +18,18 @@
 		return new ServerLimitUpdates(options);
 	}
 
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 
 	private constructor({limits, mesh, clock}: ServerLimitUpdatesOptions) {
-		this.owned.add(limits.onDidLearn(update => {
+		this.disposables.add(limits.onDidObserve(update => {
 			mesh.broadcast({type: 'serverLimits', limits: [update]});
 		}));
-		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
+		this.disposables.add(mesh.onDidReceive(({hostId, message}) => {
 			if (message.type === 'serverLimits') {
 				limits.handlePeerReport(message.limits, hostId, clock.nowMs());
 			}
 		}));
-		this.owned.add(mesh.onDidConnect(hostId => {
+		this.disposables.add(mesh.onDidConnect(hostId => {
 			const all = limits.all(clock.nowMs());
 			if (all.length > 0) {
 				mesh.send(hostId, {type: 'serverLimits', limits: all.slice(-maxServerLimits)});
@@ -38,6 +38,6 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 }
--- a/src/peers/node/state-exchange.test.ts
+++ b/src/peers/node/state-exchange.test.ts
@@ -18,7 +18,7 @@
 	const log = silentLoggers.for('test');
 	const clock = ManualClock.create();
 	const received = Emitter.create<PeerMessage>();
-	const asked: string[] = [];
+	const requested: string[] = [];
 	const sent: Message[] = [];
 	const registry = ServerRegistry.create({log, leavingWithinMs: 2000});
 	StateExchange.create({
@@ -28,7 +28,7 @@
 			send(hostId: string, message: Message) {
 				sent.push(message);
 				if (message.type === 'stateRequest') {
-					asked.push(`${hostId}${message.wantsDeployment ? ' declaration' : ''}${message.wantsServers ? ' servers' : ''}`);
+					requested.push(`${hostId}${message.wantsDeployment ? ' declaration' : ''}${message.wantsServers ? ' servers' : ''}`);
 				}
 
 				return hostId !== 'gone';
@@ -42,7 +42,7 @@
 		log,
 	});
 	return {
-		clock, asked, sent, registry,
+		clock, requested, sent, registry,
 		sendHeartbeat(hostId: string, deploymentVersion: number, listRevision: number) {
 			received.fire({
 				hostId, message: {
@@ -64,20 +64,20 @@
 }
 
 t.test('an update that all peers announce at once is requested from one, and from another if that one does not reply', async t => {
-	const {clock, asked, sendHeartbeat, sendReply} = makeExchange(true);
+	const {clock, requested, sendHeartbeat, sendReply} = makeExchange(true);
 	clock.advance(1000);
 	sendHeartbeat('gone', 5, 0);
 	sendHeartbeat('a', 5, 0);
 	sendHeartbeat('b', 5, 0);
-	t.same(asked, ['gone declaration', 'a declaration'], 'a peer that can\'t be reached does not count as asked');
+	t.same(requested, ['gone declaration', 'a declaration'], 'a peer that can\'t be reached does not count as asked');
 	sendHeartbeat('b', 5, 9);
-	t.same(asked.at(-1), 'b servers', 'servers are requested in addition');
+	t.same(requested.at(-1), 'b servers', 'servers are requested in addition');
 	clock.advance(500);
 	sendHeartbeat('c', 5, 9);
-	t.same(asked.at(-1), 'c declaration servers');
+	t.same(requested.at(-1), 'c declaration servers');
 	sendReply('c', {revision: 9, servers: []});
 	sendHeartbeat('d', 5, 10);
-	t.same(asked.at(-1), 'd servers', 'after a reply the next update is requested at once');
+	t.same(requested.at(-1), 'd servers', 'after a reply the next update is requested at once');
 });
 
 /*
@@ -86,21 +86,21 @@
 interrupted requested the list from its peers.
 */
 t.test('a host that stays behind its peers requests their list, also while its own reading seems healthy', async t => {
-	const {clock, asked, registry, sendHeartbeat, sendReply} = makeExchange(false);
+	const {clock, requested, registry, sendHeartbeat, sendReply} = makeExchange(false);
 	clock.advance(1000);
 	sendHeartbeat('a', 0, 9);
 	clock.advance(200);
 	sendHeartbeat('b', 0, 9);
-	t.same(asked, [], 'its own reading is given time first');
+	t.same(requested, [], 'its own reading is given time first');
 	clock.advance(200);
 	sendHeartbeat('a', 0, 9);
-	t.same(asked, ['a servers']);
+	t.same(requested, ['a servers']);
 	sendReply('a', {revision: 9, servers: []});
 	t.equal(registry.revision, 9);
 	clock.advance(500);
 	sendHeartbeat('a', 0, 9);
 	sendHeartbeat('a', 0, 10);
-	t.same(asked, ['a servers'], 'once it has caught up, its own reading is given time again for the next update');
+	t.same(requested, ['a servers'], 'once it has caught up, its own reading is given time again for the next update');
 });
 
 /*
--- a/src/peers/node/state-exchange.ts
+++ b/src/peers/node/state-exchange.ts
@@ -42,7 +42,7 @@
 		return new StateExchange(options);
 	}
 
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	/** Runs while changes of the server list are collected. */
 	private collectTimer: Disposable | undefined;
 	private readonly replyCache: StateReplyCache;
@@ -53,24 +53,24 @@
 
 	private constructor(private readonly options: StateExchangeOptions) {
 		const {mesh, tracker, registry, drains} = options;
-		this.replyCache = this.owned.add(StateReplyCache.create(tracker, registry));
-		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
+		this.replyCache = this.disposables.add(StateReplyCache.create(tracker, registry));
+		this.disposables.add(mesh.onDidReceive(({hostId, message}) => {
 			this.handleMessage(hostId, message);
 		}));
-		this.owned.add(tracker.onDidChange(() => {
+		this.disposables.add(tracker.onDidChange(() => {
 			mesh.announce();
 		}));
-		this.owned.add(drains.onDidChange(() => {
+		this.disposables.add(drains.onDidChange(() => {
 			mesh.announce();
 		}));
-		this.owned.add(registry.onDidChange(() => {
+		this.disposables.add(registry.onDidChange(() => {
 			this.scheduleAnnouncement();
 		}));
 	}
 
 	dispose(): void {
 		this.collectTimer?.dispose();
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	/** Schedules a notification of peers: those that do not read the store are notified of servers by those that do. */
--- a/src/peers/node/state-reply-cache.ts
+++ b/src/peers/node/state-reply-cache.ts
@@ -11,16 +11,16 @@
 		return new StateReplyCache(tracker, registry);
 	}
 
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	/** By the version that the requesting peer has. */
 	private readonly patches = new Map<number, PackedDeployment>();
 	private packedList: {readonly revision: number; readonly packed: Uint8Array} | undefined;
 
 	private constructor(private readonly tracker: DeploymentTracker, private readonly registry: ServerRegistry) {
-		this.owned.add(tracker.onDidChange(() => {
+		this.disposables.add(tracker.onDidChange(() => {
 			this.patches.clear();
 		}));
-		this.owned.add(registry.onDidChange(() => {
+		this.disposables.add(registry.onDidChange(() => {
 			this.packedList = undefined;
 		}));
 	}
@@ -57,6 +57,6 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 }
--- a/src/placement/common/placement-service.ts
+++ b/src/placement/common/placement-service.ts
@@ -41,14 +41,14 @@
 		return new PlacementService(options);
 	}
 
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly pending = new Map<string, PendingOrder>();
 	private epoch = 0;
 	private sequence = 0;
 
 	private constructor(private readonly options: PlacementOptions) {
 		const {clock, random} = options;
-		this.owned.add(setRepeating(clock, () => jitter(random, tickMs), async () => this.tick()));
+		this.disposables.add(setRepeating(clock, () => jitter(random, tickMs), async () => this.tick()));
 	}
 
 	/** The epoch of the lease, or `undefined` while it is not held. */
@@ -76,12 +76,12 @@
 
 	/** Stops and releases the lease, as at a planned shutdown. */
 	async release(): Promise<void> {
-		this.owned.dispose();
+		this.disposables.dispose();
 		await this.options.lease.release();
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private sendOrders(): void {
--- a/src/preparation/common/overloaded-pool.test.ts
+++ b/src/preparation/common/overloaded-pool.test.ts
@@ -84,7 +84,7 @@
 		},
 		/** Longest time from requesting a step until it was done or failed. */
 		longestMs(rank: number, fromMs: number, toMs: number): number {
-			return Math.max(...submittedBetween(rank, fromMs, toMs).map(([workId, {submittedMs: askedMs}]) => (doneMs.get(workId) ?? endedMs.get(workId) ?? Infinity) - askedMs));
+			return Math.max(...submittedBetween(rank, fromMs, toMs).map(([workId, {submittedMs}]) => (doneMs.get(workId) ?? endedMs.get(workId) ?? Infinity) - submittedMs));
 		},
 	};
 }
@@ -93,8 +93,8 @@
 	const played = play(16_000);
 	const urgentShare = played.inTimeShare(0, 0, 14_000);
 	t.ok(urgentShare >= 0.95, `rank 0: ${urgentShare}`);
-	const calmShare = played.inTimeShare(2, 0, 800);
-	t.ok(calmShare >= 0.95, `rank 2 before the burst: ${calmShare}`);
+	const shareBeforeBurst = played.inTimeShare(2, 0, 800);
+	t.ok(shareBeforeBurst >= 0.95, `rank 2 before the burst: ${shareBeforeBurst}`);
 	// The backlog of a burst may delay what came with it, and work that comes within the length of the burst after its end, but
 	// nothing later.
 	const afterShare = played.inTimeShare(2, burst.toMs + (burst.toMs - burst.fromMs), 14_000);
--- a/src/preparation/node/batch-handler.ts
+++ b/src/preparation/node/batch-handler.ts
@@ -78,23 +78,23 @@
 	private readonly peerWorks = new Map<string, PeerWork>();
 	/** Pools this host batches, or has batched. */
 	private readonly pools = new Map<string, PoolBatches>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly reportedWaits = ReportedWaits.create();
 
 	private constructor(private readonly options: BatchHandlerOptions) {
 		const {mesh} = options;
-		this.owned.add(setRepeating(options.clock, () => reportIntervalMs, () => {
+		this.disposables.add(setRepeating(options.clock, () => reportIntervalMs, () => {
 			// Pieces of failed calls are queued again where they were, even if another host batches the pool by now.
 			this.handOver();
 			this.reportWaits();
 		}));
-		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
+		this.disposables.add(mesh.onDidReceive(({hostId, message}) => {
 			this.handleMessage(hostId, message);
 		}));
-		this.owned.add(mesh.onDidLose(hostId => {
+		this.disposables.add(mesh.onDidLose(hostId => {
 			this.handleLostPeer(hostId);
 		}));
-		this.owned.add(mesh.onDidChange(() => {
+		this.disposables.add(mesh.onDidChange(() => {
 			this.handOver();
 		}));
 	}
@@ -177,7 +177,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 		for (const pool of this.pools.values()) {
 			pool.dispose();
 		}
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -57,7 +57,7 @@
 	private readonly scheduler: BatchScheduler;
 	private readonly connectionPools = new Map<string, ConnectionPool>();
 	private readonly releases: ResultReleases;
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly controller = new AbortController();
 	private timer: Disposable | undefined;
 	private readonly log: PoolLog;
@@ -65,7 +65,7 @@
 	private constructor(private readonly options: BatchPoolOptions) {
 		this.log = PoolLog.create(options);
 		this.scheduler = BatchScheduler.create(contentId => options.quarantine.handlingOf(contentId), (server, nowMs) => options.bounds.allowance(server, soleSender, nowMs));
-		this.releases = this.owned.add(ResultReleases.create({
+		this.releases = this.disposables.add(ResultReleases.create({
 			registry: options.registry,
 			clock: options.clock,
 			resultTtlMs: () => this.capacity?.resultTtlMs ?? 0,
@@ -78,7 +78,7 @@
 		}));
 		// Each call in progress listens, and there may be as many calls as the pool has upstreams.
 		setMaxListeners(0, this.controller.signal);
-		this.owned.add(options.registry.onDidChange(({server, change}) => {
+		this.disposables.add(options.registry.onDidChange(({server, change}) => {
 			if (server.pool === options.pool) {
 				this.serverChanged(server, change === 'gone');
 			}
@@ -121,7 +121,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 		this.timer?.dispose();
 		this.controller.abort();
 		for (const pool of this.connectionPools.values()) {
--- a/src/preparation/node/preparer.test.ts
+++ b/src/preparation/node/preparer.test.ts
@@ -138,10 +138,10 @@
 });
 
 t.test('a step fails when its response could no longer arrive in time, or after half of the caller\'s time', async t => {
-	const given: number[] = [];
+	const deadlinesMs: number[] = [];
 	const start = (request: Partial<PreparationRequest>) => {
 		void makePreparer((work, listener) => {
-			given.push(work.deadlineMs);
+			deadlinesMs.push(work.deadlineMs);
 			for (const piece of work.pieces) {
 				listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}`, serverId: work.pool}});
 			}
@@ -152,9 +152,9 @@
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
-	t.same(given, [2500, 4900], 'half of 5000 ms before anything is done; then until 100 ms remain for the model');
+	t.same(deadlinesMs, [2500, 4900], 'half of 5000 ms before anything is done; then until 100 ms remain for the model');
 	start({firstTokenMs: 3000});
-	t.equal(given[2], 2000);
+	t.equal(deadlinesMs[2], 2000);
 });
 
 /*
@@ -163,16 +163,16 @@
 worked for the request. Found by reading the code; not seen so far.
 */
 t.test('a request for which something was done does not fail after half of its time', async t => {
-	const given: number[] = [];
+	const deadlinesMs: number[] = [];
 	const preparer = makePreparer((work, listener) => {
-		given.push(work.deadlineMs);
+		deadlinesMs.push(work.deadlineMs);
 		for (const piece of work.pieces) {
-			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${given.length}`, serverId: work.pool}});
+			listener(piece, {ok: true, ref: {handle: `${work.pool}${piece}#${deadlinesMs.length}`, serverId: work.pool}});
 		}
 	}, {clock: SystemClock.create()});
 	await preparer.run(false);
 	await preparer.run(true);
-	t.same(given, [2500, 4900, 4900, 4900]);
+	t.same(deadlinesMs, [2500, 4900, 4900, 4900]);
 });
 
 /*
--- a/src/quarantine/common/crash-detector.ts
+++ b/src/quarantine/common/crash-detector.ts
@@ -63,10 +63,10 @@
 	private readonly suspicions = new Map<string, Suspicion>();
 	private readonly didCrash = Emitter.create<string>();
 	private readonly didConclude = Emitter.create<string>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 
 	private constructor(private readonly options: CrashDetectorOptions) {
-		this.owned.add(options.registry.onDidChange(change => {
+		this.disposables.add(options.registry.onDidChange(change => {
 			this.handleRegistryChange(change);
 		}));
 	}
@@ -117,7 +117,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 		for (const serverId of [...this.suspicions.keys()]) {
 			this.forget(serverId);
 		}
--- a/src/quarantine/common/quarantine.ts
+++ b/src/quarantine/common/quarantine.ts
@@ -81,14 +81,14 @@
 	private readonly didObserve = Emitter.create<ContentCrashes>();
 	private readonly didBar = Emitter.create<string>();
 	private readonly didServerCrash = Emitter.create<string>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 
 	private constructor(private readonly options: QuarantineOptions) {
 		const {crashDetector} = options;
-		this.owned.add(crashDetector.onDidCrash(serverId => {
+		this.disposables.add(crashDetector.onDidCrash(serverId => {
 			this.handleServerCrash(serverId);
 		}));
-		this.owned.add(crashDetector.onDidConclude(serverId => {
+		this.disposables.add(crashDetector.onDidConclude(serverId => {
 			this.suspectContents.delete(serverId);
 		}));
 	}
@@ -207,7 +207,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private standingOfContent(contentId: string): Standing {
--- a/src/quarantine/node/quarantine-updates.ts
+++ b/src/quarantine/node/quarantine-updates.ts
@@ -24,21 +24,21 @@
 		return new QuarantineUpdates(options);
 	}
 
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private pendingContents: ContentCrashes[] = [];
 	private timer: Disposable | undefined;
 
 	private constructor(private readonly options: QuarantineUpdatesOptions) {
 		const {quarantine, mesh} = options;
-		this.owned.add(quarantine.onDidObserve(update => {
+		this.disposables.add(quarantine.onDidObserve(update => {
 			this.scheduleBroadcast(update);
 		}));
-		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
+		this.disposables.add(mesh.onDidReceive(({hostId, message}) => {
 			if (message.type === 'fatalContents') {
 				quarantine.handlePeerReport(message.contents, hostId);
 			}
 		}));
-		this.owned.add(mesh.onDidConnect(hostId => {
+		this.disposables.add(mesh.onDidConnect(hostId => {
 			for (const contents of splitIntoMessages(quarantine.all())) {
 				mesh.send(hostId, {type: 'fatalContents', contents});
 			}
@@ -47,7 +47,7 @@
 
 	dispose(): void {
 		this.timer?.dispose();
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private scheduleBroadcast(update: ContentCrashes): void {
--- a/src/routing/common/engine-loads.ts
+++ b/src/routing/common/engine-loads.ts
@@ -62,7 +62,7 @@
 	/** When each engine last used it; some engines may have evicted it since. */
 	readonly usedMs: ReadonlyMap<string, number>;
 	/** Whether any engine is assumed to have it cached. */
-	readonly isKept: boolean;
+	readonly isCached: boolean;
 };
 
 const noHolders: ReadonlyMap<string, number> = new Map();
@@ -151,7 +151,7 @@
 	private lookUp(prompt: readonly PromptPart[], nowMs: number): CachedPart[] {
 		return prompt.map(({key, tokens}) => {
 			const usedMs = this.holders.get(key) ?? noHolders;
-			return {tokens, usedMs, isKept: hasFresh(usedMs, nowMs)};
+			return {tokens, usedMs, isCached: hasFresh(usedMs, nowMs)};
 		});
 	}
 
@@ -194,8 +194,8 @@
 /** Counts the tokens that another engine has cached and this one would compute again. */
 function recomputedTokens(serverId: string, parts: readonly CachedPart[], nowMs: number): number {
 	let sum = 0;
-	for (const {tokens, usedMs, isKept} of parts) {
-		sum += isKept && !isFresh(usedMs.get(serverId), nowMs) ? tokens : 0;
+	for (const {tokens, usedMs, isCached} of parts) {
+		sum += isCached && !isFresh(usedMs.get(serverId), nowMs) ? tokens : 0;
 	}
 
 	return sum;
--- a/src/routing/common/prefill-speed.ts
+++ b/src/routing/common/prefill-speed.ts
@@ -65,11 +65,11 @@
 		if (tokens * this.msPerToken < this.overheadMs * shortPromptShare && this.msPerToken > 0) {
 			this.overhead.observe(Math.max(1, firstTokenMs - (tokens * this.msPerToken)));
 		} else if (tokens > 0 && prefillMs > 0) {
-			this.learn(prefillMs / tokens);
+			this.observeMsPerToken(prefillMs / tokens);
 		}
 	}
 
-	private learn(msPerToken: number): void {
+	private observeMsPerToken(msPerToken: number): void {
 		if (this.msPerToken === 0) {
 			this.perToken.start(msPerToken);
 		} else {
--- a/src/routing/common/routing.test.ts
+++ b/src/routing/common/routing.test.ts
@@ -64,7 +64,7 @@
 
 t.test('retries are limited to a share of first attempts, with a floor for workspaces with few requests', async t => {
 	const budget = RetryBudget.create(0);
-	const spend = (nowMs: number) => {
+	const withdrawAll = (nowMs: number) => {
 		let count = 0;
 		while (budget.tryWithdraw(nowMs)) {
 			count++;
@@ -73,13 +73,13 @@
 		return count;
 	};
 
-	t.equal(spend(0), 5);
+	t.equal(withdrawAll(0), 5);
 	for (let attempt = 0; attempt < 100; attempt++) {
 		budget.deposit(0.1);
 	}
 
-	t.ok(Math.abs(spend(0) - 10) <= 1);
-	t.equal(spend(3000), 3, 'one per second');
+	t.ok(Math.abs(withdrawAll(0) - 10) <= 1);
+	t.equal(withdrawAll(3000), 3, 'one per second');
 	t.equal(RetryBudget.create(0, 0).tryWithdraw(60_000), false, 'hedges have no floor');
 });
 
--- a/src/routing/common/send-bounds.test.ts
+++ b/src/routing/common/send-bounds.test.ts
@@ -80,13 +80,13 @@
 		const {state, left} = makeBounds(hosts, own);
 		// A host that does not know whether any other host still sends.
 		state.isSettled = false;
-		let quietMs = 0;
+		let sinceAnnouncedMs = 0;
 		do {
-			quietMs += 100;
-			state.limit = {perS: 1, sinceAnnouncedMs: quietMs};
-		} while (left(quietMs) === 0);
+			sinceAnnouncedMs += 100;
+			state.limit = {perS: 1, sinceAnnouncedMs};
+		} while (left(sinceAnnouncedMs) === 0);
 
-		return quietMs;
+		return sinceAnnouncedMs;
 	}).toSorted((one, other) => one - other);
 	t.same(trialMs, hosts.map((_, index) => 15_000 + (index * 1000)));
 });
--- a/src/routing/common/server-refusals.test.ts
+++ b/src/routing/common/server-refusals.test.ts
@@ -40,9 +40,9 @@
 });
 
 t.test('the avoidance time grows with the refused share', async t => {
-	const [seldom, half, all] = [10, 2, 1].map(each => simulate(makeRefusals(), index => index % each === 0, 0, 10_000).length);
-	t.ok(seldom > 300, `${seldom} of 1000 with one in ten refused`);
-	t.ok(half < seldom / 4, `${half} with half refused`);
+	const [oneInTen, half, all] = [10, 2, 1].map(each => simulate(makeRefusals(), index => index % each === 0, 0, 10_000).length);
+	t.ok(oneInTen > 300, `${oneInTen} of 1000 with one in ten refused`);
+	t.ok(half < oneInTen / 4, `${half} with half refused`);
 	t.ok(all < half, `${all} with all refused`);
 });
 
