--- a/src/deployment/common/hall-drains.test.ts
+++ b/src/deployment/common/hall-drains.test.ts
@@ -81,7 +81,7 @@
 });
 
 /*
-Guards against hosts losing their connections to each other: peers reject a message with more drains than allowed completely
+Guards against hosts losing their connections to each other: peers reject the entire message if it has more drains than allowed
 and close its connection, so more hall rows than a deployment has halls must not produce such a message.
 */
 t.test('if there are more drains than a message may hold, the newest are sent', async t => {
--- a/src/deployment/common/hall-drains.ts
+++ b/src/deployment/common/hall-drains.ts
@@ -4,7 +4,7 @@
 Each hall has the store revision of the write that began or ended its drain, and the newest write counts. Updates arrive from
 the store's feed and from peers, late, twice and in any order; hosts that have received the same updates have the same state.
 An update from a peer that is older than what this host has read from the store is ignored, even for a hall of which
-nothing is remembered; the peer, and any host that accepted its update, is sent the correct state.
+no state is retained; the peer, and any host that accepted its update, is sent the correct state.
 */
 import type {InjectionToken} from 'tsyringe';
 import {Emitter} from '../../base/common/emitter.js';
--- a/src/deployment/common/server-notices.ts
+++ b/src/deployment/common/server-notices.ts
@@ -1,4 +1,4 @@
-/** Dispatches what servers report about themselves in their responses, whatever the kind of call, to the parts that act on it. */
+/** Dispatches what servers report about themselves in their responses, whatever the kind of call, to the components that act on it. */
 import type {InjectionToken} from 'tsyringe';
 import type {Metrics} from '../../base/common/metrics.js';
 import type {LeavingServers} from './leaving-servers.js';
@@ -27,7 +27,7 @@
 
 export const serverNoticesToken: InjectionToken<ServerNotices> = Symbol('ServerNotices');
 
-/** Passes each part of a notice to the part that acts on it. */
+/** Passes each part of a notice to the component that acts on it. */
 export class ServerNotices {
 	static create(options: ServerNoticesOptions): ServerNotices {
 		return new ServerNotices(options);
--- a/src/peers/node/server-limit-updates.test.ts
+++ b/src/peers/node/server-limit-updates.test.ts
@@ -23,7 +23,7 @@
 	return {observed, reported, mesh};
 }
 
-t.test('what is learned goes to all peers, and is applied as it was sent', async t => {
+t.test('observed limits are sent to all peers, and are applied as they were sent', async t => {
 	const {observed, reported, mesh} = makeUpdates();
 	const updates: Update[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
 		serverId: 's', perS: 0.5, namedAgoMs: 700, endedAgoMs: 20,
--- a/src/peers/node/state-exchange.test.ts
+++ b/src/peers/node/state-exchange.test.ts
@@ -69,7 +69,7 @@
 	sendHeartbeat('gone', 5, 0);
 	sendHeartbeat('a', 5, 0);
 	sendHeartbeat('b', 5, 0);
-	t.same(requested, ['gone declaration', 'a declaration'], 'a peer that can\'t be reached does not count as asked');
+	t.same(requested, ['gone declaration', 'a declaration'], 'a peer that can\'t be reached does not count as a request');
 	sendHeartbeat('b', 5, 9);
 	t.same(requested.at(-1), 'b servers', 'servers are requested in addition');
 	clock.advance(500);
--- a/src/peers/node/state-exchange.ts
+++ b/src/peers/node/state-exchange.ts
@@ -20,7 +20,7 @@
 
 /**
 A host whose server list stays older than a peer's for this long requests the peer's list: its own connection to the store may have become
-silent, which the host itself notices only after 2.7 s. Usually both hosts learn of a change within milliseconds.
+silent, which the host itself notices only after 2.7 s. Usually both hosts receive a change within milliseconds.
 */
 const maxBehindMs = 300;
 
--- a/src/preparation/common/pool-upstreams.ts
+++ b/src/preparation/common/pool-upstreams.ts
@@ -8,7 +8,7 @@
 /**
 An upstream slower than the typical one by this factor gets work only if the others can't take everything. The declared
 duration is only a first estimate, so the comparison is with the other upstreams: where all are slow, none is worse than
-the others, and refusing work that they can do would help nobody.
+the others, and refusing work that they can do would have no benefit.
 */
 const slowFactor = 1.7;
 const secondMs = 1000;
--- a/src/request/common/gate-job.ts
+++ b/src/request/common/gate-job.ts
@@ -48,7 +48,7 @@
 		endedMs: undefined,
 		workspace: dispatch.workspace,
 		weight: dispatch.weight,
-		// Work that is in time precedes late work. Later stages precede earlier ones, since their prior stages are already paid for.
+		// Work that is in time precedes late work. Later stages precede earlier ones, since the upstream time of their prior stages has already been spent.
 		rank: (isInTime ? onTimeRankBonus : 0) + dispatch.stageIndex,
 		dueMs: nowMs + dispatch.dueInMs,
 	};
--- a/src/request/common/request-plan.ts
+++ b/src/request/common/request-plan.ts
@@ -96,7 +96,7 @@
 } as const;
 export type FailureCode = typeof failureCodes[keyof typeof failureCodes];
 
-/** Retry delay for a caller that can turn to another host: short, since that host has nothing to wait for. */
+/** Retry delay for a caller that can retry at another host: short, since that host has nothing to wait for. */
 export const otherHostRetryAfterMs = 50;
 
 /** The states of an attempt: two while it is live, then how it ended. */
--- a/src/request/common/stage-run.ts
+++ b/src/request/common/stage-run.ts
@@ -436,7 +436,7 @@
 	}
 
 	/**
-	Handles a request whose content may have crashed servers: it is held while that is in doubt. Once the content is barred, it is
+	Handles a request whose content may have crashed servers: it is held until that is determined. Once the content is barred, it is
 	sent to no other server and the stage fails, unless an attempt is live.
 	*/
 	private holdOrFailBarred(standing: Exclude<Standing, {type: 'clear'}>, kind: AttemptTrace['kind'], nowMs: number): void {
--- a/src/routing/common/prefill-speed.test.ts
+++ b/src/routing/common/prefill-speed.test.ts
@@ -8,7 +8,7 @@
 	}
 };
 
-t.test('the prefill speed is learned without an initial value', async t => {
+t.test('the prefill speed is estimated without an initial value', async t => {
 	for (const msPerToken of [0.005, 0.0164, 0.031, 0.2]) {
 		const prefillSpeed = PrefillSpeed.create();
 		t.equal(prefillSpeed.msPerToken, 0, 'no initial value is assumed');
