--- a/src/agent/node/agent-service.ts
+++ b/src/agent/node/agent-service.ts
@@ -25,7 +25,7 @@
 const idleTickMs = 50;
 const stateReadIntervalMs = 2000;
 const orphanRetryDelayMs = 1000;
-/** How long a stopping agent keeps responding after its last work has ended, so that every entry learns that it is leaving. */
+/** How long a stopping agent keeps responding after its last work has ended, so that every entry is notified that it is leaving. */
 const announceLeavingMs = 300;
 /** Maximum time for which a dispatch waits for the settings revision that it was made with. */
 const maxSettingsWaitMs = 300;
@@ -56,7 +56,7 @@
 	}
 
 	private readonly connections = new Map<number, WireConnection>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly runner: CallRunner;
 	private readonly suspendDetector: SuspendDetector;
 	private readonly orderHandler: OrderHandler;
@@ -71,19 +71,19 @@
 		this.runner = CallRunner.create(gate, driver, clock, actions => {
 			this.perform(actions);
 		});
-		this.owned.add(server.onDidConnect(connection => {
+		this.disposables.add(server.onDidConnect(connection => {
 			this.accept(connection);
 		}));
-		this.owned.add(settings.onDidChangeRevision(() => {
+		this.disposables.add(settings.onDidChangeRevision(() => {
 			this.applySettings();
 		}));
-		this.owned.add(lifecycle.onWillStop(event => {
+		this.disposables.add(lifecycle.onWillStop(event => {
 			event.waitFor(this.drain());
 		}));
-		this.owned.add(setRepeating(clock, () => gate.isIdle ? idleTickMs : tickMs, () => {
+		this.disposables.add(setRepeating(clock, () => gate.isIdle ? idleTickMs : tickMs, () => {
 			this.tick();
 		}));
-		this.owned.add(setRepeating(clock, () => stateReadIntervalMs, async () => this.readState()));
+		this.disposables.add(setRepeating(clock, () => stateReadIntervalMs, async () => this.readState()));
 	}
 
 	/**
@@ -102,7 +102,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
 	private accept(connection: WireConnection): void {
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -56,14 +56,14 @@
 const engineChooserToken: InjectionToken<EngineChooser> = Symbol('EngineChooser');
 const availabilityToken: InjectionToken<PoolAvailability> = Symbol('PoolAvailability');
 const routerToken: InjectionToken<DirectRouter> = Symbol('DirectRouter');
-const promptUpdatesToken: InjectionToken<PromptUpdates> = Symbol('PromptNews');
+const promptUpdatesToken: InjectionToken<PromptUpdates> = Symbol('PromptUpdates');
 const linksToken: InjectionToken<DirectLinks> = Symbol('DirectLinks');
 
 /** Share of an upstream's connections that all hosts together use; the remainder is reserved for hosts that have just joined. */
 const usedConnectionShare = 0.8;
 /** Connections that this host may always have to one upstream, regardless of the number of hosts. */
 const minConnections = 4;
-/** How often the list of servers is checked for missing servers whose time to come back is over. */
+/** How often the list of servers is checked for missing entries that can no longer come back. */
 const sweepIntervalMs = 200;
 
 /**
@@ -219,11 +219,11 @@
 	};
 
 	register(ingressToken, () => lifecycle.register(Ingress.create({
-		board: get(deploymentTrackerToken),
+		deploymentTracker: get(deploymentTrackerToken),
 		links: get(linksToken),
 		runner: makeRunner(),
 		protocol: ports.callers,
-		makePreparer: ask => Preparer.create(preparerOptions(), ask),
+		makePreparer: request => Preparer.create(preparerOptions(), request),
 		waits: get(batchHandlerToken),
 		predictRun: (stage, nowMs) => get(routerToken).predictRun(stage, nowMs),
 		standingOf: plan => get(routerToken).standingOf(plan),
@@ -265,7 +265,7 @@
 	lifecycle.register(setRepeating(clock, () => sweepIntervalMs, () => {
 		get(serverRegistryToken).removeOverdue(clock.nowMs());
 	}));
-	// Created at once, so that peers' updates are received before the first request.
+	// Created immediately, so that peers' updates are received before the first request.
 	get(promptUpdatesToken);
 }
 
--- a/src/deployment/common/server-limits.ts
+++ b/src/deployment/common/server-limits.ts
@@ -16,7 +16,7 @@
 import {LoggedOnce} from './logged-once.js';
 import type {UpstreamServer} from './upstream-server.js';
 
-/** What a response says about the rate limit of its server. */
+/** What a response states about the rate limit of its server. */
 export type LimitReading
 	= | {readonly kind: 'named'; readonly perS: number}
 		| {readonly kind: 'none'}
@@ -83,7 +83,7 @@
 		return new ServerLimits(options);
 	}
 
-	private readonly didLearn = Emitter.create<LimitUpdate>();
+	private readonly didObserve = Emitter.create<LimitUpdate>();
 	/** By `serverId`, least recently updated first. */
 	private readonly known = new Map<string, KnownLimit>();
 	private readonly loggedMalformed = LoggedOnce.create();
@@ -91,8 +91,8 @@
 	private constructor(private readonly options: ServerLimitsOptions) {}
 
 	/** Fires with what is to be reported to peers. */
-	get onDidLearn() {
-		return this.didLearn.event;
+	get onDidObserve() {
+		return this.didObserve.event;
 	}
 
 	/**
@@ -119,7 +119,7 @@
 	/**
 	Handles a response of a server to this host.
 	@param server - the server.
-	@param reading - what the response says about a limit.
+	@param reading - what the response states about a limit.
 	@param sentMs - when the call was sent.
 	@param nowMs - current time.
 	*/
@@ -202,7 +202,7 @@
 		const isDue = nowMs - known.reportedMs >= (known.isReported ? repeatReportMs : minReportIntervalMs);
 		if (isDue) {
 			this.keep(serverId, {...known, reportedMs: nowMs, isReported: true});
-			this.didLearn.fire(updateOf(serverId, known, nowMs));
+			this.didObserve.fire(updateOf(serverId, known, nowMs));
 		}
 
 		return isDue;
--- a/src/deployment/common/server-registry.ts
+++ b/src/deployment/common/server-registry.ts
@@ -3,7 +3,7 @@
 
 A start of a server that is leaving or gone never comes back, with one exception: an entry that lapsed while the store
 was unavailable is kept until its server has had time to write it again. A server may start again under the same
-`instanceId`: the later start replaces the earlier one, which is gone from then on, however late a report of it arrives.
+`instanceId`: the later start replaces the earlier one, which is gone from then on, even if a report of it arrives later.
 
 Updates arrive from the store's feed and from peers, late, twice and in any order. Each entry has the revision of the
 write that made it, and the list is complete as of a revision of its own: anything older than either is ignored,
@@ -43,7 +43,7 @@
 	/** Drained halls, whose servers get no new work; none if absent. */
 	readonly drains?: Pick<HallDrains, 'isDrained' | 'onDidChange'>;
 	/** Servers that have reported themselves that they are leaving; none if absent. */
-	readonly leaving?: Pick<LeavingServers, 'has' | 'onDidLearn'>;
+	readonly leaving?: Pick<LeavingServers, 'has' | 'onDidObserve'>;
 };
 
 /** Keeps the servers of all pools. */
@@ -72,7 +72,7 @@
 		options.drains?.onDidChange(change => {
 			this.handleDrainChange(change);
 		});
-		options.leaving?.onDidLearn(serverId => {
+		options.leaving?.onDidObserve(serverId => {
 			this.markLeaving(serverId);
 		});
 	}
--- a/src/peers/common/fleet-tracker.ts
+++ b/src/peers/common/fleet-tracker.ts
@@ -1,18 +1,19 @@
 /**
 Tracks which hosts a deployment has, as known to one host: those it has been connected to, and those that they have been connected to. A
-host behind a network partition keeps the others, since what all hosts share does not become its own just because it sees no other host.
+host behind a network partition keeps counting the others: even without a connection to them it may use only its own part of what all
+hosts share.
 */
 
 import {parseEndpoint} from '../../wire/common/endpoint.js';
 import type {FleetView} from '../../routing/common/fleet-view.js';
 
-/** A host that nobody has seen for this long is forgotten: longer than any partition that is tolerated, shorter than a machine is missing. */
+/** A host to which no host was connected for this long is forgotten: longer than any partition that is tolerated, shorter than a machine is missing. */
 const hostRetentionMs = 600_000;
 /** A host that has started knows all others this long after it connected to the first, even if all start at once. */
 const discoveryMs = 2000;
 /**
 A host to which a seed was not reported yet may be partitioned from part of the deployment. After this long the seed is assumed to be gone:
-tolerated partitions are shorter, and a seed may be named by outdated settings.
+tolerated partitions are shorter, and a seed may be listed in outdated settings.
 */
 const missingSeedTimeoutMs = 30_000;
 
--- a/src/peers/node/server-limit-updates.test.ts
+++ b/src/peers/node/server-limit-updates.test.ts
@@ -6,30 +6,30 @@
 import {ServerLimitUpdates} from './server-limit-updates.js';
 
 function makeUpdates(known: Update[] = []) {
-	const learned = Emitter.create<Update>();
-	const heard: Update[] = [];
+	const observed = Emitter.create<Update>();
+	const reported: Update[] = [];
 	const mesh = MeshStandin.create();
 	ServerLimitUpdates.create({
 		limits: {
-			onDidLearn: learned.event,
-			handlePeerReport(news) {
-				heard.push(...news);
+			onDidObserve: observed.event,
+			handlePeerReport(updates) {
+				reported.push(...updates);
 			},
 			all: () => known,
 		},
 		mesh,
 		clock: ManualClock.create(),
 	});
-	return {learned, heard, mesh};
+	return {observed, reported, mesh};
 }
 
-t.test('what is learned goes to all peers, and is applied as it was sent', async t => {
-	const {learned, heard, mesh} = makeUpdates();
-	const news: Update[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
+t.test('observed limits are sent to all peers, and are applied as they were sent', async t => {
+	const {observed, reported, mesh} = makeUpdates();
+	const updates: Update[] = [{serverId: 's', perS: 0.5, namedAgoMs: 0}, {
 		serverId: 's', perS: 0.5, namedAgoMs: 700, endedAgoMs: 20,
 	}];
-	for (const each of news) {
-		learned.fire(each);
+	for (const each of updates) {
+		observed.fire(each);
 	}
 
 	for (const {to, message} of mesh.sent) {
@@ -37,7 +37,7 @@
 		mesh.receive('peer', message);
 	}
 
-	t.same(heard, news);
+	t.same(reported, updates);
 });
 
 t.test('a host that connects is sent everything that is known, and nothing if nothing is known', async t => {
--- a/src/peers/node/state-exchange.ts
+++ b/src/peers/node/state-exchange.ts
@@ -20,7 +20,7 @@
 
 /**
 A host whose server list stays older than a peer's for this long requests the peer's list: its own connection to the store may have become
-silent, which the host itself notices only after 2.7 s. Usually both hosts learn of a change within milliseconds.
+silent, which the host itself notices only after 2.7 s. Usually both hosts receive a change within milliseconds.
 */
 const maxBehindMs = 300;
 
@@ -42,7 +42,7 @@
 		return new StateExchange(options);
 	}
 
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	/** Runs while changes of the server list are collected. */
 	private collectTimer: Disposable | undefined;
 	private readonly replyCache: StateReplyCache;
@@ -53,27 +53,27 @@
 
 	private constructor(private readonly options: StateExchangeOptions) {
 		const {mesh, tracker, registry, drains} = options;
-		this.replyCache = this.owned.add(StateReplyCache.create(tracker, registry));
-		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
+		this.replyCache = this.disposables.add(StateReplyCache.create(tracker, registry));
+		this.disposables.add(mesh.onDidReceive(({hostId, message}) => {
 			this.handleMessage(hostId, message);
 		}));
-		this.owned.add(tracker.onDidChange(() => {
+		this.disposables.add(tracker.onDidChange(() => {
 			mesh.announce();
 		}));
-		this.owned.add(drains.onDidChange(() => {
+		this.disposables.add(drains.onDidChange(() => {
 			mesh.announce();
 		}));
-		this.owned.add(registry.onDidChange(() => {
+		this.disposables.add(registry.onDidChange(() => {
 			this.scheduleAnnouncement();
 		}));
 	}
 
 	dispose(): void {
 		this.collectTimer?.dispose();
-		this.owned.dispose();
+		this.disposables.dispose();
 	}
 
-	/** Schedules a notification of peers: those that do not read the store learn of servers from those that do. */
+	/** Schedules a notification of peers: those that do not read the store are notified of servers by those that do. */
 	private scheduleAnnouncement(): void {
 		const {clock, mesh, isListUnavailable} = this.options;
 		if (!isListUnavailable()) {
@@ -170,7 +170,7 @@
 		log.info('Received the declaration from a peer.', {
 			peer: hostId, version, baseVersion, sizeBytes: patch.byteLength, isNews: isNew, ...(tookMs !== undefined && {tookMs: Math.round(tookMs)}),
 		});
-		// Late replies from peers that were asked before are not decompressed, so they cost nothing more.
+		// Late replies from peers to earlier requests are not decompressed, so they cost nothing more.
 		if (!isNew) {
 			return;
 		}
--- a/src/preparation/common/batch-scheduler.test.ts
+++ b/src/preparation/common/batch-scheduler.test.ts
@@ -121,13 +121,13 @@
 	const work = workOf('a', 2, {hall: 'b', crossingBytes: 2_000_000});
 	scheduler.add(work, 0);
 	t.equal(scheduler.nextCalls([server('s', 'a'), server('busy', 'b')].slice(0, 1), capacity, 0).length, 1, 'no upstream in that data hall, so no wait');
-	const patient = BatchScheduler.create();
-	patient.add(workOf('x', 4, {hall: 'b'}), 0);
-	patient.nextCalls([server('there', 'b')], capacity, 0);
-	patient.add(work, 0);
+	const waitingScheduler = BatchScheduler.create();
+	waitingScheduler.add(workOf('x', 4, {hall: 'b'}), 0);
+	waitingScheduler.nextCalls([server('there', 'b')], capacity, 0);
+	waitingScheduler.add(work, 0);
 	const servers = [server('s', 'a'), server('there', 'b')];
-	t.equal(patient.nextCalls(servers, capacity, 50).length, 0);
-	t.equal(patient.nextCalls(servers, capacity, 260).length, 1, 'the wait is limited');
+	t.equal(waitingScheduler.nextCalls(servers, capacity, 50).length, 0);
+	t.equal(waitingScheduler.nextCalls(servers, capacity, 260).length, 1, 'the wait is limited');
 	const late = BatchScheduler.create();
 	late.add(workOf('x', 4, {hall: 'b'}), 0);
 	late.nextCalls([server('there', 'b')], capacity, 0);
@@ -253,12 +253,12 @@
 });
 
 t.test('an upstream with a rate limit gets no call above it, and counts as the corresponding fraction of an upstream', async t => {
-	const allowance = {left: 0, perS: Infinity};
-	const scheduler = BatchScheduler.create(undefined, ({serverId}) => serverId === 'bounded' ? allowance : {left: Infinity, perS: Infinity});
+	const allowance = {remaining: 0, perS: Infinity};
+	const scheduler = BatchScheduler.create(undefined, ({serverId}) => serverId === 'bounded' ? allowance : {remaining: Infinity, perS: Infinity});
 	const both = [server('bounded'), server('free')];
 	scheduler.add(workOf('w', 8), 0);
 	t.same(scheduler.nextCalls(both, capacity, 0).map(call => call.server.serverId), ['free']);
-	allowance.left = 1;
+	allowance.remaining = 1;
 	allowance.perS = 2;
 	t.same(scheduler.nextCalls(both, capacity, 0).map(call => call.server.serverId), ['bounded']);
 	scheduler.add(workOf('next', 4), 0);
--- a/src/preparation/common/batch-scheduler.ts
+++ b/src/preparation/common/batch-scheduler.ts
@@ -41,7 +41,7 @@
 
 /** Queue and calls in progress of one pool. */
 export class BatchScheduler {
-	static create(handlingOf: HandlingSource = () => pieceHandlings.none, allowanceOf: AllowanceSource = () => ({left: Infinity, perS: Infinity})): BatchScheduler {
+	static create(handlingOf: HandlingSource = () => pieceHandlings.none, allowanceOf: AllowanceSource = () => ({remaining: Infinity, perS: Infinity})): BatchScheduler {
 		return new BatchScheduler(handlingOf, allowanceOf);
 	}
 
@@ -181,7 +181,7 @@
 	}
 
 	/**
-	Handles a call that failed as a whole.
+	Handles a call that failed for all of its pieces.
 	@param call - the call.
 	@param reason - why it failed.
 	@param nowMs - the current time.
--- a/src/preparation/node/batch-handler.ts
+++ b/src/preparation/node/batch-handler.ts
@@ -37,7 +37,7 @@
 };
 
 /** Connections to peers, as needed for batching. */
-export type BatchPeerMesh = Pick<PeerMesh, 'onDidReceive' | 'onDidLose' | 'onDidChange' | 'liveRooms' | 'send' | 'broadcast'>;
+export type BatchPeerMesh = Pick<PeerMesh, 'onDidReceive' | 'onDidLose' | 'onDidChange' | 'liveCapacities' | 'send' | 'broadcast'>;
 
 /** Batches of one pool. */
 export type PoolBatches = Pick<BatchPool, 'isIdle' | 'add' | 'cancel' | 'handOver' | 'release' | 'waitMs' | 'dispose'>;
@@ -78,23 +78,23 @@
 	private readonly peerWorks = new Map<string, PeerWork>();
 	/** Pools this host batches, or has batched. */
 	private readonly pools = new Map<string, PoolBatches>();
-	private readonly owned = DisposableStore.create();
+	private readonly disposables = DisposableStore.create();
 	private readonly reportedWaits = ReportedWaits.create();
 
 	private constructor(private readonly options: BatchHandlerOptions) {
 		const {mesh} = options;
-		this.owned.add(setRepeating(options.clock, () => reportIntervalMs, () => {
+		this.disposables.add(setRepeating(options.clock, () => reportIntervalMs, () => {
 			// Pieces of failed calls are queued again where they were, even if another host batches the pool by now.
 			this.handOver();
 			this.reportWaits();
 		}));
-		this.owned.add(mesh.onDidReceive(({hostId, message}) => {
+		this.disposables.add(mesh.onDidReceive(({hostId, message}) => {
 			this.handleMessage(hostId, message);
 		}));
-		this.owned.add(mesh.onDidLose(hostId => {
+		this.disposables.add(mesh.onDidLose(hostId => {
 			this.handleLostPeer(hostId);
 		}));
-		this.owned.add(mesh.onDidChange(() => {
+		this.disposables.add(mesh.onDidChange(() => {
 			this.handOver();
 		}));
 	}
@@ -177,7 +177,7 @@
 	}
 
 	dispose(): void {
-		this.owned.dispose();
+		this.disposables.dispose();
 		for (const pool of this.pools.values()) {
 			pool.dispose();
 		}
@@ -193,7 +193,7 @@
 	/** Returns the host that batches for a pool now. */
 	private ownerOf(pool: string): string {
 		const {hostId, capacity, mesh, isLeaving} = this.options;
-		const capacities = mesh.liveRooms;
+		const capacities = mesh.liveCapacities;
 		const isCandidate = !isLeaving() || capacities.size === 0;
 		return rendezvousOwner(pool, highCapacityHosts(isCandidate ? new Map([...capacities, [hostId, capacity]]) : capacities)) ?? hostId;
 	}
@@ -325,7 +325,7 @@
 		this.resubmitWorkOf(hostId);
 	}
 
-	/** Cancels the work that a lost host submitted: nobody waits for it any more. */
+	/** Cancels the work that a lost host submitted: no host waits for it any more. */
 	private cancelWorkOf(hostId: string): void {
 		for (const [workId, peerWork] of this.peerWorks) {
 			if (peerWork.hostId === hostId) {
--- a/src/request/common/stage-run.ts
+++ b/src/request/common/stage-run.ts
@@ -164,7 +164,7 @@
 
 	chunk(message: ChunkMessage, nowMs: number): void {
 		const attempt = this.attempts.findLive(message.dispatchId);
-		if (!attempt || this.isSuperseded(attempt) || !attempt.take(message)) {
+		if (!attempt || this.isSuperseded(attempt) || !attempt.acceptChunk(message)) {
 			return;
 		}
 
@@ -209,7 +209,7 @@
 		if (message.state !== attemptStates.completed) {
 			this.endAttempt(attempt, message.state, message.reason ?? 'failed', nowMs);
 			this.recover(failureCodes.upstreamFailed, message.reason ?? 'the upstream failed', nowMs);
-		} else if (attempt.isWhole(message)) {
+		} else if (attempt.isComplete(message)) {
 			this.completeAnswerReceived(attempt, nowMs);
 		} else {
 			// The end message does not match what was received: the stream was cut in transit.
@@ -436,7 +436,7 @@
 	}
 
 	/**
-	Handles a request whose content may have crashed servers: it is held while that is in doubt. Once the content is barred, it is
+	Handles a request whose content may have crashed servers: it is held until that is determined. Once the content is barred, it is
 	sent to no other server and the stage fails, unless an attempt is live.
 	*/
 	private holdOrFailBarred(standing: Exclude<Standing, {type: 'clear'}>, kind: AttemptTrace['kind'], nowMs: number): void {
--- a/src/routing/common/send-bounds.test.ts
+++ b/src/routing/common/send-bounds.test.ts
@@ -24,7 +24,7 @@
 	return {
 		state,
 		bounds,
-		left: (nowMs: number) => bounds.allowance(server, anyWork, nowMs).left,
+		left: (nowMs: number) => bounds.allowance(server, anyWork, nowMs).remaining,
 		sendAll(nowMs: number) {
 			while (bounds.maySend(server, anyWork, nowMs)) {
 				bounds.sent(server, nowMs);
@@ -57,7 +57,7 @@
 	t.equal(bounds.retryAfterMs([server], 0), 700);
 	state.limit = {perS: 1, sinceAnnouncedMs: 60_000};
 	t.equal(left(60_000), 0);
-	t.equal(bounds.allowance(server, {isSoleSender: true}, 60_000).left, 0);
+	t.equal(bounds.allowance(server, {isSoleSender: true}, 60_000).remaining, 0);
 	state.backoffMs = 0;
 	t.ok(left(60_000) > 0);
 });
@@ -80,13 +80,13 @@
 		const {state, left} = makeBounds(hosts, own);
 		// A host that does not know whether any other host still sends.
 		state.isSettled = false;
-		let quietMs = 0;
+		let sinceAnnouncedMs = 0;
 		do {
-			quietMs += 100;
-			state.limit = {perS: 1, sinceAnnouncedMs: quietMs};
-		} while (left(quietMs) === 0);
+			sinceAnnouncedMs += 100;
+			state.limit = {perS: 1, sinceAnnouncedMs};
+		} while (left(sinceAnnouncedMs) === 0);
 
-		return quietMs;
+		return sinceAnnouncedMs;
 	}).toSorted((one, other) => one - other);
 	t.same(trialMs, hosts.map((_, index) => 15_000 + (index * 1000)));
 });
