--- a/src/direct/common/bounded-admission.test.ts
+++ b/src/direct/common/bounded-admission.test.ts
@@ -35,11 +35,11 @@
 	}
 
 	state.remainingSends = 3;
-	t.notOk(isAdmitted(3, 900), 'eight recent ones are expected to need three more sends');
+	t.notOk(isAdmitted(3, 900), 'after eight recent urgent requests, three sends are held back');
 	state.remainingSends = 4;
 	t.ok(isAdmitted(3, 900));
 	state.remainingSends = 1;
 	t.ok(isAdmitted(0, 900));
 	state.remainingSends = 1.01;
-	t.ok(isAdmitted(3, 40_000), 'the urgent requests are too long ago to count');
+	t.ok(isAdmitted(3, 40_000), 'the urgent requests were too long ago to count');
 });
--- a/src/direct/common/bounded-admission.ts
+++ b/src/direct/common/bounded-admission.ts
@@ -12,7 +12,7 @@
 
 /** Time constant with which counted requests decay: as long as the typical window of a send bound. */
 const demandWindowMs = 4000;
-/** Sends are held back for the urgent requests expected within this time, in which a host's next send to a pool of a few limited upstreams becomes due. */
+/** Sends are held back for the urgent requests expected within this time. It is the time until a host may send again to a pool of a few limited upstreams. */
 const reservedAheadMs = 1500;
 
 /** Exponentially decayed number of requests of one rank. */
@@ -56,7 +56,7 @@
 	/**
 	Reserves a send for a request that has started and is sent once its preparation steps are complete.
 	@param pool - the pool that is to serve the request.
-	@returns a disposable that releases the reservation, also to be disposed once the request is sent.
+	@returns a disposable that releases the reservation, to be disposed once the request is sent or has ended.
 	*/
 	reserve(pool: string): Disposable {
 		this.reservedByPool.set(pool, this.reservedOf(pool) + 1);
--- a/src/direct/common/caller-protocol.ts
+++ b/src/direct/common/caller-protocol.ts
@@ -6,7 +6,7 @@
 export type CallerRequest = {
 	/** The caller's id of this try of the request; empty where the caller gave none. */
 	readonly requestId: string;
-	/** How long the caller will still wait; undefined where it doesn't state that. */
+	/** How long the caller will still wait; undefined if the caller does not state it. */
 	readonly remainingMs: number | undefined;
 	/** Secret that identifies the workspace on whose behalf the request is made. */
 	readonly key: string | undefined;
--- a/src/direct/common/direct-router.test.ts
+++ b/src/direct/common/direct-router.test.ts
@@ -76,7 +76,7 @@
 	return plan.stages[0];
 }
 
-/** Sends one prompt at a time. Its head arrives immediately, its first token once the prompt is prefilled, and its end much later. */
+/** Sends one prompt at a time. The head of each response arrives immediately, the first token once the prompt is prefilled, and the end much later. */
 function simulate(router: DirectRouter, count: number, msPerToken: number): void {
 	for (let index = 0; index < count; index++) {
 		const sentAtMs = index * 5000;
@@ -164,5 +164,5 @@
 	const comeBackMs = router.retryAfterMs(stageOf('one', 1), 10_502) ?? 0;
 	t.ok(comeBackMs > 0 && comeBackMs <= 1000, `${comeBackMs} ms until one of them is tried again`);
 	const later = times.slice(0, 100).map(nowMs => sendOne(router, () => false, 20_000 + nowMs));
-	t.ok(later.includes('e1'), 'it is used again');
+	t.ok(later.includes('e1'), 'the server that refused work is used again');
 });
--- a/src/direct/common/direct-router.ts
+++ b/src/direct/common/direct-router.ts
@@ -25,7 +25,7 @@
 const minSilentMs = 400;
 /** The time without data after which an upstream counts as silent, as a multiple of the typical response time. */
 const silentResponseTimes = 6;
-/** Initial backoff after a failed connection; it doubles with each failure. A restarted server is listed again before it has doubled. */
+/** Initial backoff after a failed connection; it doubles with each failure. A restarted server is listed again before the backoff has doubled. */
 const initialUnreachableBackoffMs = 400;
 const maxUnreachableBackoffMs = 4000;
 /** How long a crashed server is avoided: longer than its entry takes to expire. Each call to it would cost a retry. */
@@ -33,7 +33,7 @@
 /** A repeatable non-streaming call is hedged after this share of its target, or after this multiple of a slow response time if that is later. */
 const hedgeTargetShare = 0.5;
 const hedgeSlownessFactor = 1.3;
-/** Errors are often caused by the request itself, so more of them are required than by default. */
+/** Errors are often caused by the request itself, so an ejection requires more consecutive failures than by default. */
 const outlierOptions: OutlierOptions = {
 	consecutiveFailures: 6, errorShare: 0.5, slowFactor: 3, baseEjectionMs: 1500, maxEjectionMs: 6000, maxEjectedShare: 0.5,
 };
@@ -84,7 +84,7 @@
 			}
 
 			if (change === 'gone' || change === 'cold') {
-				// Its prompt cache has been lost or may have been.
+				// The prompt cache of the server is lost, or may be.
 				options.engines.forgetEngine(server.serverId);
 			}
 		});
@@ -237,7 +237,7 @@
 	}
 
 	didComplete(): void {
-		// Times are recorded per attempt, which says more about its server.
+		// Times are recorded when an attempt ends: the time of an attempt describes its server better than the time of the stage.
 	}
 
 	newDispatchId(): string {
@@ -279,7 +279,7 @@
 		this.knownServers.get(serverId)?.liveness.received(dispatchId, nowMs);
 	}
 
-	/** Servers of the pool that may be chosen now. Suspect servers are included only if there is no other, and cold ones only if none of the rest is warm. */
+	/** Servers of the pool that may be chosen now. Suspect servers are included only if there is no other, and cold servers only if no warm one remains. */
 	private usable(stage: StagePlan, excluded: ReadonlySet<string>, nowMs: number): readonly Candidate[] {
 		const {availability} = this.options;
 		const all = this.candidatesOf(stage.pool, nowMs).filter(candidate => !excluded.has(candidate.upstreamId));
--- a/src/direct/common/engine-chooser.ts
+++ b/src/direct/common/engine-chooser.ts
@@ -29,7 +29,7 @@
 	/**
 	Chooses the engine with the earliest first token, including the cost of prefilling shared parts again and of fetching results
 	from other data halls.
-	@param need - the prompt.
+	@param work - the prompt.
 	@param candidates - the engines.
 	@param nowMs - the current time.
 	@returns the engine, or undefined where there is no candidate.
@@ -51,7 +51,7 @@
 
 	/**
 	Estimates the time to the first token of a prompt, in milliseconds.
-	@param need - the prompt.
+	@param work - the prompt.
 	@param engine - the engine to which it would be sent.
 	@param nowMs - the current time.
 	*/
@@ -74,7 +74,7 @@
 
 	/**
 	Records that this host or a peer has sent a prompt to an engine.
-	@param need - the prompt.
+	@param work - the prompt.
 	@param engine - the engine that received it.
 	@param nowMs - the current time.
 	*/
@@ -83,7 +83,7 @@
 	}
 
 	/**
-	Records the first token of an attempt, which measures the prefill speed of its engine; later tokens don't.
+	Records the first token of an attempt and updates the prefill speed of its pool from it; the times of later tokens do not depend on prefill.
 	@param dispatchId - id of the attempt.
 	@param pool - pool of the engine.
 	@param engine - the engine that produced the token.
--- a/src/direct/common/first-try-estimator.test.ts
+++ b/src/direct/common/first-try-estimator.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {FirstTryEstimator} from './first-try-estimator.js';
 
-t.test('a caller with less remaining time than others of its route is a returning one', async t => {
+t.test('a caller with less remaining time than others of its route is taken for a returning one', async t => {
 	const estimator = FirstTryEstimator.create();
 	t.equal(estimator.sinceFirstTryMs('r', 6000, 6000, 0), 0);
 	t.equal(estimator.sinceFirstTryMs('r', 6000, 5200, 10), 800);
@@ -27,9 +27,9 @@
 
 /*
 Guards against first tries being taken for returning callers. Callers of one route had different time limits, spread evenly over
-15% of the longest, and none was returning. The difference to the longest remaining time was taken for time that had passed, so
-under normal load half of all first tries counted as first sent 300 ms ago or more, of a target of 1,600 ms, and a tenth as 700 ms.
-Their steps were queued behind others as late, or abandoned.
+15% of the longest, and none was returning. The difference to the longest remaining time was taken for time that had passed. With
+a target of 1,600 ms and normal load, half of all first tries counted as first sent at least 300 ms ago, and a tenth at least 700 ms
+ago. Their steps were treated as late and queued behind others, or abandoned.
 */
 t.test('callers with different limits are not taken for returning ones, except those with far less time than any other', async t => {
 	const tries = FirstTryEstimator.create();
--- a/src/direct/common/first-try-estimator.ts
+++ b/src/direct/common/first-try-estimator.ts
@@ -5,7 +5,8 @@
 The estimate is chosen per route. Where most callers state the same remaining time, that is the limit of all callers, and
 the difference to it has passed. Where callers have different limits, a remaining time below the longest one indicates
 nothing: on a route whose limits vary by 15%, half of all first tries would count as late by a fifth of their target. In
-that case only a caller with less time than nearly all others is taken for a returning one, with a typical limit.
+that case only a caller with less time than nearly all others is taken for a returning one, and the median remaining time is
+taken as its limit.
 */
 
 /** Samples are kept for at least this long, and at most twice as long. */
@@ -20,7 +21,7 @@
 const maxSamplesPerWindow = 100;
 /** Callers are taken to have the same limit where at least this share of them state the longest remaining time. */
 const commonLimitShare = 0.5;
-/** Share of the longest remaining time that may have passed in transit; shorter by no more counts as equal to it. */
+/** Share of the longest remaining time that may have passed in transit; a remaining time that is shorter by no more than this counts as equal to the longest. */
 const transitShare = 0.01;
 /** Where limits differ, first tries within this lowest share of remaining times are taken for returning callers. */
 const returningShare = 0.1;
@@ -41,7 +42,7 @@
 	Records a request and estimates how long ago its caller first sent it.
 	@param route - name of the route.
 	@param timeLimitMs - the longest time for which the route holds a request.
-	@param remainingMs - how long the caller will still wait; undefined where it doesn't state that.
+	@param remainingMs - how long the caller will still wait; undefined if the caller does not state it.
 	@param nowMs - the current time.
 	@returns the time in milliseconds; 0 for a first try.
 	*/
--- a/src/direct/common/pool-availability.ts
+++ b/src/direct/common/pool-availability.ts
@@ -9,7 +9,7 @@
 import {directWork, type BoundedServer, type SendBounds} from '../../routing/common/send-bounds.js';
 
 /**
-A drain takes seconds at least, as does the start of another upstream. Callers accept a retry delay of up to a third of their
+Retry delay while a pool is closed. A drain takes seconds at least, as does the start of another upstream. Callers accept a retry delay of up to a third of their
 remaining time, about 2 s.
 */
 const closedRetryAfterMs = 2000;
@@ -55,7 +55,7 @@
 	/**
 	Returns why no request that needs the given pools can be served now.
 	@param pools - names of the pools.
-	@returns undefined if each pool has upstreams that may receive work, or may have some in a moment.
+	@returns the reason, or undefined if each pool has an upstream that may receive work, or may have one soon.
 	*/
 	poolsUnavailability(pools: readonly string[]): Unavailability | undefined {
 		const closed = pools.find(pool => this.options.registry.isPoolClosed(pool));
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	Returns whether this host may send a request to a pool now, so that a route with several pools is served by one of these.
+	Returns whether this host may send a request to a pool now. A route with several pools is served by one for which this is true.
 	@param pool - the pool.
 	@param nowMs - the current time.
 	*/
@@ -79,7 +79,7 @@
 	Returns why a stage can't be sent now.
 	@param stage - the stage to be sent.
 	@param nowMs - the current time.
-	@returns undefined if an upstream may receive it, or may be there in a moment.
+	@returns the reason, or undefined if an upstream may receive the stage, or may become available soon.
 	*/
 	stageUnavailability(stage: StagePlan, nowMs: number): Unavailability | undefined {
 		return this.poolsUnavailability([stage.pool]) ?? this.boundedStageUnavailability(stage, nowMs);
@@ -89,7 +89,7 @@
 	Returns how many requests of any kind this host may send to a pool now.
 	@param pool - the pool.
 	@param nowMs - the current time.
-	@returns the number of requests; Infinity if one of the pool's upstreams is not bounded, or if it has none.
+	@returns the number of requests; Infinity if one of the pool's upstreams is not bounded, or if the pool has no upstreams.
 	*/
 	remainingSends(pool: string, nowMs: number): number {
 		const upstreams = this.options.registry.usable(pool);
--- a/src/direct/common/prompt-update-buffer.ts
+++ b/src/direct/common/prompt-update-buffer.ts
@@ -1,6 +1,6 @@
 /**
 Elects the host that relays prompt updates (which prompts each host has sent to which model engines) to all hosts, and
-collects what it relays. When every host notified every other, each of 68 hosts received about 140 of these messages a
+collects the updates to relay. When every host notified every other, each of 68 hosts received about 140 of these messages a
 second and sent as many. Through a relay that combines them a host receives 20, regardless of the number of hosts. Relaying
 delays an update by up to 50 ms, which is short compared with the time in which an engine prefills a long prompt.
 */
@@ -10,7 +10,7 @@
 
 /**
 With fewer hosts than this each host notifies all others itself. Relaying costs the relay about 20 messages a second to each
-host; with 18 hosts of an eighth of a core each it made results worse as often as better.
+host; with 18 hosts of an eighth of a core each, it made results worse as often as better.
 */
 const minHostsForRelay = 32;
 /** Hash key of the election, so that the relay is not also the host that has other shared tasks. */
--- a/src/direct/common/refusing-pool.test.ts
+++ b/src/direct/common/refusing-pool.test.ts
@@ -3,7 +3,7 @@
 the others have capacity for ten times the load.
 
 Each host detects by itself which upstreams refuse, and has a share of the retry budget: the more hosts share the requests, the
-more of these are spent on detection.
+larger the part of the requests that is spent on detection.
 */
 import t, {type Test} from 'tap';
 import {silentLoggers} from '../../base/common/logger.js';
--- a/src/direct/node/admission-checks.ts
+++ b/src/direct/node/admission-checks.ts
@@ -16,7 +16,7 @@
 	readonly unavailabilityOf: (pools: readonly string[]) => Unavailability | undefined;
 	/** Returns whether a request may be sent to a pool now. */
 	readonly isOpen: (pool: string, nowMs: number) => boolean;
-	/** Decides by rank whether a request may start that is to be served by a bounded pool. */
+	/** Decides by rank whether a request to a bounded pool may start, and reserves sends for started requests. */
 	readonly admission: Pick<BoundedAdmission, 'admit' | 'reserve'>;
 };
 
--- a/src/direct/node/direct-call.ts
+++ b/src/direct/node/direct-call.ts
@@ -161,7 +161,7 @@
 		}
 	}
 
-	/** Called when the call failed. One that was never started is refused; the outcome of any other is unknown. */
+	/** Called when the call failed. A call that was not written, or whose response head shows a refusal, is refused; the outcome of any other call is unknown. */
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
 		this.options.connection.discard();
 		if (this.refusal !== undefined) {
--- a/src/direct/node/direct-links.ts
+++ b/src/direct/node/direct-links.ts
@@ -105,7 +105,7 @@
 	/**
 	Registers a request before its first dispatch.
 	@param requestId - internal id of the request.
-	@param context - what the links need to know about it.
+	@param context - what the links need to know about the request.
 	@returns a disposable that removes the registration.
 	*/
 	register(requestId: string, context: RequestContext): Disposable {
--- a/src/direct/node/ingress.ts
+++ b/src/direct/node/ingress.ts
@@ -1,4 +1,4 @@
-/** HTTP ingress for callers of a deployment: accepts any path, routes it by the current declaration and forwards it directly to upstreams. */
+/** HTTP ingress for callers of a deployment: accepts requests for any path, routes them by the current declaration and forwards them directly to upstreams. */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
@@ -52,7 +52,7 @@
 	readonly random: Random;
 	readonly log: Logger;
 	readonly metrics: Metrics;
-	/** Returns why this host should receive no new connections, or undefined if it should. */
+	/** Returns why this host should receive no new connections, or undefined if it may receive them. */
 	readonly notReadyReason: () => string | undefined;
 	/** Whether the host is leaving, so that responses ask callers to use another connection next time. */
 	readonly isLeaving: () => boolean;
@@ -313,7 +313,7 @@
 			pieceKey: callerRequest.pieceKey,
 			rank: rankOf(received),
 			receivedMs,
-			// The target counts from the caller's first try, so that a request that can no longer meet it yields to others.
+			// The target counts from the caller's first try, so that a request that can no longer meet its target yields to others.
 			targetMs: receivedMs + route.targetMs - sinceFirstTryMs,
 			deadlineMs,
 			hall,
--- a/src/direct/node/pass-through-writer.ts
+++ b/src/direct/node/pass-through-writer.ts
@@ -132,7 +132,7 @@
 		const forwarded = endToEndHeaders(headers).filter(({name}) => this.isHead || name !== 'content-length');
 		const rawHeaders = forwarded.flatMap(({name, value}) => [name, value]);
 		if (isUnframed({headers}) && !this.isHead && !bodylessStatuses.has(status)) {
-			// Only the close of the upstream's connection marked the response as complete, so no framing may be added here that would assert it.
+			// Only the close of the upstream's connection marked the end of the response. Framing added here would assert that the response is complete.
 			this.response.useChunkedEncodingByDefault = false;
 			this.response.shouldKeepAlive = false;
 		} else if (bodyBytes !== undefined && !this.isHead) {
--- a/src/direct/node/resolve-request.ts
+++ b/src/direct/node/resolve-request.ts
@@ -63,8 +63,8 @@
 }
 
 /**
-Returns the rank of a request, the sum of its workspace's and its route's rank: the workspace's takes precedence, and the
-route's decides among equals.
+Returns the rank of a request, the sum of the ranks of its workspace and its route. The rank of the workspace takes precedence, and
+the rank of the route decides among requests of equal workspace rank.
 @param request - the request, with its route and workspace.
 */
 export function rankOf({workspace, route}: Pick<ResolvedRequest, 'workspace' | 'route'>): number {
--- a/src/direct/node/served-request.ts
+++ b/src/direct/node/served-request.ts
@@ -1,4 +1,4 @@
-/** One request of a caller from its start to its last byte: connects it with its connection, preparation, logs and metrics. */
+/** Serves one request of a caller from its start to its last byte: writes the response, runs the preparation, and records logs and metrics. */
 import type {ServerResponse} from 'node:http';
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
@@ -20,7 +20,7 @@
 	readonly response: ServerResponse;
 	readonly links: DirectLinks;
 	readonly preparer: Preparer | undefined;
-	/** Reserves a send to a bounded pool until the preparation steps are complete; disposing releases it. */
+	/** Reservation of a send to a bounded pool; disposed when the call is written or the request ends. */
 	readonly reservation: Disposable | undefined;
 	readonly clock: Clock;
 	readonly log: Logger;
--- a/src/request/common/attempt-rules.ts
+++ b/src/request/common/attempt-rules.ts
@@ -4,7 +4,7 @@
 export type AttemptRules = {
 	/** Whether a refused attempt counts against the maximum number of attempts at a stage. */
 	readonly countsRefusals: boolean;
-	/** Number of refusals after which the request is refused; without agents the retry after each one also needs retry budget. */
+	/** Number of refusals after which the request is refused; without agents the retry after each refusal is also charged to the retry budget. */
 	readonly maxRefusals: number;
 	/** Whether the retry of a refused attempt is charged to the retry budget. */
 	readonly chargesRefusalsToRetryBudget: boolean;
@@ -23,7 +23,7 @@
 
 /**
 Rules for attempts sent directly to upstreams: each attempt loads a server that may be full, and nobody queries the outcome
-of the work later. Three refusals in a row show that the pool is full, not only one server.
+of the work later. Three refusals show that the pool is full, and not only a single server.
 */
 export const directRules: AttemptRules = {
 	countsRefusals: false, maxRefusals: 3, chargesRefusalsToRetryBudget: true, retriesErrorAnswers: true, startsTimeoutAtSend: true, cancelsOnCallerDisconnect: true,
--- a/src/request/common/attempt.ts
+++ b/src/request/common/attempt.ts
@@ -60,7 +60,7 @@
 	/**
 	Accepts a chunk if it is the next one in order.
 	@param chunk - the received chunk.
-	@returns whether the chunk was accepted; others are late, duplicated or out of order.
+	@returns whether the chunk was accepted; a rejected chunk is late, duplicated or out of order.
 	*/
 	acceptChunk(chunk: ChunkMessage): boolean {
 		if (!this.isLive || chunk.sequence !== this.units) {
--- a/src/request/common/claim-store.ts
+++ b/src/request/common/claim-store.ts
@@ -17,7 +17,7 @@
 const maxBatchWrites = 200;
 /** Maximum length of an answer that is stored with its claim, so that a repeated request gets the same answer. */
 const maxStoredResponseChars = 16_384;
-/** How long writing an outcome is retried. */
+/** How long writing an outcome or releasing a late claim is retried. */
 const settleTimeoutMs = 30_000;
 const settleRetryDelayMs = 200;
 const releaseCheckIntervalMs = 1000;
@@ -145,7 +145,7 @@
 					return true;
 				}
 			} else if (row.ok) {
-				// Another request holds the key; its writer has read this claim as settled.
+				// The row is gone, is malformed, or belongs to another request, whose writer found this claim settled.
 				return false;
 			}
 
@@ -155,7 +155,7 @@
 		return false;
 	}
 
-	/** Releases a claim that was not granted but whose write may still take effect, as its response was lost; nothing ran under it. */
+	/** Releases a claim that was not granted but may have been written, since the response to the write was lost. Nothing ran under the claim. */
 	private async releaseLateClaim(key: string, claim: Claim): Promise<void> {
 		const giveUpAtMs = this.options.clock.nowMs() + settleTimeoutMs;
 		while (this.options.clock.nowMs() < giveUpAtMs) {
--- a/src/request/common/claim-sweeper.ts
+++ b/src/request/common/claim-sweeper.ts
@@ -15,7 +15,7 @@
 	readonly table: TableService;
 	readonly clock: Clock;
 	readonly random: Random;
-	/** Returns whether this process holds the lease and is therefore the one to sweep. */
+	/** Returns whether this process holds the lease; only the lease holder sweeps. */
 	readonly isLeaseHolder: () => boolean;
 };
 
--- a/src/request/common/gate-job.ts
+++ b/src/request/common/gate-job.ts
@@ -8,7 +8,7 @@
 /** The state of a dispatch at a gate. */
 export type GateJob = QueueItem & {
 	readonly dispatch: DispatchMessage;
-	/** The connection of its entry; `undefined` while the entry is not connected. */
+	/** The connection of the entry that sent the dispatch; `undefined` while the entry is not connected. */
 	connectionId: number | undefined;
 	readonly arrivedMs: number;
 	readonly startByMs: number;
@@ -48,7 +48,7 @@
 		endedMs: undefined,
 		workspace: dispatch.workspace,
 		weight: dispatch.weight,
-		// Work that is in time precedes late work. Later stages precede earlier ones, since the upstream time of their prior stages has already been spent.
+		// Work that is in time precedes late work. Later stages precede earlier ones, since upstream time has already been spent on the stages before them.
 		rank: (isInTime ? onTimeRankBonus : 0) + dispatch.stageIndex,
 		dueMs: nowMs + dispatch.dueInMs,
 	};
--- a/src/request/common/gate-state-machine.ts
+++ b/src/request/common/gate-state-machine.ts
@@ -77,7 +77,7 @@
 	Handles a received dispatch.
 	@param connectionId - the connection on which it was received.
 	@param dispatch - the message.
-	@param isStale - whether it may have been waiting unread while this process was suspended.
+	@param isStale - whether the message may have been waiting unread while this process was suspended.
 	@param nowMs - the current time.
 	*/
 	dispatch(connectionId: number, dispatch: DispatchMessage, isStale: boolean, nowMs: number): GateAction[] {
@@ -159,7 +159,7 @@
 	}
 
 	/**
-	Handles the loss of a connection: waiting dispatches of its entry are refused, running ones become orphans.
+	Handles the loss of a connection: waiting dispatches received on it are refused, running ones become orphans.
 	@param connectionId - the lost connection.
 	@param nowMs - the current time.
 	*/
--- a/src/request/common/request-plan.ts
+++ b/src/request/common/request-plan.ts
@@ -91,12 +91,12 @@
 	/** The preparation of the request failed or could not be done in time. */
 	preparationFailed: 'preparationFailed',
 	stopping: 'stopping',
-	/** Several servers crashed while they ran the request, so it is sent to no other. */
+	/** Several servers crashed while they ran the request, so it is sent to no other server. */
 	quarantined: 'quarantined',
 } as const;
 export type FailureCode = typeof failureCodes[keyof typeof failureCodes];
 
-/** Retry delay for a caller that can retry at another host: short, since that host has nothing to wait for. */
+/** Retry delay for a caller that can retry at another host: short, since the other host can serve the retry immediately. */
 export const otherHostRetryAfterMs = 50;
 
 /** The states of an attempt: two while it is live, then how it ended. */
--- a/src/request/common/request-router.ts
+++ b/src/request/common/request-router.ts
@@ -4,7 +4,7 @@
 import type {Attempt} from './attempt.js';
 import type {RequestPlan, StagePlan} from './request-plan.js';
 
-/** Why no upstream of a pool accepts work for so long that holding the request would not help. */
+/** Why no upstream of a pool will accept work soon, so that the request is refused instead of held. */
 export type Unavailability = {readonly message: string; readonly retryAfterMs: number};
 
 /** Chooses upstreams, and updates its statistics from the attempts made. */
@@ -22,7 +22,7 @@
 	choose(stage: StagePlan, excluded: ReadonlySet<string>, prefixHash: number, nowMs: number): Choice | undefined;
 	/** @returns why a stage without an available upstream is to be refused immediately, or `undefined` if it may wait for one. */
 	unavailability(stage: StagePlan, nowMs: number): Unavailability | undefined;
-	/** @returns after how long a caller that a stage's upstreams refused should retry, or `undefined` if that is not known. */
+	/** @returns the retry delay for a caller whose request the stage's upstreams refused, or `undefined` if it is not known. */
 	retryAfterMs(stage: StagePlan, nowMs: number): number | undefined;
 	/** @returns whether the budget allows a retry of this stage; if so, the retry is charged to the budget. */
 	mayRetry(stage: StagePlan, nowMs: number): boolean;
--- a/src/request/common/request-state-machine.test.ts
+++ b/src/request/common/request-state-machine.test.ts
@@ -28,7 +28,7 @@
 	machine.handle({type: 'start'}, 0);
 	t.equal(machine.wakeAtMs, 10);
 	t.strictSame(typesOf(machine.handle({type: 'tick'}, 10)), []);
-	t.ok(machine.wakeAtMs > 10, 'the machine does not spin');
+	t.ok(machine.wakeAtMs > 10, 'the next wake-up is in the future');
 });
 
 t.test('of a hedge and the attempt it hedges, the first to complete counts and the other is cancelled', async t => {
--- a/src/request/common/request-state-machine.ts
+++ b/src/request/common/request-state-machine.ts
@@ -242,7 +242,7 @@
 		}
 	}
 
-	/** Handles a deadline that passed before anything is known to have started: cancels, so that the agents confirm it. */
+	/** Handles a deadline that passed before any attempt is known to have started: cancels the attempts, so that the agents confirm that none has run. */
 	private confirmNotStarted(nowMs: number): void {
 		this.phase = 'proving';
 		this.proveByMs = nowMs + proofGraceMs;
@@ -339,7 +339,7 @@
 		// Work that may not be repeated continues, so that a repeat of the request gets its outcome.
 	}
 
-	/** Fails a request that still waits for its preparation or for an upstream once it is barred, so that its caller is notified immediately. */
+	/** Fails a request that still waits for its preparation or for an upstream once its content is barred, so that its caller is notified immediately. */
 	private refuseIfBarred(nowMs: number): void {
 		const standing = this.router.standingOf(this.plan);
 		if (standing.type === 'barred' && !this.runs.mayHaveRun && this.phase !== 'claiming') {
--- a/src/request/common/stage-run-list.ts
+++ b/src/request/common/stage-run-list.ts
@@ -36,7 +36,7 @@
 		return this.all.some(run => run.attempts.hasLive);
 	}
 
-	/** Whether the result of any attempt is unknown or still pending. */
+	/** Whether the result of any attempt is unknown or still pending; attempts of a removed run always count. */
 	get isUnsettled(): boolean {
 		return this.earlierAttempts.length > 0 || this.all.some(run => run.attempts.hasLive || run.attempts.hasUnknown);
 	}
--- a/src/request/common/stage-run.ts
+++ b/src/request/common/stage-run.ts
@@ -301,7 +301,7 @@
 		return delayMs === undefined ? Infinity : attempt.options.sentAtMs + delayMs;
 	}
 
-	/** Sends a hedge if the budget allows it. This is decided only once for a stage, whatever the result. */
+	/** Sends a hedge if the budget allows it. The budget is asked only once for a stage, even if it declines. */
 	private hedge(nowMs: number): void {
 		this.isHedgeDecided = true;
 		if (this.options.router.mayHedge(this.stage, nowMs)) {
@@ -327,7 +327,7 @@
 		}
 	}
 
-	/** Handles a complete answer. One that reports an error is kept aside while another attempt may succeed. */
+	/** Handles a complete answer. An answer that reports an error is kept in `errorAttempt` while another attempt may succeed. */
 	private completeAnswerReceived(attempt: Attempt, nowMs: number): void {
 		const isError = (attempt.http?.status ?? 0) >= minServerErrorStatus;
 		if (!isError || !this.options.plan.rules.retriesErrorAnswers || !this.options.plan.isRepeatable || this.acceptedAttempt) {
@@ -436,7 +436,7 @@
 	}
 
 	/**
-	Handles a request whose content may have crashed servers: it is held until that is determined. Once the content is barred, it is
+	Handles a request whose content may have crashed servers: the request is held until that is determined. Once the content is barred, the request is
 	sent to no other server and the stage fails, unless an attempt is live.
 	*/
 	private holdOrFailBarred(standing: Exclude<Standing, {type: 'clear'}>, kind: AttemptTrace['kind'], nowMs: number): void {
--- a/src/routing/common/chooser.ts
+++ b/src/routing/common/chooser.ts
@@ -7,7 +7,7 @@
 	readonly upstreamId: string;
 	readonly hall: string;
 	readonly stats: UpstreamStats;
-	/** When it joined; new upstreams go through a warm-up. */
+	/** When the upstream joined; a new upstream goes through a warm-up. */
 	readonly joinedMs: number;
 };
 
--- a/src/routing/common/engine-loads.test.ts
+++ b/src/routing/common/engine-loads.test.ts
@@ -57,7 +57,7 @@
 	t.equal(loads.estimate('e1', promptOf('s', 'b'), speed, 0).firstTokenMs, 110);
 });
 
-t.test('the cost of crossing bytes is weighed against the prefill that a cache saves', async t => {
+t.test('the cost of bytes that cross between data halls is weighed against the prefill that a cache saves', async t => {
 	const loads = EngineLoads.create();
 	const small = makePrompt([{id: 's', tokens: 60}, {id: 'a', tokens: 61}]);
 	loads.assign('e1', small, speed, 0);
@@ -65,8 +65,8 @@
 		...typical,
 		extraMsOf: ({upstreamId}: {readonly upstreamId: string}) => upstreamId === near ? 0 : costMs,
 	});
-	t.equal(loads.best(engines, small, typical, 500)!.upstreamId, 'e1', 'it has cached the prompt');
-	t.equal(loads.best(engines, small, farFrom('e3', 90), 500)!.upstreamId, 'e3', 'many bytes would cross');
+	t.equal(loads.best(engines, small, typical, 500)!.upstreamId, 'e1', 'e1 has cached the prompt');
+	t.equal(loads.best(engines, small, farFrom('e3', 90), 500)!.upstreamId, 'e3', 'choosing e1 would move many bytes between data halls');
 	loads.assign('e1', promptOf('big', 'a'), speed, 0);
-	t.equal(loads.best(engines, promptOf('big', 'b'), farFrom('e3', 90), 500)!.upstreamId, 'e1', 'more would be recomputed');
+	t.equal(loads.best(engines, promptOf('big', 'b'), farFrom('e3', 90), 500)!.upstreamId, 'e1', 'recomputing the prompt would cost more than moving the bytes');
 });
--- a/src/routing/common/engine-loads.ts
+++ b/src/routing/common/engine-loads.ts
@@ -1,6 +1,6 @@
 /**
-Estimates the pending prefill work of each model engine and the prompt parts in its cache. The estimates are based on
-the sends of this host and those that peers report, and decline with time; the engines are not queried.
+Estimates the pending prefill work of each model engine and the prompt parts in its cache. The estimates are derived from
+the prompts that this host has sent and those that peers report, and decline with time; the engines are not queried.
 */
 import {hashText} from '../../base/common/hash.js';
 
@@ -12,10 +12,10 @@
 recomputing delays the prompts queued behind it, and takes memory from other shared parts.
 */
 const recomputeFactor = 1.8;
-/** Time since its last use after which a part probably is no longer cached; recomputing it then has no extra cost. */
+/** Time since its last use after which a part is assumed to be evicted; recomputing the part then has no extra cost. */
 const cacheRetentionMs = 60_000;
 const maxParts = 30_000;
-/** Penalty per position in the engine order that all hosts share, so that all hosts choose the same one of equivalent engines for a new part. */
+/** Penalty per position in the engine order that all hosts share. Because of it, all hosts choose the same engine for a new part if several are equivalent. */
 const orderPenaltyMs = 3;
 
 /**
@@ -59,9 +59,9 @@
 /** A part of a prompt with its current state in the caches. */
 type CachedPart = {
 	readonly tokens: number;
-	/** When each engine last used it; some engines may have evicted it since. */
+	/** When each engine last used the part; some engines may have evicted it since. */
 	readonly usedMs: ReadonlyMap<string, number>;
-	/** Whether any engine is assumed to have it cached. */
+	/** Whether any engine is assumed to have the part cached. */
 	readonly isCached: boolean;
 };
 
--- a/src/routing/common/hall-cost.ts
+++ b/src/routing/common/hall-cost.ts
@@ -2,7 +2,7 @@
 
 /**
 Cost of a megabyte that crosses between data halls, in milliseconds of delay. Links between data halls are shared and
-expensive: on the measured deployments, a crossing megabyte costs as much as a request of the lowest kind earns in 50 ms.
+expensive: on the measured deployments, a crossing megabyte costs as much as a request of the lowest kind earns in 50 ms; 60 ms is used here.
 */
 export const crossingMsPerMegabyte = 60;
 const bytesPerMegabyte = 1_000_000;
--- a/src/routing/common/host-capacity.test.ts
+++ b/src/routing/common/host-capacity.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {highCapacityHosts, sharedCapacityOf} from './host-capacity.js';
 
-t.test('a slow link limits the capacity, whatever the processor', async t => {
+t.test('a slow link limits the capacity, however many cores a host has', async t => {
 	t.equal(sharedCapacityOf({cores: 1.4, linkMbps: 200}), 1.4);
 	t.equal(sharedCapacityOf({cores: 1.4, linkMbps: 7}), 0.1);
 });
--- a/src/routing/common/host-capacity.ts
+++ b/src/routing/common/host-capacity.ts
@@ -1,6 +1,6 @@
 /** Selects the hosts that do shared work for all others. The processors and links of the hosts of one deployment may differ by large factors. */
 
-/** Traffic of shared work in Mbit/s per core that it uses. It converts link bandwidth to cores: a host with a slow link counts as one with few cores. */
+/** Traffic in Mbit/s that shared work causes per core it uses. Converts link bandwidth to cores, so that a host with a slow link counts as one with few cores. */
 const linkMbpsPerCore = 70;
 /** Hosts with less than this share of the capacity of the largest host take no shared work. */
 const minCapacityShare = 0.5;
--- a/src/routing/common/outlier-detector.ts
+++ b/src/routing/common/outlier-detector.ts
@@ -32,7 +32,7 @@
 	private constructor(private readonly options: OutlierOptions) {}
 
 	/**
-	Filters out ejected candidates, unless more of the pool than the maximum share is ejected.
+	Filters out ejected candidates. Returns all candidates if more than the maximum share of them is ejected.
 	@param candidates - all candidates of a pool.
 	@param nowMs - the current time.
 	@returns the candidates that may be chosen; not empty if there are candidates.
@@ -73,7 +73,7 @@
 		const count = (this.ejections.get(upstreamId)?.count ?? 0) + 1;
 		const durationMs = Math.min(this.options.maxEjectionMs, this.options.baseEjectionMs * (2 ** (count - 1)));
 		this.ejections.set(upstreamId, {untilMs: nowMs + durationMs, count});
-		// Statistics from before the ejection must not count when the upstream returns.
+		// Statistics from before the ejection must not count after it ends.
 		stats.errorShare = 0;
 		stats.consecutiveFailures = 0;
 		stats.slowness = undefined;
--- a/src/routing/common/prefill-speed.ts
+++ b/src/routing/common/prefill-speed.ts
@@ -1,16 +1,16 @@
 /**
 Estimates the prefill speed of the engines of one pool from the observed times to the first token. The declaration
-does not contain this speed, and it differs between deployments: with an estimate half as high again as the real
+does not contain this speed, and it differs between deployments: with an estimate 50% above the real
 speed, engines are sent more prompts than they can process in time.
 */
 
 /** Relative step of the first corrections. It is divided by the number of samples, so that a few samples reach the right range. */
 const maxStep = 0.5;
-/** Smallest relative step, used for later corrections: about twenty samples on one side follow a change by one half. */
+/** Smallest relative step, used for later corrections: the estimate follows a change by one half after about twenty samples that are all above or all below it. */
 const minStep = 0.02;
 /** Time to the first token without prefill (one engine step and the network round trip), assumed until it has been measured. */
 const initialOverheadMs = 30;
-/** Prompts whose prefill takes less than this share of the overhead update the overhead; longer ones update the prefill speed. */
+/** Prompts whose prefill takes less than this share of the overhead update the overhead; other prompts update the prefill speed. */
 const shortPromptShare = 0.5;
 
 /** Tracks the median of its samples, so that slow or failing engines and unforeseen waits have little effect on it. */
--- a/src/routing/common/prefix-index.ts
+++ b/src/routing/common/prefix-index.ts
@@ -25,7 +25,7 @@
 		}
 
 		const others = (this.holders.get(prefixHash) ?? []).filter(holder => holder.upstreamId !== upstreamId);
-		// The insertion order of the map is the order of age, so the first key is the oldest prefix.
+		// Each observed prefix is inserted anew, so the first key of the map is the least recently observed prefix.
 		this.holders.delete(prefixHash);
 		this.holders.set(prefixHash, [{upstreamId, atMs: nowMs}, ...others].slice(0, 3));
 		if (this.holders.size > maxPrefixes) {
--- a/src/routing/common/rate-bound.ts
+++ b/src/routing/common/rate-bound.ts
@@ -21,8 +21,8 @@
 
 /**
 Share of a cold upstream's bound that is used. The other half is a reserve for times when hosts disagree on the list of hosts:
-senders that the others have forgotten may still send beside the hosts that replaced them. Requests may also arrive closer together
-than they were sent.
+a sender that the other hosts no longer list may continue to send while its replacement also sends. In addition, requests may arrive
+closer together than they were sent.
 */
 const coldUsedShare = 0.5;
 
@@ -35,12 +35,12 @@
 const limitTolerance = 5;
 const limitUsedShare = 0.5;
 const limitWindowMs = 4000;
-/** Minimum rate at which requests are sent, even to an upstream that announces less: only its responses show when it accepts more again. */
+/** Minimum requests per second that are sent even to an upstream that announces fewer: only its responses show when it accepts more again. */
 const minPerS = 0.2;
 
 /**
 Computes the bound for a cold upstream.
-@param toleratedPerS - requests per second that it tolerates, as declared for its pool.
+@param toleratedPerS - requests per second that the upstream tolerates, as declared for its pool.
 @param bounds - the bounds from the settings.
 */
 export function coldUpstreamBound(toleratedPerS: number, {excess, tolerance}: ColdBounds): RateBound {
@@ -49,7 +49,7 @@
 
 /**
 Computes the bound for an upstream that announces a limit.
-@param perS - requests per second that it accepts from all hosts together.
+@param perS - requests per second that the upstream accepts from all hosts together.
 */
 export function limitBound(perS: number): RateBound {
 	const usedPerS = Math.max(minPerS, perS);
--- a/src/routing/common/retry-budget.ts
+++ b/src/routing/common/retry-budget.ts
@@ -1,7 +1,7 @@
 /** Limits retries to a share of first attempts, so that retries do not amplify an overload or an outage. */
 
 const maxTokens = 50;
-/** Tokens added per second up to the floor, so that a workspace with few requests may retry as well, whatever its share allows. */
+/** Tokens added per second up to the floor, so that a workspace may retry even if it has too few requests for their share to allow a retry. */
 const floorTokensPerS = 1;
 const defaultFloorTokens = 5;
 
@@ -10,7 +10,7 @@
 	/**
 	Creates a budget.
 	@param nowMs - the current time.
-	@param floorTokens - tokens that accrue with time, without first attempts; 0 for hedges, which a workspace with few requests can do without.
+	@param floorTokens - maximum number of tokens that accrue with time, without first attempts; 0 for hedges, which a workspace with few requests does not need.
 	*/
 	static create(nowMs: number, floorTokens = defaultFloorTokens): RetryBudget {
 		return new RetryBudget(nowMs, floorTokens);
@@ -24,7 +24,7 @@
 
 	/**
 	Records a first attempt.
-	@param share - the number of retries that it allows.
+	@param share - the number of retries that the attempt allows; may be a fraction.
 	*/
 	deposit(share: number): void {
 		this.tokens = Math.min(maxTokens, this.tokens + share);
--- a/src/routing/common/routing.test.ts
+++ b/src/routing/common/routing.test.ts
@@ -15,7 +15,7 @@
 	hall: 'a', model: 'm', prefixHash: 0, expectedMs: 100, slots: 4,
 };
 
-t.test('the least busy and the fastest upstream and the one with the model loaded are chosen', async t => {
+t.test('the chooser prefers the least busy upstream, the fastest one, and the one that has the model loaded', async t => {
 	const chooser = ScoreChooser.create(SeededRandom.create(1), PrefixIndex.create());
 	const choose = (candidates: Candidate[]) => chooser.choose(makeCandidateSet(candidates), need, 1000).chosen.upstreamId;
 	const busy = candidatesOf(3);
--- a/src/routing/common/send-bounds.ts
+++ b/src/routing/common/send-bounds.ts
@@ -15,13 +15,13 @@
 import type {BoundedWork, SendShare} from './send-share.js';
 
 /**
-A limit that no response has announced for this long is checked with one trial request, even if the host is not among the senders, as
-none of these may remain. Hosts do so one after the other in the order of senders: the first that is answered notifies the others.
+A limit that no response has announced for this long is checked with one trial request, even by a host that is not among the senders,
+since all senders may be gone. Hosts send their trials one after the other in the sender order: the first host that gets a response notifies the others.
 */
 const limitTrialAfterMs = 15_000;
 const limitTrialAfterWindows = 3;
 const trialStaggerMs = 1000;
-/** Bounds on the retry delay for a caller whose request no upstream could accept; its retry may reach a host that may send more. */
+/** Minimum and maximum retry delay for a caller whose request no upstream may receive; the retry may reach a host that has quota left. */
 const minRetryAfterMs = 300;
 const maxRetryAfterMs = 2500;
 
@@ -161,7 +161,7 @@
 		}
 
 		const bounds = this.boundsOf(server, nowMs);
-		// Without a quota here, other hosts send: assume the average interval of the bound.
+		// If this host has no quota, other hosts send: the average interval between their sends is assumed.
 		return Math.max(backoffMs, ...bounds.map(bound => this.options.share.nextSendInMs(server.serverId, bound, directWork, nowMs) ?? bound.windowMs / bound.maxRequests));
 	}
 
@@ -180,7 +180,7 @@
 		return bounds;
 	}
 
-	/** Whether this host must send a trial request, because no response has announced the limit for too long to know that it still holds. */
+	/** Whether this host must send a trial request, because no response has announced the limit for so long that it may no longer apply. */
 	private isTrialDue(server: BoundedServer, nowMs: number): boolean {
 		const limit = this.options.limits.limitOf(server.serverId, nowMs);
 		if (!limit || this.isCold(server, nowMs)) {
--- a/src/routing/common/send-share.test.ts
+++ b/src/routing/common/send-share.test.ts
@@ -1,6 +1,6 @@
 /**
 Guards against hosts that together exceed the bound of an upstream. A cold or limited upstream looks idle, so that every host would send it all
-its requests, while hosts join, leave, are partitioned in groups, or all restart. Setup: 31 hosts in three data halls with one seed each. A cold
+its requests, while hosts join, leave, are partitioned in groups, or all restart. Setup: 31 hosts in three data halls with one seed host each. A cold
 upstream tolerates 9.1 requests per second, and 1.5 times that plus 5 are allowed; with a limit, one and a half times what it allows in 4 s plus 5
 are allowed. Partitions last up to 12 s. Hosts exchange the names of known hosts every 100 ms.
 */
@@ -26,7 +26,7 @@
 
 type Host = {readonly name: string; readonly hall: number; memory: FleetTracker; share: SendShare; upAtMs: number};
 
-/** A temporary network partition: hosts of a data hall are isolated from all other hosts, or only from the other data halls. */
+/** A temporary network partition: hosts of a data hall are isolated from all other hosts (`isAlone`), or only from the hosts of other data halls. */
 type Partition = {readonly atMs: number; readonly forMs: number; readonly hall: number; readonly isAlone: boolean};
 type Restart = {readonly atMs: number; readonly hosts: readonly number[]; readonly spreadMs: number};
 
@@ -159,7 +159,7 @@
 	}), {seed: 2, numRuns: 15});
 });
 
-t.test('a cold upstream receives the requests it may get for any number of hosts', async t => {
+t.test('a cold upstream receives as many requests as its bound allows, for any number of hosts', async t => {
 	for (const hostCount of [1, 2, 3, 31]) {
 		const fleet = Fleet.create(hostCount, []);
 		fleet.run(hostCount < hallCount ? 40_000 : 10_000, []);
--- a/src/routing/common/send-share.ts
+++ b/src/routing/common/send-share.ts
@@ -6,7 +6,7 @@
 choice for all hosts at once, so independent decisions would exceed the bound. Each bounded upstream therefore has a few senders, chosen
 by rendezvous hashing so that all hosts agree on them. Each sender may send an equal quota (the first ones one request more if the bound
 is not divisible), and the other hosts send nothing. A host can only send what its own callers request, so a bound with at least one
-request for each of many hosts has many senders.
+request for each of many hosts is given many senders.
 
 Alternatives considered: a fixed quota for every host gives less than one request per second each for 18 requests per second and 31 hosts,
 which either leaves the upstream idle or breaks the bound when all send at once. Quotas lent between connected hosts need messages
@@ -22,10 +22,10 @@
 	readonly isSoleSender: boolean;
 };
 
-/** Minimum number of senders of an upstream, if its bound has a request for each: two of them may fail at once. */
+/** Minimum number of senders of an upstream, if its bound has a request for each of them: two senders may fail at once. */
 const minSenders = 3;
 /**
-Target number of requests per sender and window, if the bound has as many. Requests of callers arrive at random, so a sender of an unpaced
+Target number of requests per sender and window, if the bound allows that many. Requests of callers arrive at random, so a sender of an unpaced
 bound gets several requests. With a paced bound, more senders with one request each match the demand of each host's callers better.
 */
 const requestsPerSender = 3;
--- a/src/routing/common/server-liveness.ts
+++ b/src/routing/common/server-liveness.ts
@@ -34,7 +34,8 @@
 	}
 
 	/**
-	Records that a connection could not be established or was lost: the upstream is avoided for a time that doubles with each failure.
+	Records that a connection could not be established or was lost: the upstream is avoided for a time that doubles
+	with each failure. Failures while the upstream is already avoided do not count.
 	@param nowMs - the current time.
 	@param initialMs - the duration of the first avoidance.
 	@param maxMs - the maximum duration.
@@ -47,7 +48,7 @@
 	}
 
 	/**
-	Records that the upstream has crashed, although the list of servers may still contain it: it is avoided for a time, unless it responds after all.
+	Records that the upstream has crashed. The list of servers may still contain it, so it is avoided for a time, or until it responds.
 	@param nowMs - the current time.
 	@param durationMs - the time until its entry is removed from the list.
 	*/
@@ -60,7 +61,7 @@
 	}
 
 	/**
-	Computes for how long an answer has been pending while the upstream has not responded at all.
+	Computes for how long an answer has been pending without any response from the upstream.
 	@param nowMs - the current time.
 	@returns the time in milliseconds; 0 if no answer is pending.
 	*/
--- a/src/routing/common/server-refusals.test.ts
+++ b/src/routing/common/server-refusals.test.ts
@@ -30,7 +30,7 @@
 	const sentMs = simulate(makeRefusals(), () => true, 0, 10_000);
 	const later = sentMs.filter(atMs => atMs > 1000).length;
 	t.ok(later <= 10, `${later} in 9 s`);
-	t.ok(later >= 8, 'it is tried nevertheless');
+	t.ok(later >= 8, 'the refusing upstream is still tried');
 });
 
 t.test('with many hosts each host tries an upstream less often, but within four seconds', async t => {
--- a/src/routing/common/server-refusals.ts
+++ b/src/routing/common/server-refusals.ts
@@ -1,5 +1,5 @@
 /**
-Tracks which upstreams refuse work, so that it goes to others as long as these accept it.
+Tracks which upstreams refuse work, so that work is sent to other upstreams as long as any of them accepts it.
 
 An upstream that refuses immediately is idle, so any chooser that prefers the least loaded upstream would choose it. It is therefore avoided
 after each refusal, for a time that grows with the share of recent calls that it refused. After that time one trial call is sent to it, and
@@ -15,7 +15,7 @@
 const avoidMsPerSquaredShare = 1500;
 const maxAvoidMs = 1000;
 /**
-The avoidance time and its maximum grow with the number of hosts: every host finds out by itself, each sends fewer requests, and the trials of all hosts
+The avoidance time and its maximum grow with the number of hosts: each host detects refusals by itself and sends fewer requests, and the trials of all hosts
 add up. The factor is limited so that each host tries an upstream at least every four seconds.
 */
 const hostsAtBaseDelay = 3;
--- a/src/routing/common/stage-estimates.ts
+++ b/src/routing/common/stage-estimates.ts
@@ -19,7 +19,7 @@
 	/**
 	Records a completed stage.
 	@param key - identifies the stage and the model.
-	@param durationMs - the time from its first dispatch to its end.
+	@param durationMs - the time from the first dispatch of the stage to its end.
 	*/
 	record(key: string, durationMs: number): void {
 		let histogram = this.histograms.get(key);
--- a/src/routing/common/subset.ts
+++ b/src/routing/common/subset.ts
@@ -1,6 +1,6 @@
 /**
 Selects the upstreams that an entry connects to if there are too many to connect to all. Entries take slices of a
-common order, so that every upstream is in the same number of slices.
+common order, so that every upstream is in about the same number of slices.
 */
 import {hashText} from '../../base/common/hash.js';
 
--- a/src/routing/common/upstream-stats.ts
+++ b/src/routing/common/upstream-stats.ts
@@ -4,7 +4,7 @@
 const smoothing = 0.2;
 const reportHalfLifeMs = 1000;
 
-/** Tracks the load, speed and errors of one upstream. Replies to this entry weigh more than load reports, which age. */
+/** Tracks the load, speed and errors of one upstream. The calls of this entry count in full; load reports lose weight with age. */
 export class UpstreamStats {
 	static create(): UpstreamStats {
 		return new UpstreamStats();
--- a/src/routing/common/windowed-budget.test.ts
+++ b/src/routing/common/windowed-budget.test.ts
@@ -18,7 +18,7 @@
 	t.equal(withdrawAll(1000), 17, 'plus a fifth of the first sends');
 	t.equal(withdrawAll(9000), 0);
 	hosts = 1;
-	t.equal(withdrawAll(9000), 0, 'alone, but the others may have used their parts of the slack');
+	t.equal(withdrawAll(9000), 0, 'the only host left, but the others may have used their parts of the slack');
 	t.equal(withdrawAll(21_000), 42, 'the entire slack after a window without other hosts');
 });
 
--- a/src/routing/common/windowed-budget.ts
+++ b/src/routing/common/windowed-budget.ts
@@ -11,7 +11,7 @@
 
 /** Number of buckets in which a window is counted; an expired bucket is dropped as a whole. */
 const bucketsPerWindow = 20;
-/** Share of the bounds that is used. The margin covers that the windows of hosts are not aligned and that the bounds apply to sends when they arrive. */
+/** Share of the bounds that is used. The margin is needed because the windows of hosts are not aligned, and the bounds apply to the times at which sends arrive. */
 const usedShare = 0.85;
 
 type WindowBucket = {readonly atMs: number; firstSends: number; repeats: number; hostCount: number};
