--- a/src/direct/common/bounded-admission.test.ts
+++ b/src/direct/common/bounded-admission.test.ts
@@ -35,7 +35,7 @@
 	}
 
 	state.remainingSends = 3;
-	t.notOk(isAdmitted(3, 900), 'after eight recent urgent requests, three sends are held back');
+	t.notOk(isAdmitted(3, 900), 'almost three sends are held back for urgent requests, after eight recent ones');
 	state.remainingSends = 4;
 	t.ok(isAdmitted(3, 900));
 	state.remainingSends = 1;
--- a/src/direct/common/bounded-admission.ts
+++ b/src/direct/common/bounded-admission.ts
@@ -37,7 +37,7 @@
 
 	/**
 	Decides whether a request may start.
-	@param pool - the pool that is to serve the request.
+	@param pool - the name of the pool that is to serve the request.
 	@param rank - rank of the request; 0 is the most urgent.
 	@param nowMs - the current time.
 	@returns why it may not start, or undefined if it may.
@@ -55,7 +55,7 @@
 
 	/**
 	Reserves a send for a request that has started and is sent once its preparation steps are complete.
-	@param pool - the pool that is to serve the request.
+	@param pool - the name of the pool that is to serve the request.
 	@returns a disposable that releases the reservation, to be disposed once the request is sent or has ended.
 	*/
 	reserve(pool: string): Disposable {
--- a/src/direct/common/bounded-pool.test.ts
+++ b/src/direct/common/bounded-pool.test.ts
@@ -1,8 +1,8 @@
 /**
 Guards against urgent requests being refused as often as other requests in a pool in which all engines announce limits: 10 of 16
 urgent requests were refused while there were ten times as many others. Here the urgent requests amount to half of what the limits
-allow and the others to five times what the limits allow; callers arrive at random on any host. Covers 3 hosts and 3 upstreams that announce 2 requests a second each, 5 hosts and 13 upstreams
-that announce 1, and 31 hosts and 39 upstreams that announce 1.
+allow and the others to five times what the limits allow; callers arrive at random on any host. Covers 3 hosts and 3 upstreams that
+announce 2 requests a second each, 5 hosts and 13 upstreams that announce 1, and 31 hosts and 39 upstreams that announce 1.
 */
 import t from 'tap';
 import {SeededRandom, type Random} from '../../base/common/random.js';
--- a/src/direct/common/pool-availability.ts
+++ b/src/direct/common/pool-availability.ts
@@ -68,7 +68,7 @@
 
 	/**
 	Returns whether this host may send a request to a pool now. A route with several pools is served by one for which this is true.
-	@param pool - the pool.
+	@param pool - the name of the pool.
 	@param nowMs - the current time.
 	*/
 	isOpen(pool: string, nowMs: number): boolean {
@@ -87,7 +87,7 @@
 
 	/**
 	Returns how many requests of any kind this host may send to a pool now.
-	@param pool - the pool.
+	@param pool - the name of the pool.
 	@param nowMs - the current time.
 	@returns the number of requests; Infinity if one of the pool's upstreams is not bounded, or if the pool has no upstreams.
 	*/
@@ -106,7 +106,7 @@
 
 	/**
 	Returns why this host may send nothing to a pool now, given that each of its upstreams is bounded.
-	@param pool - the pool.
+	@param pool - the name of the pool.
 	@param nowMs - the current time.
 	*/
 	boundedUnavailability(pool: string, nowMs: number): Unavailability {
--- a/src/direct/common/prompt-update-buffer.ts
+++ b/src/direct/common/prompt-update-buffer.ts
@@ -41,7 +41,7 @@
 
 	/**
 	Adds prompts that a host has sent.
-	@param hostId - the host.
+	@param hostId - the id of the host.
 	@param prompts - the prompts since its last update.
 	*/
 	add(hostId: string, prompts: SentPrompts): void {
--- a/src/direct/common/upstream-protocol.ts
+++ b/src/direct/common/upstream-protocol.ts
@@ -28,7 +28,7 @@
 export type UpstreamProtocol = {
 	/**
 	Returns the headers to send with a call.
-	@param call - the call.
+	@param call - the call that is about to be sent.
 	*/
 	requestHeaders(call: OutgoingCall): Header[];
 	/**
--- a/src/direct/node/pass-through-writer.ts
+++ b/src/direct/node/pass-through-writer.ts
@@ -17,7 +17,7 @@
 Writes a response that comes from the host and not from an upstream. Does nothing if a response has been started already.
 @param response - the response to write to.
 @param status - HTTP status.
-@param text - one sentence.
+@param text - the body, one sentence.
 @param retryAfterMs - delay after which the caller should retry.
 */
 export function sendHostResponse(response: ServerResponse, status: number, text: string, retryAfterMs?: number): void {
@@ -60,7 +60,7 @@
 
 	/**
 	Writes data of a response as it arrives.
-	@param data - the data.
+	@param data - the next bytes of the body.
 	@param http - head of the upstream's response; only the first one given is used.
 	@returns a promise that resolves when more can be written, or undefined if more can be written immediately.
 	*/
--- a/src/direct/node/prompt-updates.test.ts
+++ b/src/direct/node/prompt-updates.test.ts
@@ -1,7 +1,7 @@
 /**
 Guards against floods of prompt updates where many hosts send prompts to the same engines. The number of updates that a host
-receives must not grow with the number of hosts, or hosts with low capacity spend all their time on updates. Each send must be reported once
-only, or engines appear busier than they are.
+receives must not grow with the number of hosts, or hosts with low capacity spend all their time on updates. Each send must be
+reported only once, or engines appear busier than they are.
 */
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
--- a/src/request/common/attempt-list.ts
+++ b/src/request/common/attempt-list.ts
@@ -58,7 +58,7 @@
 
 	/**
 	Returns the attempts at one upstream that have not ended.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	*/
 	liveAt(upstreamId: string): Attempt[] {
 		return this.all.filter(attempt => attempt.isLive && attempt.options.upstreamId === upstreamId);
--- a/src/request/common/gate-job.ts
+++ b/src/request/common/gate-job.ts
@@ -27,7 +27,7 @@
 
 /**
 Creates the job of a dispatch.
-@param connectionId - the connection on which the dispatch was received.
+@param connectionId - the id of the connection on which the dispatch was received.
 @param dispatch - the dispatch message.
 @param nowMs - the current time.
 */
--- a/src/request/common/gate-state-machine.test.ts
+++ b/src/request/common/gate-state-machine.test.ts
@@ -14,7 +14,7 @@
 	gate.dispatch(1, dispatchWith({isRepeatable: false, creditChunks: 1}), false, 0);
 	gate.callStarted('d', undefined, 1);
 	t.match(gate.callChunkReceived('d', 1, new Uint8Array(1), 2), [{type: 'send'}, {type: 'flow', isOpen: false}]);
-	t.match(gate.connectionLost(1, 3), [{type: 'flow', dispatchId: 'd', isOpen: true}], 'no entry is left to grant credit');
+	t.match(gate.connectionLost(1, 3), [{type: 'flow', dispatchId: 'd', isOpen: true}], 'without a connected entry, nothing would grant credit');
 	gate.callChunkReceived('d', 1, new Uint8Array(1), 4);
 	gate.callEnded('d', {state: 'completed'}, 5);
 	t.strictSame(gate.query(2, 'd', 6).map(action => action.type === 'send' ? action.message.type : action.type), ['started', 'chunk', 'chunk', 'end']);
--- a/src/request/common/gate-state-machine.ts
+++ b/src/request/common/gate-state-machine.ts
@@ -75,7 +75,7 @@
 
 	/**
 	Handles a received dispatch.
-	@param connectionId - the connection on which it was received.
+	@param connectionId - the id of the connection on which the dispatch was received.
 	@param dispatch - the message.
 	@param isStale - whether the message may have been waiting unread while this process was suspended.
 	@param nowMs - the current time.
@@ -105,7 +105,7 @@
 
 	/**
 	Cancels a dispatch that its entry no longer needs. Work that may not be repeated is cancelled only before it has started.
-	@param dispatchId - the dispatch.
+	@param dispatchId - the id of the dispatch.
 	@param nowMs - the current time.
 	*/
 	cancel(dispatchId: string, nowMs: number): GateAction[] {
@@ -137,8 +137,8 @@
 
 	/**
 	Answers a query about a dispatch from an entry that lost its connection and has reconnected.
-	@param connectionId - the new connection of the entry.
-	@param dispatchId - the dispatch.
+	@param connectionId - the id of the new connection of the entry.
+	@param dispatchId - the id of the dispatch.
 	@param nowMs - the current time.
 	*/
 	query(connectionId: number, dispatchId: string, nowMs: number): GateAction[] {
@@ -160,7 +160,7 @@
 
 	/**
 	Handles the loss of a connection: waiting dispatches received on it are refused, running ones become orphans.
-	@param connectionId - the lost connection.
+	@param connectionId - the id of the lost connection.
 	@param nowMs - the current time.
 	*/
 	connectionLost(connectionId: number, nowMs: number): GateAction[] {
@@ -186,7 +186,7 @@
 
 	/**
 	Handles the upstream's acceptance of a call.
-	@param dispatchId - the dispatch.
+	@param dispatchId - the id of the dispatch.
 	@param http - status and headers of the answer, if the call is to a plain service.
 	@param nowMs - the current time.
 	*/
@@ -203,7 +203,7 @@
 
 	/**
 	Handles a chunk of the upstream's answer.
-	@param dispatchId - the dispatch.
+	@param dispatchId - the id of the dispatch.
 	@param units - the number of tokens in the chunk, or 1 for a chunk of bytes.
 	@param data - the chunk.
 	@param nowMs - the current time.
@@ -229,7 +229,7 @@
 
 	/**
 	Handles the end of a call to the upstream.
-	@param dispatchId - the dispatch.
+	@param dispatchId - the id of the dispatch.
 	@param end - how the call ended.
 	@param nowMs - the current time.
 	*/
--- a/src/request/common/request-state-machine.ts
+++ b/src/request/common/request-state-machine.ts
@@ -80,7 +80,7 @@
 
 	/**
 	Handles an event.
-	@param event - the event.
+	@param event - what has happened: a message from an upstream, a change of state, or a timer.
 	@param nowMs - the current time.
 	@returns the actions to perform, in order.
 	*/
--- a/src/routing/common/engine-loads.ts
+++ b/src/routing/common/engine-loads.ts
@@ -80,7 +80,7 @@
 
 	/**
 	Records that this host or a peer sent a prompt to an engine.
-	@param serverId - the engine.
+	@param serverId - the id of the engine.
 	@param prompt - the parts of the prompt.
 	@param speed - the speed of the engine.
 	@param nowMs - the current time.
@@ -103,7 +103,7 @@
 
 	/**
 	Estimates the effect of sending a prompt to an engine.
-	@param serverId - the engine.
+	@param serverId - the id of the engine.
 	@param prompt - the parts of the prompt.
 	@param speed - the speed of the engine.
 	@param nowMs - the current time.
@@ -139,7 +139,7 @@
 
 	/**
 	Removes an engine that no longer exists, together with its cached parts.
-	@param serverId - the engine.
+	@param serverId - the id of the engine.
 	*/
 	forget(serverId: string): void {
 		this.busyUntilMs.delete(serverId);
--- a/src/routing/common/prefix-index.ts
+++ b/src/routing/common/prefix-index.ts
@@ -15,7 +15,7 @@
 
 	/**
 	Records that an upstream has processed a prefix, or reported that it holds it.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param prefixHash - the hash of the prefix; 0 if there is none.
 	@param nowMs - the current time.
 	*/
@@ -36,7 +36,7 @@
 
 	/**
 	Removes all prefixes of an upstream, for example after its engine was restarted.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	*/
 	forgetUpstream(upstreamId: string): void {
 		for (const [prefixHash, holders] of this.holders) {
@@ -51,7 +51,7 @@
 
 	/**
 	Estimates how likely it is that an upstream still holds a prefix.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param prefixHash - the hash of the prefix; 0 if there is none.
 	@param nowMs - the current time.
 	@returns a likelihood from 0 to 1.
--- a/src/routing/common/send-share.ts
+++ b/src/routing/common/send-share.ts
@@ -55,7 +55,7 @@
 
 	/**
 	Computes how many requests this host may still send to a bounded upstream now.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param bound - the bound on all hosts together.
 	@param work - the kind of work to send.
 	@param nowMs - the current time.
@@ -73,7 +73,7 @@
 
 	/**
 	Computes when this host may send again to a bounded upstream whose quota is used up.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param bound - the bound on all hosts together.
 	@param work - the kind of work to send.
 	@param nowMs - the current time.
@@ -91,7 +91,7 @@
 
 	/**
 	Records a send to a bounded upstream.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param nowMs - the current time.
 	*/
 	sent(upstreamId: string, nowMs: number): void {
@@ -100,7 +100,7 @@
 
 	/**
 	Computes how long ago this host last sent to an upstream while it was bounded.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param nowMs - the current time.
 	@returns the time in milliseconds; Infinity if no send is recorded.
 	*/
@@ -110,7 +110,7 @@
 
 	/**
 	Computes this host's rank in the sender order of an upstream; the first sender has rank 0.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param nowMs - the current time.
 	*/
 	rankOf(upstreamId: string, nowMs: number): number {
@@ -119,7 +119,7 @@
 
 	/**
 	Removes the state of an upstream that no longer exists.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	*/
 	forget(upstreamId: string): void {
 		this.sendTimesMs.delete(upstreamId);
--- a/src/routing/common/server-liveness.ts
+++ b/src/routing/common/server-liveness.ts
@@ -11,7 +11,7 @@
 	private avoidedUntilMs = -Infinity;
 	private failures = 0;
 
-	/** Number of sends whose answer has not started. */
+	/** Number of sends without any part of an answer yet. */
 	get unansweredCount(): number {
 		return this.unanswered.size;
 	}
--- a/src/routing/common/server-refusals.ts
+++ b/src/routing/common/server-refusals.ts
@@ -57,7 +57,7 @@
 
 	/**
 	Checks whether an upstream should be avoided while others accept work.
-	@param serverId - the upstream.
+	@param serverId - the id of the upstream.
 	@param nowMs - the current time.
 	*/
 	isAvoided(serverId: string, nowMs: number): boolean {
@@ -66,7 +66,7 @@
 
 	/**
 	Computes when an avoided upstream is tried again.
-	@param serverId - the upstream.
+	@param serverId - the id of the upstream.
 	@param nowMs - the current time.
 	@returns the time to wait in milliseconds; 0 if the upstream is not avoided.
 	*/
@@ -82,7 +82,7 @@
 
 	/**
 	Records that a call is sent.
-	@param serverId - the upstream.
+	@param serverId - the id of the upstream.
 	@param nowMs - the current time.
 	*/
 	sent(serverId: string, nowMs: number): void {
@@ -115,7 +115,7 @@
 
 	/**
 	Records that an upstream accepted a call.
-	@param serverId - the upstream.
+	@param serverId - the id of the upstream.
 	*/
 	accepted(serverId: string): void {
 		const state = this.states.get(serverId);
@@ -136,7 +136,7 @@
 
 	/**
 	Removes the state of an upstream that no longer exists.
-	@param serverId - the upstream.
+	@param serverId - the id of the upstream.
 	*/
 	forget(serverId: string): void {
 		this.states.delete(serverId);
