--- a/src/deployment/common/hall-drains.test.ts
+++ b/src/deployment/common/hall-drains.test.ts
@@ -114,7 +114,7 @@
 	misled.apply([drain('a', 10)], listSources.peer);
 	t.ok(misled.isDrained('a'), 'a host that has read nothing accepts it');
 	misled.apply(reader.drainsForPeers, listSources.peer);
-	t.notOk(misled.isDrained('a'), 'until a host that has read the store corrects it');
+	t.notOk(misled.isDrained('a'), 'a host that has read the store corrects it');
 	reader.apply([drain('b', 101)], listSources.peer);
 	t.ok(reader.isDrained('b'), 'a newer update counts');
 });
--- a/src/deployment/common/hall-drains.ts
+++ b/src/deployment/common/hall-drains.ts
@@ -41,7 +41,7 @@
 		return [...this.drains.values()];
 	}
 
-	/** What is sent to peers: ends of drains as well, since a peer may know only of the beginning; the newest ones if there are too many for a message. */
+	/** The state that is sent to peers. Includes drains that have ended, since a peer may know only of their beginning; only the newest if there are too many for a message. */
 	get drainsForPeers(): readonly HallDrain[] {
 		return this.all.slice(-maxHallDrains);
 	}
--- a/src/deployment/common/pool-views.ts
+++ b/src/deployment/common/pool-views.ts
@@ -1,4 +1,4 @@
-/** Caches the servers of each pool that may get work until something about servers changes: they are looked up for each request. */
+/** Caches which servers of each pool may get work, since every request needs them; any change to a server clears the cache. */
 import type {ListedServer, UpstreamServer} from './upstream-server.js';
 
 /** Options of `PoolViews`. */
--- a/src/deployment/common/server-backoffs.test.ts
+++ b/src/deployment/common/server-backoffs.test.ts
@@ -27,7 +27,7 @@
 	backoffs.handleResponse(server, {kind: 'asked', forMs: Infinity}, 0);
 	t.equal(backoffs.remainingMs('s', 0), 3_600_000);
 	backoffs.forget('s');
-	t.equal(backoffs.remainingMs('s', 0), 0, 'its next start is another server');
+	t.equal(backoffs.remainingMs('s', 0), 0, 'the next start of the server has no backoff');
 });
 
 t.test('the number of remembered servers is bounded', async t => {
--- a/src/deployment/common/server-coldness.ts
+++ b/src/deployment/common/server-coldness.ts
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	Applies an entry that was read. One that was written before the drain of its hall ended can't show whether its server went cold meanwhile.
+	Applies an entry that was read. An entry that was written before the drain of its hall ended can't show whether its server became cold during the drain.
 	@param server - the server according to its entry.
 	@param nowMs - current time.
 	@returns whether the server has become cold.
--- a/src/deployment/common/server-limits.ts
+++ b/src/deployment/common/server-limits.ts
@@ -3,7 +3,7 @@
 they announce it.
 
 Few hosts receive the responses of a limited server, so hosts report to each other when a limit begins, changes and ends, and at intervals
-that it is still announced. Responses may overlap: one without a limit ends the limit only if its call was sent after the last response with
+that it is still announced. Calls may overlap: a response without a limit ends the limit only if its call was sent after the last response with
 a limit had arrived. A peer's report of an end counts only if nothing later is known here. An end takes effect after a delay that differs from
 host to host, so that a late report does no harm: the next response with a limit revokes it. A limit that is not announced again stays
 in force; `sinceAnnouncedMs` shows senders when to probe whether it still applies.
@@ -58,7 +58,7 @@
 const repeatReportMs = 5000;
 /** Minimum interval between reports of changes to one limit: a server may announce a different one in each response. */
 const minReportIntervalMs = 250;
-/** An end takes effect after the time in which the limit allows this many further requests, within the bounds below. */
+/** The delay of an end is the time in which the limit allows this many further requests, within the bounds below, plus a random part of up to the same length. */
 const requestsBeforeEnd = 2;
 const minEndDelayMs = 2000;
 const maxEndDelayMs = 10_000;
--- a/src/deployment/common/server-notices.test.ts
+++ b/src/deployment/common/server-notices.test.ts
@@ -9,7 +9,7 @@
 	serverId: 's', instanceId: 's', startedMs: 0, pool: 'p', address: '127.0.0.1', port: 1, hall: 'a', slots: 1, isLeaving: false,
 };
 
-t.test('each part of a notice is passed to the part that acts on it, with the server that the call was intended for', async t => {
+t.test('each part of a notice is passed to the component that acts on it, with the server that the call was intended for', async t => {
 	const limits: LimitReading[] = [];
 	const backoffs: BackoffReading[] = [];
 	const leaving: string[] = [];
--- a/src/deployment/common/server-notices.ts
+++ b/src/deployment/common/server-notices.ts
@@ -17,7 +17,7 @@
 /** The notice of a response that reports nothing about the server. */
 export const emptyNotice: ServerNotice = {limit: {kind: 'silent'}, isLeaving: false, backoff: {kind: 'none'}};
 
-/** The parts that act on notices. */
+/** The components that act on notices. */
 export type ServerNoticesOptions = {
 	readonly limits: Pick<ServerLimits, 'handleResponse'>;
 	readonly leaving: Pick<LeavingServers, 'handleServerReport'>;
--- a/src/deployment/common/server-registry.test.ts
+++ b/src/deployment/common/server-registry.test.ts
@@ -33,7 +33,7 @@
 	t.same(usable(registry), ['b']);
 	change(registry, 7, {written: [server('a', 7)]});
 	t.same(usable(registry), ['b']);
-	t.ok(registry.get('a'), 'it still finishes what it has');
+	t.ok(registry.get('a'), 'it still finishes the work it has');
 });
 
 /*
@@ -56,13 +56,13 @@
 	change(registry, 6, {written: [server('a', 6)]});
 	registry.replaceAll({revision: 7, servers: [server('a', 7), server('b', 7)]}, 10);
 	t.same(usable(registry), ['b']);
-	t.ok(registry.get('a'), 'it still finishes what it has');
+	t.ok(registry.get('a'), 'it still finishes the work it has');
 	change(registry, 8, {droppedIds: ['a']});
 	change(registry, 9, {written: [server('a', 9)]});
 	t.same(usable(registry), ['b'], 'also after its entry was dropped');
 	leaving.handlePeerReport(['c'], 'peer');
 	change(registry, 10, {written: [server('c', 10)]});
-	t.same(usable(registry), ['b'], 'nor does one that a peer reported before it was listed');
+	t.same(usable(registry), ['b'], 'a server that a peer reported before it was listed gets no new work either');
 	t.same(changes, ['a leaving', 'a gone', 'a leaving', 'c leaving']);
 });
 
@@ -142,8 +142,8 @@
 
 /*
 Guards against removed servers being listed again, even ones that were leaving: a host that takes a newer list from a peer while its own
-reading is interrupted, and then resumes from its old revision, gets changes from the store that are older than the list. When changes
-were applied whatever their revision, and all knowledge of a server was dropped with its entry, such servers were back for two seconds and
+reads from the store are interrupted, and then resumes from its old revision, gets changes from the store that are older than the list. When changes
+were applied whatever their revision, and all state of a server was dropped with its entry, such servers were listed again for two seconds and
 then removed a second time.
 */
 t.test('a change that is older than the current list restores no server', async t => {
--- a/src/deployment/common/server-registry.ts
+++ b/src/deployment/common/server-registry.ts
@@ -10,7 +10,7 @@
 so that repeated history restores nothing.
 
 An entry that is removed while the store is unavailable may come back for some time (`MissingEntries`). Its server gets work only if most of
-its pool is missing: without that, an outage of the store in which all entries lapse would leave no server for callers.
+its pool is missing: without this exception, an outage of the store in which all entries lapse would leave no server for callers.
 */
 import type {InjectionToken} from 'tsyringe';
 import {Emitter} from '../../base/common/emitter.js';
@@ -129,7 +129,7 @@
 	}
 
 	/**
-	Handles the end of a hall's drain: its servers may have become cold meanwhile, which their entries show up to one heartbeat later.
+	Handles the end of a hall's drain: its servers may have become cold meanwhile, which their entries may show only one heartbeat later.
 	@param hall - the hall.
 	@param coldMsOf - returns how long servers of a pool are cold after they start.
 	@param revision - the store revision that ended the drain; entries written later are accurate.
--- a/src/deployment/node/connection-pool.test.ts
+++ b/src/deployment/node/connection-pool.test.ts
@@ -1,8 +1,8 @@
 /**
 Guards against the reuse of a connection that is about to be closed. The client closes a connection one turn of the event loop after its call is aborted,
-or after the upstream closes it behind a response. If the connection counts as free as soon as its call has ended, the next call gets it, since the
-most recently used one is taken first, and is lost with it although nothing of it was sent. Each of 60 cancelled requests made another one that may run
-at most once end with an unknown outcome, and the retry of a stalled stream failed after 6 ms; in the tests 20 of 20 calls failed in each of both cases.
+or after the upstream closes the connection following a response. If the connection counts as free as soon as its call has ended, the next call gets it,
+since the most recently used connection is taken first, and fails with it although nothing of the call was sent. Each of 60 cancelled requests caused another
+request, which could run at most once, to end with an unknown outcome, and the retry of a stalled stream failed after 6 ms. In both tests 20 of 20 calls failed.
 */
 import {createServer, type ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
--- a/src/deployment/node/connection-pool.ts
+++ b/src/deployment/node/connection-pool.ts
@@ -9,7 +9,7 @@
 
 /** Maximum time for opening a connection: hosts are a few milliseconds apart, and a lost first packet is resent only after a second. */
 const connectTimeoutMs = 400;
-/** How long an idle connection is kept if the upstream gives no time: upstreams close those within a second. */
+/** How long an idle connection is kept if the upstream states no keep-alive time: such upstreams close idle connections within a second. */
 const defaultKeepAliveMs = 500;
 const maxKeepAliveMs = 20_000;
 /** How long before the upstream's own timeout an idle connection is closed. */
--- a/src/deployment/node/feed-follower.test.ts
+++ b/src/deployment/node/feed-follower.test.ts
@@ -120,7 +120,7 @@
 
 /*
 Guards against late detection that the store is available again: if the store holds the first call after a network partition
-like any other, the host notices the recovery only at the next change. After a partition of three seconds a host noticed it
+like any other, the host notices the recovery only at the next change. After a partition of three seconds a host noticed the recovery
 two seconds late; the log showed 0.9 s on one feed, at its first change, and 4.4 s on the other, which had none. The grace
 period of missing entries then starts late and exceeds the time for which a leaving server may get work.
 */
--- a/src/deployment/node/feed-follower.ts
+++ b/src/deployment/node/feed-follower.ts
@@ -129,7 +129,7 @@
 
 	private async readNext(): Promise<Outcome<FeedChanges<T>, FeedFailure>> {
 		const {source, holdMs, clock} = this.options;
-		// A held call would show only at the next change that the store is available again, up to two seconds late.
+		// If the store held the call, this host would notice only at the next change, up to two seconds late, that the store is available again.
 		const waitMs = this.revision === undefined || this.hasFailed ? 0 : holdMs();
 		const limit = TimeLimit.create(clock, waitMs + responseTimeoutMs, this.controller.signal);
 		// After a suspension this host knows only the state from before it, and its connection may have been lost.
--- a/src/membership/common/member-table.test.ts
+++ b/src/membership/common/member-table.test.ts
@@ -31,7 +31,7 @@
 	t.strictSame(idsAt(table, 30).toSorted(), ['u0', 'u1', 'u3']);
 });
 
-t.test('a few silent upstreams get no new work; if most are silent at once, the entry assumes that the fault is its own', async t => {
+t.test('a few silent upstreams get no new work; if most are silent at once, the entry host assumes that the fault is its own', async t => {
 	const table = tableOf(10);
 	for (let number = 0; number < 7; number++) {
 		table.received(`u${number}`, 'serving', 2000);
--- a/src/membership/common/member-table.ts
+++ b/src/membership/common/member-table.ts
@@ -11,7 +11,7 @@
 } as const;
 export type MemberState = typeof memberStates[keyof typeof memberStates];
 
-/** One upstream as known to this entry. */
+/** One upstream as known to this entry host. */
 export type Member = {
 	readonly upstreamId: string;
 	readonly hostId: string;
@@ -57,7 +57,7 @@
 		this.heartbeatTimeoutMs = options.heartbeatTimeoutMs;
 	}
 
-	/** Increases whenever an upstream joins, leaves or is lost; silence alone does not change it. */
+	/** Increases whenever an upstream connects, leaves or is lost, or the drained upstreams are set; silence alone does not change it. */
 	get version(): number {
 		return this.changeCount;
 	}
@@ -92,7 +92,7 @@
 
 		if (known) {
 			this.pools.get(known.member.pool)?.delete(upstreamId);
-			// A host list that listed the old incarnation as leaving does not apply to the new one, unless it reports that again.
+			// That the host list showed the old incarnation as leaving does not apply to the new one, unless the list shows it again.
 			this.leavingHosts.delete(hostId);
 		}
 
--- a/src/peers/common/dial-plan.ts
+++ b/src/peers/common/dial-plan.ts
@@ -9,7 +9,7 @@
 /** How long the side of a pair that does not dial first waits for the other: a low-capacity host takes about a second to start. */
 const secondDialDelayMs = 1500;
 
-/** An address, and since when no host that listens there has been connected. */
+/** An address, and the time since which the host that listens there has not been connected. */
 type KnownAddress = {readonly isSeed: boolean; disconnectedSinceMs: number};
 
 /** Tracks the addresses that one host may dial. */
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	Adds an address; one to which no connection can be made is ignored, whoever reported it.
+	Adds an address; a malformed address is ignored, whoever reported it.
 	@param endpoint - where a peer may listen.
 	@param isSeed - whether it is one of the few through which hosts discover each other.
 	@param nowMs - the current time.
--- a/src/peers/common/fleet-tracker.ts
+++ b/src/peers/common/fleet-tracker.ts
@@ -7,7 +7,7 @@
 import {parseEndpoint} from '../../wire/common/endpoint.js';
 import type {FleetView} from '../../routing/common/fleet-view.js';
 
-/** A host to which no host was connected for this long is forgotten: longer than any partition that is tolerated, shorter than a machine is missing. */
+/** A host to which no host was connected for this long is forgotten: longer than any partition that is tolerated, but shorter than the outage of a failed machine. */
 const hostRetentionMs = 600_000;
 /** A host that has started knows all others this long after it connected to the first, even if all start at once. */
 const discoveryMs = 2000;
--- a/src/peers/common/heartbeat-schedule.ts
+++ b/src/peers/common/heartbeat-schedule.ts
@@ -7,7 +7,7 @@
 
 /** Interval between signs of life if one of the two hosts does work for the other. */
 export const defaultHeartbeatIntervalMs = 500;
-/** The same between two hosts that do no work for each other; only the number of such hosts matters to them. */
+/** Interval between two hosts that do no work for each other: each only needs to know how many such hosts there are. */
 const sparseHeartbeatIntervalMs = 2000;
 /** The state in force is sent again after this many intervals: a peer that requested it and got no reply asks again at the next heartbeat. */
 const intervalsPerStateRefresh = 2;
--- a/src/peers/node/packed-json.ts
+++ b/src/peers/node/packed-json.ts
@@ -4,7 +4,7 @@
 */
 import {constants, deflateRawSync, inflateRawSync} from 'node:zlib';
 
-/** Maximum size of the decompressed JSON: many times a declaration of 100,000 routes. */
+/** Maximum size of the decompressed JSON: many times the size of a declaration of 100,000 routes. */
 const maxJsonBytes = 256 * 1024 * 1024;
 
 /**
--- a/src/peers/node/peer-dialer.ts
+++ b/src/peers/node/peer-dialer.ts
@@ -1,4 +1,4 @@
-/** Dials the addresses that this host knows: it keeps connecting to each, and forgets one where no host answers unless it is a seed. */
+/** Dials the addresses that this host knows: keeps trying each of them, and forgets an address at which no host answers unless it is a seed. */
 import type {Clock} from '../../base/common/clock.js';
 import type {Disposable} from '../../base/common/disposable.js';
 import {WireClient, type WireClientOptions} from '../../wire/node/wire-client.js';
--- a/src/peers/node/peer-mesh.test.ts
+++ b/src/peers/node/peer-mesh.test.ts
@@ -1,6 +1,6 @@
 /**
-Guards against connections that become silent permanently, as in an incident between hosts: no reset came, while new connections worked. Only time
-shows it: a peer is considered lost once nothing has arrived for the time of three heartbeats, and is dialed again.
+Guards against connections that become silent permanently without a reset, as in an incident between hosts in which new connections worked. Only a timeout
+detects this: a peer is considered lost once nothing has arrived for the time of three heartbeats, and is dialed again.
 */
 import {setImmediate as turn} from 'node:timers/promises';
 import t, {type Test} from 'tap';
@@ -227,10 +227,10 @@
 
 	t.same(mesh.liveHosts, ['peer']);
 	await advanceTime(clock, 2500);
-	t.same(mesh.liveHosts, [], 'without any received byte it is');
+	t.same(mesh.liveHosts, [], 'a peer that sends no byte is silent');
 });
 
-t.test('a suspended host loses no peer by that, and counts the suspension in the age of earlier reports', async t => {
+t.test('a host that was suspended loses no peer because of it, and counts the suspension in the age of earlier reports', async t => {
 	const pair = await makePair(t);
 	const lost: string[] = [];
 	pair.mesh.onDidLose(hostId => {
--- a/src/peers/node/peer-mesh.ts
+++ b/src/peers/node/peer-mesh.ts
@@ -94,7 +94,7 @@
 		return this.didChange.event;
 	}
 
-	/** Fires with the host to which a connection was established, the first one or another: what was sent before may be lost. */
+	/** Fires with the host to which a connection was established, whether its first or a further one: messages sent before may be lost. */
 	get onDidConnect() {
 		return this.didConnect.event;
 	}
@@ -216,7 +216,7 @@
 			const intervalMs = this.heartbeatIntervalOf(peer, ownState.room ?? 0);
 			const state = `${intervalMs} ${serializedState}`;
 			for (const peerConnection of peer.connections) {
-				// New addresses go to all peers: one that is left out now would not learn of them for a long time.
+				// New addresses go to all peers: a peer that is left out now would not learn of them until the next full announcement.
 				if (newEndpoints.length > 0 || isNeeded(peerConnection, state, intervalMs)) {
 					const frame = frames.get(intervalMs) ?? encodeFrame(this.makeHeartbeat(newEndpoints, intervalMs));
 					frames.set(intervalMs, frame);
--- a/src/peers/node/reader-election.test.ts
+++ b/src/peers/node/reader-election.test.ts
@@ -26,7 +26,7 @@
 	const fresh = new Map([['x', 300], ['y', 900], ['z', 100]]);
 	const readers = names.filter(name => !electionOf(name, fresh).mayStandBy());
 	t.equal(readers.length, 3);
-	t.ok(electionOf(readers[0], fresh).holdMs <= 900, 'and call more often than the updates may be old');
+	t.ok(electionOf(readers[0], fresh).holdMs <= 900, 'and the store may hold their calls for at most half of the time for which a response is fresh');
 });
 
 t.test('in a small deployment all read', async t => {
@@ -64,5 +64,5 @@
 	t.equal(election.mayStandBy(), false);
 	clock.advance(200);
 	known.set('y', 100);
-	t.equal(election.mayStandBy(), false, 'later on a slow store must not make it switch at each call');
+	t.equal(election.mayStandBy(), false, 'after the first standby, a slow store must not make the host switch at each call');
 });
