--- a/src/deployment/common/declaration.ts
+++ b/src/deployment/common/declaration.ts
@@ -63,7 +63,7 @@
 	roomBytes: z.number().nonnegative(),
 	/** How long a result is kept after its call unless it is released earlier. */
 	resultTtlMs: durationMs,
-	/** Bandwidth of its network link, for results that are read. */
+	/** Bandwidth of the upstream's network link, over which its results are read. */
 	linkBytesPerMs: z.number().positive().optional(),
 });
 /** Capacity of one upstream of a pool that works in batches. */
--- a/src/deployment/common/leaving-servers.ts
+++ b/src/deployment/common/leaving-servers.ts
@@ -1,6 +1,6 @@
 /**
 Tracks which starts of servers have reported in a response that they are leaving. A report is final, even if the list of servers disagrees: an entry
-may have been written before it, sent by a peer, or kept during an outage of the store. A later start of the same server has another `serverId`.
+may have been written before the report, sent by a peer, or kept during an outage of the store. A later start of the same server has another `serverId`.
 */
 import type {InjectionToken} from 'tsyringe';
 import {Emitter} from '../../base/common/emitter.js';
--- a/src/deployment/common/missing-entries.ts
+++ b/src/deployment/common/missing-entries.ts
@@ -2,7 +2,7 @@
 Tracks entries of servers that have been missing since the store was unavailable, and until when each may come back.
 
 A host can't distinguish an outage of the store from a loss of its own connection to it, during which servers may have left. But an outage makes
-entries lapse together, while servers leave one at a time. The server of a missing entry gets work for less time than a server that has left may still get work.
+entries lapse together, while servers leave one at a time. A server whose entry is missing gets work for less time than is allowed for a server that has left.
 */
 
 /**
--- a/src/deployment/common/server-limits.test.ts
+++ b/src/deployment/common/server-limits.test.ts
@@ -8,7 +8,7 @@
 const server = {serverId: 's@1', pool: 'p'};
 const announced = (perS: number): LimitReading => ({kind: 'named', perS});
 const none: LimitReading = {kind: 'none'};
-/** Time after which an end has taken effect on every host. */
+/** Time after which the end of a limit of at least one request per second has taken effect on every host. */
 const maxEndDelayMs = 4000;
 
 function makeLimits(seed = 1) {
@@ -49,7 +49,7 @@
 	t.match(reported.at(-1), {serverId: 's@1', perS: 0.5, namedAgoMs: 0});
 	clock.advance(5000);
 	respond(announced(0.5));
-	t.equal(reported.length, 3, 'it is reported at intervals that the limit is still in force');
+	t.equal(reported.length, 3, 'a limit that is still in force is reported again at intervals');
 	clock.advance(60_000);
 	t.equal(perS(), 0.5, 'no response has ended it');
 });
@@ -105,7 +105,7 @@
 	const {clock, respond, receive, perS, reported} = makeLimits();
 	receive({perS: 3, namedAgoMs: 200});
 	t.equal(perS(), 3);
-	t.equal(reported.length, 0, 'it is not passed on');
+	t.equal(reported.length, 0, 'the report of a peer is not passed on');
 	receive({perS: 7, namedAgoMs: 900});
 	t.equal(perS(), 3, 'an older report');
 	receive({endedAgoMs: 300});
@@ -164,8 +164,8 @@
 });
 
 /**
-Guards against a flood of messages and log lines: if a server announces a different limit in each response, or one in every other response, not
-each of them may be reported to all peers and logged.
+Guards against a flood of messages and log lines: if a server announces a different limit in each response, or a limit only in every other response,
+the changes must not all be reported to all peers and logged.
 */
 t.test('a limit that changes with each response is reported a few times per second, and its latest state reaches the peers', async t => {
 	for (const limitOf of [(index: number) => 100 + (index / 1000), (index: number) => index % 2 === 0 ? 100 : undefined]) {
--- a/src/deployment/common/server-limits.ts
+++ b/src/deployment/common/server-limits.ts
@@ -5,7 +5,7 @@
 Few hosts receive the responses of a limited server, so hosts report to each other when a limit begins, changes and ends, and at intervals
 that it is still announced. Calls may overlap: a response without a limit ends the limit only if its call was sent after the last response with
 a limit had arrived. A peer's report of an end counts only if nothing later is known here. An end takes effect after a delay that differs from
-host to host, so that a late report does no harm: the next response with a limit revokes it. A limit that is not announced again stays
+host to host, so that a late report does no harm: the next response with a limit revokes the end. A limit that is not announced again stays
 in force; `sinceAnnouncedMs` shows senders when to probe whether it still applies.
 */
 import type {InjectionToken} from 'tsyringe';
--- a/src/deployment/common/server-registry.ts
+++ b/src/deployment/common/server-registry.ts
@@ -7,7 +7,7 @@
 
 Updates arrive from the store's feed and from peers, late, twice and in any order. Each entry has the revision of the
 write that made it, and the list is complete as of a revision of its own: anything older than either is ignored,
-so that repeated history restores nothing.
+so that old updates that arrive again restore nothing.
 
 An entry that is removed while the store is unavailable may come back for some time (`MissingEntries`). Its server gets work only if most of
 its pool is missing: without this exception, an outage of the store in which all entries lapse would leave no server for callers.
--- a/src/deployment/node/feed-follower.ts
+++ b/src/deployment/node/feed-follower.ts
@@ -11,7 +11,7 @@
 const changeDelayMs = 60;
 /** Interval at which a host on standby checks whether it must read: a small part of the time within which changes must be acted on. */
 const standbyCheckMs = 200;
-/** Maximum gap between parts of a response, and maximum wait for it beyond the hold time: many times the store's typical 4 ms. */
+/** Maximum gap between parts of a response, and maximum wait for its first part beyond the hold time: many times the store's typical 4 ms. */
 const responseTimeoutMs = 700;
 /** Bounds of the delay between failed calls, which doubles with each failure. */
 const minRetryMs = 60;
--- a/src/peers/common/heartbeat-schedule.test.ts
+++ b/src/peers/common/heartbeat-schedule.test.ts
@@ -43,7 +43,7 @@
 Models a fleet of some high-capacity hosts and many low-capacity ones. The signs of life that a low-capacity host receives grow with the number of
 high-capacity ones.
 */
-t.test('the number of signs of life per second that a low-capacity host receives depends on the size of the fleet', async t => {
+t.test('the number of signs of life that a low-capacity host receives grows with the number of high-capacity hosts', async t => {
 	const heartbeatsPerSecond = (highCapacityCount: number, lowCapacityCount: number) =>
 		(highCapacityCount * 1000 / heartbeatIntervalMs([0.2, 1.35], 1.35)) + ((lowCapacityCount - 1) * 1000 / heartbeatIntervalMs([0.2, 0.2], 1.35));
 	t.equal(heartbeatsPerSecond(15, 53), 56);
--- a/src/peers/node/declaration-propagation.test.ts
+++ b/src/peers/node/declaration-propagation.test.ts
@@ -34,7 +34,7 @@
 /** Messages in transit from one host to another, in order. */
 type Flow = {readonly from: Host; readonly to: Host; readonly frames: Array<{readonly message: Message; remainingBytes: number}>};
 
-/** A host that does not read the store itself and receives everything from its peers. */
+/** A host that receives versions from its peers; the test gives the readers what they read from the store. */
 class Host {
 	static create(network: Network, hostId: string, bytesPerMs: number): Host {
 		return new Host(network, hostId, bytesPerMs);
--- a/src/peers/node/leaving-server-updates.test.ts
+++ b/src/peers/node/leaving-server-updates.test.ts
@@ -11,7 +11,7 @@
 	return {leaving, mesh};
 }
 
-t.test('what a server announces to one host becomes known to all, and is not forwarded', async t => {
+t.test('what a server announces to one host is sent to all others, which do not forward it', async t => {
 	const sender = makeHost();
 	const receiver = makeHost();
 	sender.leaving.handleServerReport({serverId: 's', pool: 'p'});
--- a/src/peers/node/peer-dialer.test.ts
+++ b/src/peers/node/peer-dialer.test.ts
@@ -1,6 +1,7 @@
 /**
 Guards against a crash because of an address with an invalid port, for which no socket can be created: a peer that reported such an address crashed the
 host that received it, and since hosts report the addresses they know to each other, one host after the other crashed.
+Found by code review.
 */
 import t from 'tap';
 import {ManualClock} from '../../base/common/clock.js';
--- a/src/peers/node/reader-election.ts
+++ b/src/peers/node/reader-election.ts
@@ -1,6 +1,6 @@
 /**
-Elects the hosts that read the platform's store for all. Each call to the store has a price, and many hosts that read the same feeds
-read the same bytes: above a few hosts, three of them read and notify the others immediately. A host relies on that only
+Elects the hosts that read the platform's store for all. Each call to the store has a cost, and many hosts that read the same feeds
+read the same bytes: in all but small deployments, three hosts read and notify the others immediately. A host relies on them only
 while two of them had a response recently; otherwise it reads for itself, as all hosts do in a small deployment.
 */
 import type {InjectionToken} from 'tsyringe';
@@ -18,9 +18,9 @@
 const minFreshReaders = 2;
 /** A response is fresh for this share of the time within which updates must be acted on. */
 const freshTimeShare = 0.6;
-/** The store may hold a shared reader's call for this share of the time for which its responses are fresh, so that the next one arrives in time. */
+/** The store may hold the call of a host that reads for others for this share of the time for which its responses are fresh, so that the next one arrives in time. */
 const holdTimeShare = 0.5;
-/** Maximum hold of a call, and the hold where every host reads: a connection that was lost silently must be noticed before that matters. */
+/** Maximum hold of a call, and the hold where every host reads: a connection that was lost silently must be noticed before the loss matters. */
 const maxHoldMs = 2000;
 /** A host that had to read continues for this long, so that a slow store does not make it switch at each call. */
 const minReadingMs = 5000;
--- a/src/peers/node/state-reply-cache.ts
+++ b/src/peers/node/state-reply-cache.ts
@@ -1,4 +1,4 @@
-/** Builds what peers are sent of the declaration and the server list, once for all peers that lack the same. */
+/** Builds the replies to requests for the declaration and the server list, each once for all peers that lack the same part. */
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {DeploymentTracker} from '../../deployment/common/deployment-tracker.js';
 import type {ServerRegistry} from '../../deployment/common/server-registry.js';
--- a/src/preparation/common/admission.test.ts
+++ b/src/preparation/common/admission.test.ts
@@ -34,7 +34,7 @@
 	}
 });
 
-t.test('a retry is admitted with a slightly later predicted time', async t => {
+t.test('a retry is admitted up to one and a half times the target', async t => {
 	t.equal(admit({...request, sinceFirstTryMs: 2000}, waits(450)).isAdmitted, true);
 	t.equal(admit({...request, sinceFirstTryMs: 2000}, waits(1000)).isAdmitted, false);
 });
--- a/src/preparation/common/batch-scheduler.test.ts
+++ b/src/preparation/common/batch-scheduler.test.ts
@@ -86,7 +86,7 @@
 	t.equal(scheduler.nextCalls([server('s')], capacity, 140).length, 1);
 });
 
-t.test('an upstream without space receives nothing for a while, and its pieces lose no attempt', async t => {
+t.test('an upstream without space receives nothing for a while, and refused pieces do not use up an attempt', async t => {
 	const scheduler = BatchScheduler.create();
 	scheduler.add(workOf('a', 1), 0);
 	for (let round = 0; round < 8; round++) {
@@ -165,7 +165,7 @@
 
 	t.equal(scheduler.waitMs(servers, capacity, 0, 1340), 2000, 'both have failed');
 	const [again] = scheduler.nextCalls(servers, capacity, 1600);
-	t.ok(again.deadlineMs - again.sentMs > 6000, 'they may be that slow');
+	t.ok(again.deadlineMs - again.sentMs > 6000, 'the upstreams may be that slow');
 });
 
 t.test('a piece queued past its deadline fails as late', async t => {
@@ -196,14 +196,14 @@
 	t.equal(tried.pieces.length, 1, 'then one result is tried');
 	small.completeCall(tried, allDone(tried), capacity, 470);
 	small.freeResults('s', [`${tried.callId}-0`]);
-	t.equal(small.nextCalls([server('s')], capacity, 470)[0].pieces.length, 2, 'and more once that one found space');
+	t.equal(small.nextCalls([server('s')], capacity, 470)[0].pieces.length, 2, 'more results are sent once that one was stored');
 });
 
 /**
 Guards against a thundering herd after a restart. Hosts that are not connected to each other yet call the same upstreams,
 which are full and refuse most calls. Each host must back off for longer after each refusal, so that the hosts leave
-space for each other until one of them batches for all. Asked again after every call duration, upstreams refused more
-calls, and steps were done no sooner.
+space for each other until one of them batches for all. When full upstreams were called again after each call
+duration, they refused more calls, and steps were done no sooner.
 */
 t.test('an upstream that was full is called again with a growing delay of at most two seconds', async t => {
 	const scheduler = BatchScheduler.create();
@@ -252,7 +252,7 @@
 	t.match(scheduler.sweep(() => true, 9000), [{work: {workId: 'over'}}, {work: {workId: 'over'}}]);
 });
 
-t.test('an upstream with a rate limit gets no call above it, and counts as the corresponding fraction of an upstream', async t => {
+t.test('an upstream with a rate limit gets no call beyond the limit, and counts as the corresponding fraction of an upstream', async t => {
 	const allowance = {remaining: 0, perS: Infinity};
 	const scheduler = BatchScheduler.create(undefined, ({serverId}) => serverId === 'bounded' ? allowance : {remaining: Infinity, perS: Infinity});
 	const both = [server('bounded'), server('free')];
--- a/src/preparation/common/batch-scheduler.ts
+++ b/src/preparation/common/batch-scheduler.ts
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	Drops the queued pieces of a request that has ended. Calls in progress continue.
+	Drops the queued pieces of a work that is no longer needed. Calls in progress continue.
 	@param workId - ID of the work.
 	*/
 	cancel(workId: string): void {
@@ -191,7 +191,7 @@
 		this.upstreams.of(call.server).failCall(call, nowMs);
 		const finished: FinishedPiece[] = [];
 		for (const item of call.pieces) {
-			// A refused call cost the upstream nothing, so it does not count.
+			// A refused call cost the upstream nothing, so it does not count as an attempt.
 			const attempts = item.attempts - (reason === 'refused' ? 1 : 0);
 			if (attempts >= maxAttempts || nowMs >= item.work.deadlineMs) {
 				finished.push({work: item.work, piece: item.piece, outcome: {ok: false, reason: pieceFailures.failed}});
@@ -248,7 +248,7 @@
 	@param capacity - capacity of each upstream.
 	@param rank - rank of the work.
 	@param nowMs - the current time.
-	@returns the wait in milliseconds; 0 while an upstream is free.
+	@returns the wait in milliseconds; 0 if an upstream is free and nothing that goes first is queued.
 	*/
 	waitMs(servers: readonly UpstreamServer[], capacity: BatchCapacity, rank: number, nowMs: number): number {
 		const healthy = this.upstreams.healthyOf(servers, nowMs);
--- a/src/preparation/common/overloaded-pool.test.ts
+++ b/src/preparation/common/overloaded-pool.test.ts
@@ -1,12 +1,12 @@
 /**
-Guards against a backlog that makes all later work late. A pool that could do everything requested after a burst did
-nothing in time for seconds: the remaining work of the burst was done first, one piece at a time as its callers were about
-to leave, and made everything that came after it late as well.
+Guards against a backlog that makes all later work late. After a burst, a pool with enough capacity for all new requests
+completed nothing in time for seconds: the remaining work of the burst was done first, one piece at a time as its callers
+were about to leave, and made everything that came after the burst late as well.
 
 The load: two kinds of requests share a pool, one worth nine times the other and ranked before it. A burst requests more
 than the pool can do, and its backlog stays for seconds. The figures are those of a deployment's pool with a drained data
 hall: 6 upstreams of 27 pieces a call, 150 ms plus 4.77 ms a piece, which gives 580 pieces a second; 26 requests of rank 0
-and 35 of rank 2 a second, 8 pieces each, and 1.6 times as many in the burst; at most a second for the step.
+and 35 of rank 2 a second, 8 pieces each, and 1.6 times as many in the burst. Each step is due in less than a second.
 */
 import t from 'tap';
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
@@ -34,7 +34,7 @@
 	};
 }
 
-/** Simulates the load. Returns by rank the share of the steps requested between two times that was done in time. */
+/** Simulates the load. Returns functions that evaluate the steps of one rank requested between two times: the share done in time, and the longest duration. */
 function play(untilMs: number) {
 	const scheduler = BatchScheduler.create();
 	const calls: BatchCall[] = [];
@@ -95,14 +95,14 @@
 	t.ok(urgentShare >= 0.95, `rank 0: ${urgentShare}`);
 	const shareBeforeBurst = played.inTimeShare(2, 0, 800);
 	t.ok(shareBeforeBurst >= 0.95, `rank 2 before the burst: ${shareBeforeBurst}`);
-	// The backlog of a burst may delay what came with it, and work that comes within the length of the burst after its end, but
-	// nothing later.
+	// The backlog of a burst may delay the work of the burst itself, and work that arrives after its end within a time as long as
+	// the burst, but nothing later.
 	const afterShare = played.inTimeShare(2, burst.toMs + (burst.toMs - burst.fromMs), 14_000);
 	t.ok(afterShare >= 0.95, `rank 2 after the burst: ${afterShare}`);
 });
 
 t.test('late work is done or fails before its caller disconnects', async t => {
 	const longestMs = play(16_000).longestMs(2, 0, 10_000);
-	// Due after 0.8 s and useless 3 s after that; the call that carries it takes a third of a second.
+	// A step of rank 2 is due after 0.8 s and useless 3 s after that; a full call takes 0.28 s.
 	t.ok(longestMs <= 4200, `${longestMs}`);
 });
--- a/src/preparation/common/piece-queue.ts
+++ b/src/preparation/common/piece-queue.ts
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	Sorts the queue, most urgent first. Expired pieces are removed before: after the host was suspended they may be all
-	there is.
+	Sorts the queue, most urgent first. Expired pieces are removed before sorting: after a suspension of the host, the queue
+	may contain nothing else.
 	@param nowMs - the current time.
 	*/
 	sort(nowMs: number): void {
@@ -120,8 +120,8 @@
 	}
 
 	/**
-	Counts the pieces ahead of a hypothetical one.
-	@param urgency - urgency of that piece.
+	Counts the queued pieces that go before a piece of the given urgency.
+	@param urgency - as returned by `urgencyOf`.
 	@param nowMs - the current time.
 	*/
 	countAhead(urgency: number, nowMs: number): number {
--- a/src/preparation/common/piece-selection.ts
+++ b/src/preparation/common/piece-selection.ts
@@ -28,7 +28,7 @@
 		const [{work}] = items;
 		const isSendable = work.hall === hall || !openHalls.has(work.hall) || items.every(item => !shouldWaitForHall(item, nowMs));
 		const fittingCount = Math.min(items.length, batchSize - taken.size, Math.floor(remainingBytes / Math.max(1, work.resultBytes)));
-		// A step that is only partly done uses space for results that nothing can read yet.
+		// A step is split only if it does not fit into a call of its own: a step that is partly done uses space for results that nothing can read yet.
 		if (isSendable && fittingCount > 0 && (fittingCount === items.length || taken.size === 0)) {
 			remainingBytes -= fittingCount * work.resultBytes;
 			for (const item of items.slice(0, fittingCount)) {
--- a/src/preparation/common/preparation.ts
+++ b/src/preparation/common/preparation.ts
@@ -45,7 +45,7 @@
 		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isReleased ? availableRefs(step) : []);
 	}
 
-	/** The same results, each with its upstream and its size in bytes. */
+	/** Results that the request itself reads, each with the upstream that stores it and its size in bytes. */
 	finalSizes(): Array<{readonly serverId: string; readonly bytes: number}> {
 		return this.steps.flatMap((step, index) => this.isFinal(index) && !step.isReleased
 			? availableRefs(step).map(({serverId}) => ({serverId, bytes: step.declared.resultBytes}))
@@ -221,8 +221,8 @@
 	}
 
 	/**
-	Whether a step that only the request itself reads can be deferred. It would be done long before the others, and its
-	results would use space meanwhile. It starts when the longest other path has as many steps left and one more.
+	Whether a step that reads no results, and whose results only the request itself reads, can be deferred. It would be done
+	long before the others, and its results would use space meanwhile. It starts once the longest other path has `maxOtherRemainingSteps` steps left: as many as this step, and one more.
 	*/
 	private canDefer(index: number): boolean {
 		if (!this.isFinal(index) || this.steps[index].declared.after.length > 0) {
--- a/src/preparation/common/result-space.ts
+++ b/src/preparation/common/result-space.ts
@@ -3,7 +3,7 @@
 unknown to it, such as those requested by another host, or by this one before a restart.
 */
 
-/** Share of an upstream's space for results that is used: the upstream's own count may be ahead of the count here. */
+/** Share of an upstream's space for results that is used: the upstream may count more space as used than this host does. */
 const usableShare = 0.95;
 /** Share of the space used by unknown results that is assumed to be still in use after a call that found enough space. */
 const unknownRetainedShare = 0.5;
@@ -16,7 +16,7 @@
 export type SpaceReport = {
 	/** Total size of the results that were stored. */
 	readonly storedBytes: number;
-	/** Size of the smallest result that found no space; absent if all did. */
+	/** Size of the smallest result that found no space; absent if none was refused. */
 	readonly refusedBytes: number | undefined;
 };
 
@@ -27,7 +27,7 @@
 	}
 
 	private readonly results = new Map<string, UsedSpace>();
-	/** Space used by results unknown to this host; the upstream drops them itself in the end. */
+	/** Space used by results unknown to this host; the upstream drops them itself once their retention time has passed. */
 	private unknown: UsedSpace | undefined;
 	/** Space reserved for one refused result until it is tried again. */
 	private refused: UsedSpace | undefined;
--- a/src/preparation/common/slow-pool.test.ts
+++ b/src/preparation/common/slow-pool.test.ts
@@ -1,10 +1,10 @@
 /**
 Guards against refusing work that a slow pool could do. With all workers of a pool three times slower than declared, 705
-requests of 15 seconds were refused on admission, while all four workers stood idle and nothing was queued.
+requests were refused on admission within 15 seconds, although all four workers were idle and nothing was queued.
 
-The load: requests of two steps with 2 and 1 pieces come at a steady rate to a pool of three workers whose calls take other
-times than declared. Declared are 20 ms a call and 2 ms a piece; the target is 500 ms, the limit 3 s. The requested rate is
-half of what the workers can really do with each step in a call of its own.
+The load: requests of two steps, with 2 pieces and 1 piece, arrive at a steady rate at a pool of three workers. The declared
+times are 20 ms for a call and 2 ms for each piece, but calls may take longer; the target is 500 ms, the limit
+3 s. In the first test the requested rate is half of what the workers can really do with each step in a call of its own.
 */
 import t from 'tap';
 import {routeKinds, type BatchCapacity, type Route} from '../../deployment/common/declaration.js';
--- a/src/preparation/common/step-times.ts
+++ b/src/preparation/common/step-times.ts
@@ -1,6 +1,6 @@
 /** Tracks by pool how long steps take from submission to completion, including waits for upstreams and for space. */
 
-/** Weight of a new duration: about ten of them follow a change, which takes less than a second under load. */
+/** Weight of a new duration: the average follows a change after about ten steps, which takes less than a second under load. */
 const smoothing = 0.1;
 /**
 Durations are capped at this multiple of the typical one: a step that was delayed by more urgent ones indicates little about the
--- a/src/preparation/common/throughput.ts
+++ b/src/preparation/common/throughput.ts
@@ -1,12 +1,12 @@
-/** Measures how many pieces a pool completes while work is queued: what its space for results and its upstreams really allow. */
+/** Measures how many pieces a pool completes while work is queued, and thus what its upstreams and their space for results really allow. */
 import type {BatchCapacity} from '../../deployment/common/declaration.js';
 
 const windowMs = 1500;
 /** Minimum age of a queue before its throughput is significant: several calls of each upstream. */
 const minQueueAgeMs = 700;
 /**
-Share of the declared throughput that is assumed for a pool that made no progress: the hosts may have been lost rather
-than its upstreams.
+Minimum share of the declared throughput that is assumed, even for a pool that made no progress: the cause may be lost
+hosts rather than its upstreams.
 */
 const minAssumedShare = 0.25;
 
--- a/src/preparation/common/work.ts
+++ b/src/preparation/common/work.ts
@@ -48,9 +48,9 @@
 	readonly rank: number;
 	/** Time by which the step should be done for the request to meet its target. */
 	readonly dueMs: number;
-	/** Time by which it should be done once that is missed, so that the caller is still connected. */
+	/** Time by which the step should be done if `dueMs` was missed, so that the caller is still connected. */
 	readonly lateDueMs: number;
-	/** Time at which it fails if it is still queued. */
+	/** Time at which the step fails if it is still queued. */
 	readonly deadlineMs: number;
 	/** Data hall where the inputs are stored or the results are needed; empty where it does not matter. */
 	readonly hall: string;
--- a/src/preparation/node/batch-handler.test.ts
+++ b/src/preparation/node/batch-handler.test.ts
@@ -83,7 +83,7 @@
 	dueMs: 1, lateDueMs: 2, deadlineMs: 3, hall: '', crossingBytes: 0,
 };
 
-t.test('queued work is transferred to the host that batches its pool now, and finishes once', async t => {
+t.test('queued work is transferred to the host that batches its pool now, and a transfer reports no outcome', async t => {
 	const hosts = new Hosts();
 	const names = ['a', 'b'];
 	const owner = rendezvousOwner('p', names)!;
@@ -101,7 +101,7 @@
 	hosts.handlers.get(owner)!.handOver();
 	t.equal(hosts.queues.get(owner)!.length, 0, 'a host that is leaving transfers its queue');
 	t.equal(hosts.queues.get(other)!.length, 2);
-	t.ok(hosts.handlers.get(owner)!.isIdle, 'and holds nothing any more');
+	t.ok(hosts.handlers.get(owner)!.isIdle, 'a host that has transferred its queue is idle');
 	t.same(outcomes, []);
 });
 
--- a/src/preparation/node/batch-handler.ts
+++ b/src/preparation/node/batch-handler.ts
@@ -84,7 +84,7 @@
 	private constructor(private readonly options: BatchHandlerOptions) {
 		const {mesh} = options;
 		this.disposables.add(setRepeating(options.clock, () => reportIntervalMs, () => {
-			// Pieces of failed calls are queued again where they were, even if another host batches the pool by now.
+			// Pieces of failed calls are queued again on the host that made the call, even if another host batches the pool by now.
 			this.handOver();
 			this.reportWaits();
 		}));
@@ -166,7 +166,7 @@
 
 	/**
 	Transfers the queues of pools that another host batches now. Two hosts that batch the same pool do not know of each
-	other's results, and the older queue would find no space.
+	other's results, and the queue of the former host would find no space.
 	*/
 	handOver(): void {
 		for (const [name, pool] of this.pools) {
@@ -281,7 +281,7 @@
 		this.options.mesh.send(peerWork.hostId, messageOfFinished(finished));
 	}
 
-	/** Only the host that batches a pool knows its wait. */
+	/** Records reported waits; reports of other hosts than the one that batches a pool are ignored, since only that host knows the wait. */
 	private handleWaitReports(hostId: string, {pools}: BatchWaitsMessage): void {
 		for (const waits of pools) {
 			if (this.ownerOf(waits.pool) === hostId) {
@@ -337,7 +337,7 @@
 		}
 	}
 
-	/** Submits the work that a lost host held again. */
+	/** Submits again the work that a lost host held. */
 	private resubmitWorkOf(hostId: string): void {
 		for (const submitted of this.submitted.values()) {
 			if (submitted.owner === hostId) {
--- a/src/preparation/node/batch-pool.ts
+++ b/src/preparation/node/batch-pool.ts
@@ -235,7 +235,7 @@
 		const connection = this.connectionPoolOf(server).acquire(false);
 		const {protocol, notices, bounds, log, pool, clock} = this.options;
 		if (!connection) {
-			// All connections are in use: it is tried again with the next releases.
+			// All connections are in use: the release is tried again with the next ones.
 			this.release(handles.map(handle => ({handle, serverId: server.serverId})));
 			return;
 		}
@@ -248,7 +248,7 @@
 		});
 		timeLimit.dispose();
 		if (response.ok) {
-			// The space is free only now: an earlier call would find none.
+			// The upstream has freed the space only now: a call sent earlier would find none.
 			this.scheduler.freeResults(server.serverId, handles);
 			this.schedule();
 		} else if (!this.controller.signal.aborted) {
--- a/src/preparation/node/pool-log.ts
+++ b/src/preparation/node/pool-log.ts
@@ -37,7 +37,7 @@
 	private constructor(private readonly options: PoolLogOptions) {}
 
 	/**
-	Logs the state of a pool if it is worth a line.
+	Logs a queue that does not empty, at most once per interval, and whether the pool has become slow or recovered.
 	@param scheduler - scheduler of the pool.
 	@param servers - upstreams that accept work.
 	@param nowMs - the current time.
@@ -70,7 +70,7 @@
 		}
 	}
 
-	/** Logs that the declared duration is wrong or that all upstreams have a problem: once, and once more when it is over. */
+	/** Logs when calls begin to take longer than declared, because the declaration is wrong or all upstreams have a problem, and when they no longer do. */
 	private logSlowness(slowness: number, serverCount: number): void {
 		const isSlow = slowness > (this.isSlow ? recoveredThreshold : slowThreshold);
 		if (isSlow !== this.isSlow) {
--- a/src/preparation/node/preparer.test.ts
+++ b/src/preparation/node/preparer.test.ts
@@ -47,7 +47,7 @@
 	});
 }
 
-t.test('a piece that is late at once fails the preparation, and is not requested again', async t => {
+t.test('a piece that fails as late fails the preparation, and is not requested again', async t => {
 	let asked = 0;
 	const preparer = makePreparer((work, listener) => {
 		asked++;
@@ -137,7 +137,7 @@
 	t.same(dueMs, [900, 550], 'no call duration is declared; 100 ms are reserved for the model');
 });
 
-t.test('a step fails when its response could no longer arrive in time, or after half of the caller\'s time', async t => {
+t.test('a step fails when its response could no longer arrive in time, or after half of the caller\'s time if nothing was done yet', async t => {
 	const deadlinesMs: number[] = [];
 	const start = (request: Partial<PreparationRequest>) => {
 		void makePreparer((work, listener) => {
@@ -160,7 +160,7 @@
 /*
 Guards against refusing a request that could still be served. A step that reads no results must not fail after half of
 its caller's time if it is computed again because results were lost, or starts late on purpose: servers have already
-worked for the request. Found by reading the code; not seen so far.
+worked for the request. Found by code review; not seen in operation.
 */
 t.test('a request for which something was done does not fail after half of its time', async t => {
 	const deadlinesMs: number[] = [];
@@ -177,10 +177,10 @@
 
 /*
 Guards against failing the step of a returning caller as soon as it has to wait for anything, with most of the caller's
-time left. This happens if the time until the caller disconnects is counted from its first attempt: a caller abandons an
-attempt that yields nothing according to the time of that attempt. Found by reading the code.
+time left. This happens if the time until the caller disconnects is counted from its first attempt: when a caller
+abandons an attempt without a response depends on the start of that attempt. Found by code review.
 */
-t.test('a retry waits as long as a first attempt; only its due time counts from the first attempt', async t => {
+t.test('a step of a retry may wait as long as that of a first attempt; only its due time counts from the first attempt', async t => {
 	const workOf = async (sinceFirstTryMs: number): Promise<BatchWork> => new Promise(resolve => {
 		void makePreparer(resolve, {request: {receivedMs: 10_000, targetMs: 11_000 - sinceFirstTryMs, deadlineMs: 19_000}}).run(false);
 	});
--- a/src/preparation/node/preparer.ts
+++ b/src/preparation/node/preparer.ts
@@ -15,9 +15,9 @@
 import type {StepTimes} from '../common/step-times.js';
 import type {WorkHandler} from './batch-handler.js';
 
-/** Maximum number of failures before the request fails. */
+/** Number of failures that are tolerated; the request fails with the next one. */
 const maxFailures = 6;
-/** Failures that are not retried: a piece that is late at once, or one that no upstream accepts, would be retried without end. */
+/** Failures that are not retried: another attempt at a piece that is late, or that no upstream accepts, would fail as well. */
 const permanentFailures = new Set<string>([pieceFailures.late, pieceFailures.noUpstream]);
 /**
 Multiple of the target after which late work is useless. Callers of streams disconnect when nothing has arrived for four
@@ -93,7 +93,7 @@
 
 	/**
 	Computes the results, or those of them that were lost.
-	@param isRetry - whether the request found results lost that were computed before.
+	@param isRetry - whether results that were computed before are lost.
 	@returns the results that the request reads.
 	*/
 	async run(isRetry: boolean): Promise<Result> {
@@ -111,7 +111,7 @@
 	/**
 	Called when the request was written to the upstream that reads its results. The upstream fetches them before anything
 	else, long before its first event, and the space for results limits what a pool can do, so they are released once they
-	must have been fetched. If they have not been, the upstream reports that nothing ran, and they are computed again.
+	must have been fetched. If a result is released too early, the upstream reports that nothing ran, and the results are computed again.
 	*/
 	handleSent(): void {
 		this.fetchTimer?.dispose();
@@ -211,7 +211,7 @@
 	/**
 	Returns when a queued step fails and its caller is notified: when it could no longer be done before the caller
 	disconnects, or earlier if nothing was done for the request yet, while the caller still has time to retry or to do
-	without.
+	without the response.
 	*/
 	private waitDeadlineMs({step}: StepWork): number {
 		const {request} = this;
--- a/src/preparation/node/result-releases.test.ts
+++ b/src/preparation/node/result-releases.test.ts
@@ -75,7 +75,7 @@
 /**
 Guards against an endless loop. A release that finds all connections to its upstream in use is queued again at once; if
 the loop over the queue reaches it again, it never ends. A host that batched a pool stopped responding for good
-during a burst, and everything its peers had submitted to it was late (180 requests in place of 24).
+during a burst, and everything its peers had submitted to it was late (180 late requests instead of 24).
 */
 t.test('a release that can\'t be sent immediately is queued again for the next time', async t => {
 	const clock = ManualClock.create();
--- a/src/preparation/node/result-releases.ts
+++ b/src/preparation/node/result-releases.ts
@@ -7,7 +7,7 @@
 
 /** Time for which releases are collected before they are sent: far less than the time for which results are stored. */
 const collectMs = 30;
-/** The same for releases that could not be sent, as when their upstream may receive nothing just now. */
+/** Delay before releases that could not be sent are tried again, for example because nothing may be sent to their upstream for now. */
 const retryMs = 250;
 
 /** Dependencies and settings. */
@@ -72,7 +72,7 @@
 
 	private sendAll(): void {
 		const {registry, onUpstreamGone, maySend, send} = this.options;
-		// Releases that can't be sent are queued again during the loop, and are left for the next time.
+		// Iterates over a copy: releases that can't be sent are queued again during the loop, and are left for the next time.
 		const due = [...this.pending];
 		for (const [serverId, {handles, sinceMs}] of due) {
 			const server = registry.get(serverId);
