--- a/src/deployment/common/pool-views.ts
+++ b/src/deployment/common/pool-views.ts
@@ -1,4 +1,4 @@
-/** Caches which servers of each pool may get work, since every request needs them; any change to a server clears the cache. */
+/** Caches which servers of each pool may get work, since every request needs them; the registry clears the cache when this may have changed. */
 import type {ListedServer, UpstreamServer} from './upstream-server.js';
 
 /** Options of `PoolViews`. */
