--- a/src/deployment/node/feed-follower.ts
+++ b/src/deployment/node/feed-follower.ts
@@ -11,7 +11,7 @@
 const changeDelayMs = 60;
 /** Interval at which a host on standby checks whether it must read: a small part of the time within which changes must be acted on. */
 const standbyCheckMs = 200;
-/** Maximum gap between parts of a response, and maximum wait for it beyond the hold time: many times the store's typical 4 ms. */
+/** Maximum gap between parts of a response, and maximum wait for its first part beyond the hold time: many times the store's typical 4 ms. */
 const responseTimeoutMs = 700;
 /** Bounds of the delay between failed calls, which doubles with each failure. */
 const minRetryMs = 60;
@@ -129,7 +129,7 @@
 
 	private async readNext(): Promise<Outcome<FeedChanges<T>, FeedFailure>> {
 		const {source, holdMs, clock} = this.options;
-		// A held call would show only at the next change that the store is available again, up to two seconds late.
+		// If the store held the call, this host would notice only at the next change, up to two seconds late, that the store is available again.
 		const waitMs = this.revision === undefined || this.hasFailed ? 0 : holdMs();
 		const limit = TimeLimit.create(clock, waitMs + responseTimeoutMs, this.controller.signal);
 		// After a suspension this host knows only the state from before it, and its connection may have been lost.
