--- a/src/agent/common/order-fence.ts
+++ b/src/agent/common/order-fence.ts
@@ -28,8 +28,8 @@
 	}
 
 	/**
-	Called when this process was suspended. An order read now may have been waiting, so the next one is refused; newer ones pass
-	again.
+	Called when this process was suspended. The next order above the fence may have waited during the suspension,
+	so it is refused; later orders are accepted again.
 	*/
 	processSuspended(): void {
 		this.isNextSuspect = true;
--- a/src/agent/node/agent-service.ts
+++ b/src/agent/node/agent-service.ts
@@ -180,7 +180,7 @@
 		}
 	}
 
-	/** Admits a dispatch; one made with newer settings than those in force here waits for them. */
+	/** Admits a dispatch. A dispatch made with newer settings than those in force here waits until they arrive. */
 	private admit(connectionId: number, dispatch: DispatchMessage): void {
 		if (dispatch.settingsRevision > this.revision) {
 			this.waiting.push({connectionId, dispatch, deadlineMs: this.now() + Math.min(maxSettingsWaitMs, dispatch.startWithinMs)});
--- a/src/agent/node/engine-driver.ts
+++ b/src/agent/node/engine-driver.ts
@@ -107,7 +107,7 @@
 					maxTokens: call.maxTokens,
 					seed: call.seed,
 					offset: call.resumeOffset,
-					// Work that can still meet its deadline, or on which another engine has already spent effort, goes first.
+					// Calls that can still meet their deadline go first; among equals, calls on which another engine has already spent time.
 					priority: (dispatch.dueInMs > 0 ? inTimePriority : 0) + (call.resumeOffset > 0 ? 1 : 0),
 				}),
 				signal,
--- a/src/agent/node/http-driver.ts
+++ b/src/agent/node/http-driver.ts
@@ -65,7 +65,7 @@
 	}
 
 	async cancelOrphans(): Promise<void> {
-		// These upstreams have no API for it: a call ends with its connection, which was closed when the agent ended.
+		// These upstreams have no API for listing or canceling calls: a call ends with its connection, which was closed when the agent ended.
 	}
 
 	async order(): Promise<OrderResult> {
--- a/src/agent/node/http-errors.ts
+++ b/src/agent/node/http-errors.ts
@@ -18,7 +18,7 @@
 }
 
 /**
-Determines how a call ended that threw an error.
+Determines the end state of a call that threw an error.
 @param error - the error.
 @param isRepeatable - whether the work may run again.
 @returns `notRun` only if it is proven that the call did not run; otherwise `failed`, or `unknown` for work that may not run again.
--- a/src/base/common/clock-comparer.test.ts
+++ b/src/base/common/clock-comparer.test.ts
@@ -32,7 +32,7 @@
 		return this.comparer.compare(this.reading);
 	}
 
-	/** Compares the clocks, a second apart each, until a consistent boot clock is trusted. */
+	/** Compares the clocks once per simulated second, until a consistent boot clock is trusted. */
 	trustBootClock(): this {
 		for (let second = 0; second < 6; second++) {
 			this.run(1000);
@@ -43,7 +43,7 @@
 	}
 }
 
-t.test('a suspension is detected by the boot clock, a jump of the wall clock alone is none, both together are a suspension', async t => {
+t.test('a suspension is detected by the boot clock; a jump of the wall clock alone does not count as a suspension, both together do', async t => {
 	const machine = new SimulatedMachine().trustBootClock();
 	machine.run(500);
 	t.notOk(machine.comparer.hasJumped(machine.steadyMs, machine.wallMs));
@@ -73,7 +73,7 @@
 	}
 });
 
-t.test('for any sequence of clock readings, exactly the time that the boot clock counted beyond the monotonic clock is a suspension', async () => {
+t.test('for any sequence of clock readings, the reported suspensions add up to the time by which the boot clock advanced beyond the monotonic clock', async () => {
 	const step = fc.record({runMs: fc.nat(2000), suspendMs: fc.oneof(fc.constant(0), fc.integer({min: 300, max: 20_000})), jumpMs: fc.integer({min: -5000, max: 5000})});
 	fc.assert(fc.property(fc.array(step, {maxLength: 40}), steps => {
 		const machine = new SimulatedMachine().trustBootClock();
@@ -82,7 +82,7 @@
 		for (const {runMs, suspendMs, jumpMs} of steps) {
 			machine.run(runMs);
 			machine.suspend(suspendMs);
-			// A jump back that hides the suspension to within the bound of a jump is not detected.
+			// A suspension is not detected if a jump back of the wall clock cancels it out, to within the deviation that counts as a jump.
 			const hidden = Math.abs(suspendMs + jumpMs) <= 150;
 			machine.wallMs += hidden ? 0 : jumpMs;
 			suspendedMs += suspendMs;
--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -5,7 +5,7 @@
 
 /** The machine was suspended, or may have been. */
 export type Suspension = {
-	/** Duration. */
+	/** Duration of the suspension or, if it is not confirmed, size of the jump of the wall clock. */
 	readonly forMs: number;
 	/** Whether the suspension is confirmed, so that `nowMs` includes it; otherwise it is only certain that the wall clock jumped. */
 	readonly isSure: boolean;
--- a/src/base/common/errors.ts
+++ b/src/base/common/errors.ts
@@ -11,7 +11,7 @@
 export const UnavailableError = BaseError.subclass('UnavailableError');
 
 /**
-Checks an invariant, and stops the current work if it is broken.
+Checks an invariant, and throws if it is broken.
 @param condition - the invariant.
 @param message - describes the violation.
 @throws InvariantError when the condition is false.
--- a/src/base/common/is-deep-equal.test.ts
+++ b/src/base/common/is-deep-equal.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import {isDeepEqual} from './is-deep-equal.js';
 
-t.test('values are equal where their JSON differs at most in the order of fields', async t => {
+t.test('values are equal if they differ at most in the order of their fields', async t => {
 	t.equal(isDeepEqual({a: 1, b: [1, {c: 'x'}]}, {b: [1, {c: 'x'}], a: 1}), true);
 	t.equal(isDeepEqual({a: 1}, {a: 1, b: undefined}), false);
 	t.equal(isDeepEqual({a: 1}, {b: 1}), false);
--- a/src/base/common/is-deep-equal.ts
+++ b/src/base/common/is-deep-equal.ts
@@ -1,4 +1,4 @@
-/** Structural equality of values, as JSON distinguishes them. */
+/** Structural equality of plain objects, arrays and primitives. */
 
 /**
 Returns whether two values are structurally equal, regardless of the order of their fields.
--- a/src/base/common/outcome.ts
+++ b/src/base/common/outcome.ts
@@ -1,4 +1,4 @@
-/** Result type for calls for which a failure is an ordinary result and no exception. */
+/** Result type for calls whose failure is an ordinary result rather than an exception. */
 
 /** Result of a call that succeeded. */
 export type Success<T> = {readonly ok: true; readonly value: T};
--- a/src/base/common/time-limit.test.ts
+++ b/src/base/common/time-limit.test.ts
@@ -11,7 +11,7 @@
 	t.equal(limit.signal.aborted, true);
 });
 
-t.test('a call is aborted when its owner stops, also one that begins afterwards', async t => {
+t.test('a call is aborted when its owner stops, and so is a call that begins afterwards', async t => {
 	const clock = ManualClock.create();
 	const stop = new AbortController();
 	const limit = TimeLimit.create(clock, 100, stop.signal);
--- a/src/base/common/time-limit.ts
+++ b/src/base/common/time-limit.ts
@@ -67,7 +67,7 @@
 		this.controller.abort(new UnavailableError('the call was aborted: its time limit was reached, or its owner stopped'));
 	}
 
-	/** Ends the limit; called when the call has finished, which is then no longer aborted. */
+	/** Ends the limit, so that the call is no longer aborted; used when the call has finished. */
 	dispose(): void {
 		this.isDisposed = true;
 		this.timer?.dispose();
--- a/src/base/node/log-suspensions.ts
+++ b/src/base/node/log-suspensions.ts
@@ -6,7 +6,7 @@
 
 /**
 Logs and counts suspensions.
-@param clock - detects them.
+@param clock - detects the suspensions.
 @param log - receives a warning for each.
 @param metrics - counts `host.slept` and, where it is only certain that the wall clock jumped, `host.mayHaveSlept`.
 @returns a disposable that stops the reports.
--- a/src/base/node/system-clock.test.ts
+++ b/src/base/node/system-clock.test.ts
@@ -27,7 +27,7 @@
 	}
 }
 
-t.test('the time read after a suspension includes it at once, and timers that became due meanwhile run', async t => {
+t.test('the first reading of the time after a suspension includes the suspension, and timers that became due meanwhile run', async t => {
 	const {clock, added, events} = makeClock();
 	while (!clock.isBootClockTrusted) {
 		await wait(compareMs);
--- a/src/base/node/text-metrics.ts
+++ b/src/base/node/text-metrics.ts
@@ -6,7 +6,7 @@
 
 const prefix = 'pumicehatch_';
 const quantiles = [50, 90, 95, 99, 99.9] as const;
-/** Largest value that a histogram distinguishes: longer than any request is held. */
+/** Largest value that a histogram distinguishes; no request is held for that long. */
 const maxTrackedMs = 60_000;
 
 /** Keeps measurements in memory and renders them in the Prometheus text format. */
--- a/src/cli/common/explain.ts
+++ b/src/cli/common/explain.ts
@@ -9,7 +9,7 @@
 	readonly requestId: string;
 	/** Log lines of the request, ordered by time. */
 	readonly lines: readonly LogLine[];
-	/** Log lines of the same seconds on the state of pools, store, peers and servers. */
+	/** Log lines from around the request, on the state of pools, store, peers and servers. */
 	readonly around: readonly LogLine[];
 };
 
--- a/src/cli/common/log-lines.ts
+++ b/src/cli/common/log-lines.ts
@@ -28,7 +28,7 @@
 /**
 Reads log lines of any number of hosts.
 @param text - the lines, in any order.
-@returns the log lines and the numbers of other and of dropped lines.
+@returns the log lines, the number of lines that are no log lines, and the number of dropped lines.
 */
 export function readLogLines(text: string): LogReading {
 	const lines: LogLine[] = [];
--- a/src/cli/common/verdicts.ts
+++ b/src/cli/common/verdicts.ts
@@ -18,7 +18,7 @@
 export type RequestVerdict = {readonly verdict: Verdict; readonly cause: string};
 
 const {ended, refusedForPredictedWait, refusedOnAdmission, poolBacklog} = requestLogMessages;
-/** HTTP statuses from this one on are failures of the upstream. */
+/** Lowest HTTP status that counts as a failure of the upstream. */
 const minServerErrorStatus = 500;
 
 /** Checks whether a line states the outcome of a request. */
@@ -29,7 +29,7 @@
 /**
 Determines the verdict on a request from its last log line.
 @param last - the last line of the request.
-@param around - log lines of the same seconds, for the queue that was longest.
+@param around - log lines from around the request, among which the longest queue is found.
 @returns the verdict with its cause.
 */
 export function verdictOf(last: LogLine, around: readonly LogLine[]): RequestVerdict {
--- a/src/daemon/common/direct-settings.ts
+++ b/src/daemon/common/direct-settings.ts
@@ -23,7 +23,7 @@
 	readonly stopGraceMs: number;
 	/** Maximum time from when the store accepts a declaration until it is in force. */
 	readonly declarationWithinMs: number;
-	/** Maximum time from when the store accepts that a server is leaving until no more is sent to it. */
+	/** Maximum time from when the store accepts that a server is leaving until no more requests are sent to that server. */
 	readonly leavingWithinMs: number;
 	/** Resources that this host may use. */
 	readonly capacity: HostResources;
--- a/src/daemon/node/compose-direct-entry.ts
+++ b/src/daemon/node/compose-direct-entry.ts
@@ -1,9 +1,9 @@
 /**
-Composes all components of an entry that calls upstreams itself in one place.
+Composes, in one place, all components of an entry that calls upstreams itself.
 
-Omitted, because a deployment of this kind provides them from outside: claims (callers repeat a request that may
-run only once only after a guarantee that it has not run), the settings tree and its order of changes (the
-platform's store accepts declarations), the placement lease and orders, and the agents.
+Omitted, because a deployment of this kind provides them from outside: claims (callers repeat a request that must run at most once
+only after a guarantee that it has not run), the settings tree and its order of changes (the platform's store accepts
+declarations), the placement lease and orders, and the agents.
 */
 import type {InjectionToken} from 'tsyringe';
 import {setRepeating} from '../../base/common/clock.js';
@@ -63,7 +63,7 @@
 const usedConnectionShare = 0.8;
 /** Connections that this host may always have to one upstream, regardless of the number of hosts. */
 const minConnections = 4;
-/** How often the list of servers is checked for missing entries that can no longer come back. */
+/** Interval of the check for servers that are missing from the list and can no longer come back. */
 const sweepIntervalMs = 200;
 
 /**
@@ -269,7 +269,7 @@
 	get(promptUpdatesToken);
 }
 
-/** Creates the entry; resolving its components creates them. */
+/** Creates the entry, and with it the components that it depends on. */
 function makeEntry({settings, lifecycle, clock, metrics, logOf, get}: Composition): DirectEntry {
 	return DirectEntry.create({
 		settings,
--- a/src/daemon/node/compose-feeds.ts
+++ b/src/daemon/node/compose-feeds.ts
@@ -86,7 +86,7 @@
 			replaceAll({changed, unreadable, revision}) {
 				const nowMs = clock.nowMs();
 				const servers = changed.map(written => ({...written.value, revision: written.revision}));
-				// Must come first: `replaceAll` would take these servers for missing from the list, possibly lapsed, and use them for a while.
+				// Must come first: otherwise `replaceAll` would treat these servers as missing, with entries that may have lapsed, and would use them for a while.
 				registry.handleUnreadableEntries(unreadable);
 				return registry.replaceAll({servers, revision}, nowMs);
 			},
--- a/src/daemon/node/daemon.ts
+++ b/src/daemon/node/daemon.ts
@@ -12,7 +12,7 @@
 /** A running daemon. */
 export type Daemon = {
 	readonly lifecycle: LifecycleManager;
-	/** Endpoint on which it listens for other processes of the system. */
+	/** Endpoint on which the daemon listens for other processes of the system. */
 	readonly wire: Endpoint;
 	/** Endpoints on which an entry listens for callers and operators. */
 	readonly entry?: EntryEndpoints;
--- a/src/daemon/node/direct-entry.test.ts
+++ b/src/daemon/node/direct-entry.test.ts
@@ -26,9 +26,9 @@
 }
 
 /*
-Guards against requests that are interrupted when their host exits, some in the middle of their response. This happened to
-requests accepted 3.1 and 3.2 s after the stop signal, as the host's log and the time of the signal showed: the host
-accepted new requests for 3.2 s, but the platform tolerates a cut only for those sent within 3 s.
+Guards against requests that are interrupted when their host exits, some in the middle of their response. This happened to requests
+accepted 3.1 and 3.2 s after the stop signal: the host accepted new requests for 3.2 s, but the platform tolerates an
+interruption only of requests sent within 3 s.
 */
 t.test('a stopping entry accepts requests only while they have time to finish', async t => {
 	const clock = ManualClock.create();
--- a/src/daemon/node/direct-entry.ts
+++ b/src/daemon/node/direct-entry.ts
@@ -14,7 +14,7 @@
 /**
 Time for which a stopping entry still accepts requests. The load balancer checks readiness once a second and removes
 a host after two negative responses. A request accepted 3 s after the signal or later must not be cut off for lack of
-time, so accepting ends a margin before that; later requests go to another host, which has time for them.
+time, so accepting ends 0.2 s before that; later requests go to another host, which has time for them.
 */
 const acceptWhileStoppingMs = 2800;
 /** Reserved from the time until the process is terminated from outside. */
--- a/src/entry/common/fleet-router.ts
+++ b/src/entry/common/fleet-router.ts
@@ -71,7 +71,7 @@
 		return undefined;
 	}
 
-	/** Always clear: the entry can't know which requests crash upstreams, because an agent runs between it and the upstream. */
+	/** Always clear: the entry can't know which requests crash upstreams, because an agent runs between the entry and each upstream. */
 	standingOf(): Standing {
 		return clearStanding;
 	}
--- a/src/entry/common/planner.ts
+++ b/src/entry/common/planner.ts
@@ -8,7 +8,7 @@
 import type {HttpCall} from '../../wire/common/messages.js';
 
 const defaultSlots = 8;
-/** Methods that are idempotent by RFC 9110; calls with others are not retried, whether marked as not repeatable or not. */
+/** Methods that are idempotent by RFC 9110; calls with other methods are not retried, even if the caller and the settings allow it. */
 const idempotentMethods = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'TRACE']);
 /** Maximum number of targets cached between changes of the settings. */
 const maxCachedTargets = 20_000;
--- a/src/entry/node/callers-api.ts
+++ b/src/entry/node/callers-api.ts
@@ -224,7 +224,7 @@
 		};
 	}
 
-	/** Answers a request whose key was used before with the state or the response of the first request. */
+	/** Responds to a request whose key was used before: sends the state or the response of the first request. */
 	private answerRepeat(response: ServerResponse, plan: RequestPlan, claim: Claim, parsed: ParsedRequest): void {
 		const {requestId} = plan;
 		const isExpired = this.options.clock.wallMs() > claim.endsByMs;
--- a/src/placement/common/lease.ts
+++ b/src/placement/common/lease.ts
@@ -13,7 +13,7 @@
 export const leaseMs = 15_000;
 /** Subtracted from the lease time on the holder's side, as clocks run at different speeds. */
 const clockMarginMs = 2000;
-/** Holder of a lease that was released. */
+/** Value of `holder` in a lease that was released. */
 const noHolder = 'nobody';
 
 const leaseSchema = z.strictObject({holder: z.string(), epoch: z.number().int().positive(), beat: z.number().int()});
--- a/src/placement/common/order-planner.ts
+++ b/src/placement/common/order-planner.ts
@@ -1,11 +1,11 @@
-/** Plans the orders that bring engines to the models in the settings, a few engines at a time. */
+/** Plans the orders that load and unload models until the engines match the settings, a few engines at a time. */
 import type {PoolNode} from '../../settings/common/schema.js';
 import type {LoadedModel} from '../../wire/common/messages.js';
 
 /** An engine as last reported. */
 export type EngineView = {readonly upstreamId: string; readonly models: readonly LoadedModel[]};
 
-/** One order on the way to the wanted state. */
+/** One planned order: to load or unload a model or an adapter on one engine. */
 export type OrderStep = {
 	readonly upstreamId: string;
 	readonly kind: 'load' | 'unload';
--- a/src/placement/common/placement-service.ts
+++ b/src/placement/common/placement-service.ts
@@ -1,4 +1,4 @@
-/** Brings engines to the models in the settings, from whichever entry holds the placement lease. */
+/** Loads and unloads models until the engines match the settings; the entry that holds the placement lease does this. */
 import {setRepeating, type Clock} from '../../base/common/clock.js';
 import {DisposableStore, type Disposable} from '../../base/common/disposable.js';
 import type {Logger} from '../../base/common/logger.js';
--- a/src/quarantine/common/crash-detector.ts
+++ b/src/quarantine/common/crash-detector.ts
@@ -88,8 +88,8 @@
 
 	/**
 	Starts to watch a server after the connection of a call to it was lost.
-	@param server - the server.
-	@returns whether the call may have crashed the server, which is now being found out.
+	@param server - the server that ran the call.
+	@returns whether the call may have crashed the server; if so, checks are now under way.
 	*/
 	connectionLost(server: UpstreamServer): boolean {
 		const {serverId} = server;
--- a/src/quarantine/common/crash-record.test.ts
+++ b/src/quarantine/common/crash-record.test.ts
@@ -29,7 +29,7 @@
 			right.merge(item, 0);
 		}
 
-		// A host that receives the full record of another one at once agrees too.
+		// A host that receives another host's full record in one exchange agrees too.
 		const late = CrashRecord.create(3);
 		for (const item of left.all(0)) {
 			late.merge(item, 0);
@@ -84,7 +84,7 @@
 	}
 
 	t.equal(peer.barredUntilMs(content, 62_000), 181_000, 'a peer has recorded the trial request');
-	t.equal(record.recordTrial('d'.repeat(32), 62_000), undefined, 'a content that is not barred needs none');
+	t.equal(record.recordTrial('d'.repeat(32), 62_000), undefined, 'a content that is not barred needs no trial request');
 	record.merge(crashOf('d'), 181_000);
 	t.equal(record.barredUntilMs(content, 181_000), 301_000, 'the crash caused by the trial request does not double the time again');
 	record.merge(crashOf('e'), 301_000);
--- a/src/quarantine/common/crash-record.ts
+++ b/src/quarantine/common/crash-record.ts
@@ -34,8 +34,9 @@
 */
 const initialBarMs = 60_000;
 /**
-Maximum time for which a content is barred. The time doubles with each trial request, or with each further crash where pieces of
-batches were tried: a request that crashes servers costs six of them in the first hour after it was barred, then one an hour.
+Maximum time for which a content is barred. The time doubles with each trial request; if pieces of batches were tried instead, it
+doubles with each further crash. A request that crashes servers costs six of them in the first hour after it was barred, then one
+an hour.
 */
 const maxBarMs = 3_600_000;
 
@@ -61,7 +62,7 @@
 	}
 
 	/**
-	Counts the crashes that count against a content.
+	Returns how many crashes are held against a content; cleared ones are not included.
 	@param contentId - the content.
 	@param nowMs - the current time.
 	*/
@@ -213,7 +214,7 @@
 	return Math.max(lastTrialMs, ...crashes.values());
 }
 
-/** Drops the oldest crashes beyond the maximum. */
+/** Drops the oldest crashes, and the oldest cleared ones, beyond the maximum. */
 function dropOldest({crashes, cleared}: Entry): void {
 	for (const serverId of crashes.keys()) {
 		if (crashes.size <= maxCrashes) {
--- a/src/quarantine/common/quarantine.test.ts
+++ b/src/quarantine/common/quarantine.test.ts
@@ -74,7 +74,7 @@
 function makeHosts(count: number) {
 	const clock = ManualClock.create();
 	const hosts: Host[] = [];
-	/** Starts or restarts a host, which gets the full record from another one. */
+	/** Starts or restarts a host, which gets the full record from another host. */
 	const startHost = (index: number) => {
 		const host = new Host(clock);
 		const known = hosts.find((_, other) => other !== index);
@@ -115,7 +115,7 @@
 	t.same(hosts.map(({quarantine}) => quarantine.standingOf(sourceOf('fatal')).type), ['barred', 'barred', 'barred', 'barred']);
 	t.same(hosts.map(({barred}) => barred), hosts.map(() => [contentIdOf(sourceOf('fatal'))]));
 	t.equal(hosts[0].quarantine.standingOf(sourceOf('other')).type, 'clear');
-	t.equal(hosts[0].quarantine.standingOf(sourceOf('fatal', 'someone else')).type, 'clear', 'a workspace can\'t get the requests of another one barred');
+	t.equal(hosts[0].quarantine.standingOf(sourceOf('fatal', 'someone else')).type, 'clear', 'a workspace can\'t get the requests of another workspace barred');
 	const late = new Host(clock);
 	late.quarantine.handlePeerReport(hosts[3].quarantine.all(), 'peer');
 	t.equal(late.quarantine.standingOf(sourceOf('fatal')).type, 'barred', 'on a host that starts later');
--- a/src/quarantine/common/quarantine.ts
+++ b/src/quarantine/common/quarantine.ts
@@ -1,6 +1,6 @@
 /**
-Quarantine for requests that crash the servers that run them: each is sent to three servers at most, whatever ids its attempts
-have and whichever hosts receive them.
+Quarantine for requests that crash the servers that run them: after three crashes a request is sent only as an
+occasional trial request, whatever ids its attempts have and whichever hosts receive them.
 
 A request is barred on all hosts once three server processes have crashed while they ran it. It is barred for a minute at first;
 then one host sends it once as a trial request. One crash proves little, since every request that ran on the server is affected;
@@ -21,11 +21,11 @@
 import {quarantineLogMessages} from './quarantine-log-messages.js';
 import type {CrashDetector} from './crash-detector.js';
 
-/** Number of server crashes under one content after which it is barred. */
+/** Number of server crashes recorded for one content after which the content is barred. */
 const crashesToBar = 3;
 /**
-Number of crashes after which a piece is sent in a call of its own. After a single crash dozens of pieces would be sent alone,
-although a call with a full batch takes no longer than a call with one piece.
+Number of crashes after which a piece is sent in a call of its own. With a value of 1, dozens of pieces would be sent
+alone after a single crash, although a call with a full batch takes no longer than a call with one piece.
 */
 const crashesToIsolate = 2;
 /** Number of head digests at which the set is rebuilt from the contents that are still recorded or suspect. */
@@ -36,7 +36,7 @@
 /** Whether a request may be sent, judged by the crashes recorded for the same content. */
 export type Standing
 	= | {readonly type: 'clear'}
-	/** It may have crashed the last server that ran it; a check is under way. */
+	/** The request may have crashed the last server that ran it; a check is under way. */
 		| {readonly type: 'inDoubt'}
 		| {readonly type: 'barred'; readonly forMs: number; readonly contentId: string};
 
--- a/src/quarantine/node/quarantine-updates.ts
+++ b/src/quarantine/node/quarantine-updates.ts
@@ -8,7 +8,7 @@
 
 /** Updates are collected for this long before they are sent, because a server that crashes loses all of its calls at once. */
 const batchingMs = 10;
-/** Maximum number of contents in one message, about 100 bytes each: a longer one would delay the messages behind it on a slow link. */
+/** Maximum number of contents in one message, about 100 bytes each: a longer message would delay those behind it on a slow link. */
 const maxContentsPerMessage = 500;
 
 /** Dependencies of the quarantine updates. */
--- a/src/settings/common/settings-service.test.ts
+++ b/src/settings/common/settings-service.test.ts
@@ -14,7 +14,7 @@
 
 const createChangeRequest = (number: number, baseRevision: number) => ({changeId: `c${number}`, reason: '', edits: [{path: '/', baseRevision, after: {deadlineMs: 1000 + number}}]});
 
-t.test('a malformed row, such as one from a newer version of the program, keeps a host at the previous revision without further harm', async t => {
+t.test('a malformed row, such as one from a newer version of the program, keeps a host at the previous revision, and the host can try again', async t => {
 	const {table, createHost} = setUp();
 	const host = createHost();
 	await host.change(createChangeRequest(1, 0), 'a');
@@ -22,7 +22,7 @@
 	const other = createHost();
 	t.match(await other.refresh(), {ok: false, error: {code: 'storeUnavailable'}});
 	t.equal(other.tree.revision, 1);
-	t.match(await other.refresh(), {ok: false}, 'and can be retried');
+	t.match(await other.refresh(), {ok: false}, 'the refresh can be retried');
 });
 
 t.test('a host that is far behind starts from a snapshot and applies the changes after it', async t => {
--- a/src/settings/common/settings-store.ts
+++ b/src/settings/common/settings-store.ts
@@ -100,7 +100,7 @@
 	Appends a change if the head has not changed since the change was validated.
 	@param change - the change, with the revision after that of the head.
 	@param head - the head that the change was validated against.
-	@returns whether the change was appended; after a failure it may have been.
+	@returns whether the change was appended; after a failure the change may have been appended nevertheless.
 	*/
 	async append(change: Change, head: SettingsHead): Promise<Outcome<AppendResult, StoreFailure>> {
 		const key = changeKey(change.revision);
@@ -155,7 +155,7 @@
 		const isNewer = rows.value.length === 0 || revisionOfSnapshotName(rows.value[0].value) < snapshot.revision;
 		const written = isNewer ? await this.objects.put(name, JSON.stringify(snapshot)) : undefined;
 		if (written?.ok) {
-			// The result is ignored: a lost response does no harm, since the next snapshot writes its own name.
+			// The result is ignored: a lost response does no harm, since the next snapshot is stored under its own name.
 			await this.table.transact({
 				conditions: [{key: snapshotKey, version: rows.value[0]?.version ?? 0}],
 				writes: [{key: snapshotKey, value: name}],
--- a/src/settings/common/settings-tree.ts
+++ b/src/settings/common/settings-tree.ts
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	Applies a change, if it is the one after the current revision.
+	Applies a change if it directly follows the current revision.
 	@param change - an accepted change.
 	@returns whether it was the next change and is now in force.
 	*/
@@ -108,7 +108,7 @@
 	}
 
 	/**
-	Returns the stages of a pipeline in a workspace. The pipeline of the workspace goes before that of the fleet.
+	Returns the stages of a pipeline in a workspace. The pipeline of the workspace takes precedence over that of the fleet.
 	@param workspace - name of the workspace.
 	@param pipeline - name of the pipeline.
 	@returns the stage names in order, or undefined if neither of the two nodes sets `order`.
--- a/src/standins/common/engine-state.ts
+++ b/src/standins/common/engine-state.ts
@@ -56,7 +56,7 @@
 		return new EngineState(speed, [...models]);
 	}
 
-	/** Highest fencing token seen, with `sequence`; an engine that checks fences refuses orders with lower ones. */
+	/** Together with `sequence`, the fencing token of the last accepted order; an engine that checks fences refuses orders without a higher token. */
 	epoch = 0;
 	sequence = 0;
 	cacheHits = 0;
--- a/src/standins/common/memory-table.ts
+++ b/src/standins/common/memory-table.ts
@@ -15,9 +15,9 @@
 
 	/** Whether the service is unavailable: all calls fail. */
 	isDown = false;
-	/** Number of next transactions whose responses are lost after their writes took effect. */
+	/** Number of upcoming transactions whose responses are lost after their writes took effect. */
 	responsesToLose = 0;
-	/** Number of next transactions that are lost before they take effect; the caller can't distinguish this from a lost response. */
+	/** Number of upcoming transactions that are lost before they take effect; the caller can't distinguish this from a lost response. */
 	requestsToLose = 0;
 	/** Whether the service becomes unavailable after the next transaction took effect and before it responds. */
 	crashAfterWrite = false;
--- a/src/standins/node/engine-server.ts
+++ b/src/standins/node/engine-server.ts
@@ -33,7 +33,7 @@
 export type EngineOptions = {
 	readonly speed?: EngineSpeed;
 	readonly models: readonly LoadedModel[];
-	/** Whether orders with a lower fencing token are refused; true by default. */
+	/** Whether orders are refused unless their fencing token is higher than that of the last accepted order; true by default. */
 	readonly isFenceChecked?: boolean;
 	/** Origin of the weight store; without one, models load immediately. */
 	readonly weightOrigin?: string;
--- a/src/store/common/host-list.ts
+++ b/src/store/common/host-list.ts
@@ -13,7 +13,7 @@
 	state: z.enum({live: 'live', leaving: 'leaving'}),
 });
 
-/** A host as the platform lists it. The entry may be some seconds old. */
+/** A host as the platform lists it. The information may be some seconds old. */
 export type ListedHost = z.infer<typeof listedHostSchema>;
 
 /** Why the list could not be read. */
--- a/src/wire/common/frame-codec.test.ts
+++ b/src/wire/common/frame-codec.test.ts
@@ -68,7 +68,7 @@
 	new DataView(deep.buffer).setUint32(0, 50_000);
 	const read = FrameDecoder.create().push(deep);
 	t.equal(read.ok ? 'none' : read.error.code, 'badEncoding', 'nested too deeply');
-	// A map with the key "type" twice: the last one applies, and its value is unknown.
+	// A map with the key "type" twice: the last value applies, and it is no known message type.
 	const twice = new TextEncoder().encode('....\u00A2dtypedpingdtypedxxxx');
 	t.equal(codeOf(new Uint8Array([0, 0, 0, 21, 0xA2, ...twice.slice(6, 26)])), 'badMessage');
 });
--- a/src/wire/common/messages.ts
+++ b/src/wire/common/messages.ts
@@ -98,7 +98,7 @@
 	/** Time until the request's deadline; 0 once it has passed. Work that can still meet its deadline takes precedence. */
 	dueInMs: ms,
 	isRepeatable: z.boolean(),
-	/** Revision of the settings that the sender applies; a receiver with an older one catches up before it decides. */
+	/** Revision of the settings that the sender applies; a receiver with older settings updates them before it admits or refuses the work. */
 	settingsRevision: count,
 	/** Weight of this workspace in the sharing of the upstream with others. */
 	weight: z.number().positive(),
@@ -342,9 +342,9 @@
 	limits: z.array(z.strictObject({
 		serverId,
 		perS: z.number().nonnegative(),
-		/** Time since a response announced it. */
+		/** Time since a response announced the limit. */
 		namedAgoMs: ms,
-		/** Time since a call was sent whose response no longer announced it; absent while the limit applies. */
+		/** Time since a call was sent whose response no longer announced the limit; absent while the limit applies. */
 		endedAgoMs: ms.optional(),
 	})).max(maxServerLimits),
 });
--- a/src/wire/node/wire-connection.ts
+++ b/src/wire/node/wire-connection.ts
@@ -16,7 +16,7 @@
 	readonly identity: Identity;
 	readonly keys: () => readonly WireKey[];
 	readonly maxFrameBytes?: number;
-	/** Upper bound on buffered outgoing bytes; the connection is closed above it, because the peer does not read. */
+	/** Upper bound on buffered outgoing bytes; above it the connection is closed, because the peer evidently does not read. */
 	readonly maxBufferedBytes?: number;
 };
 
@@ -70,12 +70,12 @@
 		return this.didOpen.event;
 	}
 
-	/** Fires once, with the reason. */
+	/** Fires once when the connection is closed, with the reason. */
 	get onDidClose() {
 		return this.didClose.event;
 	}
 
-	/** Fires whenever bytes are received, also within a message: it shows that the other side is alive and the connection works. */
+	/** Fires whenever bytes are received, also within a message, which shows that the other side is alive and the connection works. */
 	get onDidReceiveData() {
 		return this.didReceiveData.event;
 	}
