--- a/src/agent/common/order-fence.ts
+++ b/src/agent/common/order-fence.ts
@@ -37,7 +37,7 @@
 
 	/**
 	Checks an order, and raises the fence to its epoch and sequence number unless it is outdated.
-	@param order - the order.
+	@param order - the order to check.
 	@returns the reason for the refusal, or `undefined` if the order may be executed.
 	*/
 	check(order: OrderMessage): string | undefined {
--- a/src/agent/common/suspend-detector.ts
+++ b/src/agent/common/suspend-detector.ts
@@ -37,7 +37,7 @@
 
 	/**
 	Confirms a connection that was opened, or that answered a ping.
-	@param connectionId - the connection.
+	@param connectionId - id of the connection.
 	@param resumeCount - how often the process had resumed when the ping was sent.
 	*/
 	confirm(connectionId: number, resumeCount: number): void {
@@ -50,7 +50,7 @@
 
 	/**
 	Checks whether messages of a connection may be old, because it was not confirmed since the process last resumed.
-	@param connectionId - the connection.
+	@param connectionId - id of the connection.
 	*/
 	isStale(connectionId: number): boolean {
 		return (this.confirmed.get(connectionId) ?? -1) < this.currentResumeCount;
--- a/src/agent/node/http-errors.ts
+++ b/src/agent/node/http-errors.ts
@@ -19,7 +19,7 @@
 
 /**
 Determines the end state of a call that threw an error.
-@param error - the error.
+@param error - what the HTTP client threw.
 @param isRepeatable - whether the work may run again.
 @returns `notRun` only if it is proven that the call did not run; otherwise `failed`, or `unknown` for work that may not run again.
 */
--- a/src/agent/node/order-handler.ts
+++ b/src/agent/node/order-handler.ts
@@ -36,7 +36,7 @@
 
 	/**
 	Executes an order, or refuses it if the fence forbids it.
-	@param order - the order.
+	@param order - the order, as received from an entry.
 	@returns the outcome.
 	*/
 	async execute(order: OrderMessage): Promise<OrderResult> {
--- a/src/entry/common/fleet-router.ts
+++ b/src/entry/common/fleet-router.ts
@@ -78,7 +78,7 @@
 
 	/**
 	Handles the first connection of an incarnation: discards what was known of the previous one.
-	@param member - the upstream.
+	@param member - the upstream in its new incarnation.
 	*/
 	handleJoin(member: Member): void {
 		this.candidates.set(member.upstreamId, {
--- a/src/entry/node/callers-api.ts
+++ b/src/entry/node/callers-api.ts
@@ -80,7 +80,7 @@
 
 	/**
 	Handles the requests of a server.
-	@param server - the server.
+	@param server - the HTTP server whose requests are handled.
 	*/
 	attachTo(server: Server): void {
 		attachApp(server, this.app);
--- a/src/entry/node/http-common.ts
+++ b/src/entry/node/http-common.ts
@@ -39,8 +39,8 @@
 
 /**
 Lets an application handle the requests of a server, after the checks that must precede routing.
-@param server - the server.
-@param app - the application.
+@param server - the HTTP server whose requests are handled.
+@param app - the application that routes the requests.
 */
 export function attachApp(server: Server, app: App): void {
 	server.on('request', (request: IncomingMessage, response: ServerResponse) => {
--- a/src/entry/node/operators-api.ts
+++ b/src/entry/node/operators-api.ts
@@ -71,7 +71,7 @@
 
 	/**
 	Handles the requests of a server.
-	@param server - the server.
+	@param server - the HTTP server whose requests are handled.
 	*/
 	attachTo(server: Server): void {
 		attachApp(server, this.app);
--- a/src/placement/common/lease.ts
+++ b/src/placement/common/lease.ts
@@ -21,7 +21,7 @@
 
 /**
 Parses the row of a lease.
-@param row - the row.
+@param row - the row as read from the table service.
 @returns the lease, or `undefined` if the row is malformed.
 */
 export function parseLease(row: Row): LeaseRow | undefined {
--- a/src/placement/common/placement-service.ts
+++ b/src/placement/common/placement-service.ts
@@ -64,7 +64,7 @@
 
 	/**
 	Handles an agent's reply to an order.
-	@param reply - the reply.
+	@param reply - the reply, which names the order by its id.
 	*/
 	handleReply(reply: OrderReply): void {
 		const pending = this.pending.get(reply.orderId);
--- a/src/quarantine/common/crash-record.ts
+++ b/src/quarantine/common/crash-record.ts
@@ -63,7 +63,7 @@
 
 	/**
 	Returns how many crashes are held against a content; cleared ones are not included.
-	@param contentId - the content.
+	@param contentId - id of the content.
 	@param nowMs - the current time.
 	*/
 	crashCountOf(contentId: string, nowMs: number): number {
@@ -77,7 +77,7 @@
 
 	/**
 	Computes until when a content is barred, that is, sent to no server.
-	@param contentId - the content.
+	@param contentId - id of the content.
 	@param nowMs - the current time.
 	@returns a time in the past if the content is not barred, or if a trial request may be sent.
 	*/
@@ -93,7 +93,7 @@
 
 	/**
 	Records that a trial request of a barred content is sent.
-	@param contentId - the content.
+	@param contentId - id of the content.
 	@param nowMs - the current time.
 	@returns the update for peers, or `undefined` if the content has too few crashes to be barred.
 	*/
@@ -143,7 +143,7 @@
 
 	/**
 	Lists the server processes whose crash counts against a content.
-	@param contentId - the content.
+	@param contentId - id of the content.
 	@param nowMs - the current time.
 	*/
 	crashedServersOf(contentId: string, nowMs: number): string[] {
--- a/src/quarantine/common/quarantine.ts
+++ b/src/quarantine/common/quarantine.ts
@@ -193,7 +193,7 @@
 	/**
 	Merges what a peer reports.
 	@param known - the crashes of some contents.
-	@param hostId - the peer.
+	@param hostId - id of the peer, for the log.
 	*/
 	handlePeerReport(known: readonly ContentCrashes[], hostId: string): void {
 		for (const item of known) {
--- a/src/quarantine/common/request-content.ts
+++ b/src/quarantine/common/request-content.ts
@@ -30,7 +30,7 @@
 
 /**
 Extracts the digest of a request's head from a content id.
-@param contentId - the content id.
+@param contentId - id of a content, as `contentIdOf` returns it.
 */
 export function headOfContentId(contentId: string): string {
 	return contentId.slice(0, contentId.length / 2);
--- a/src/settings/common/revision-tracker.ts
+++ b/src/settings/common/revision-tracker.ts
@@ -20,7 +20,7 @@
 
 	/**
 	Records the revision that a host reported.
-	@param identity - the host.
+	@param identity - identity of the host.
 	@param revision - the revision in force on it.
 	@param nowMs - the current time in milliseconds.
 	*/
--- a/src/settings/node/settings-sync.ts
+++ b/src/settings/node/settings-sync.ts
@@ -41,7 +41,7 @@
 
 	/**
 	Starts to exchange settings with a peer, until the connection closes.
-	@param connection - an open connection.
+	@param connection - an open connection to the peer.
 	*/
 	attach(connection: WireConnection): void {
 		this.peers.add(connection);
