--- a/src/entry/common/fleet-router.ts
+++ b/src/entry/common/fleet-router.ts
@@ -71,14 +71,14 @@
 		return undefined;
 	}
 
-	/** Always clear: the entry can't know which requests crash upstreams, because an agent runs between it and the upstream. */
+	/** Always clear: the entry can't know which requests crash upstreams, because an agent runs between the entry and each upstream. */
 	standingOf(): Standing {
 		return clearStanding;
 	}
 
 	/**
 	Handles the first connection of an incarnation: discards what was known of the previous one.
-	@param member - the upstream.
+	@param member - the upstream in its new incarnation.
 	*/
 	handleJoin(member: Member): void {
 		this.candidates.set(member.upstreamId, {
--- a/src/placement/common/lease.ts
+++ b/src/placement/common/lease.ts
@@ -13,7 +13,7 @@
 export const leaseMs = 15_000;
 /** Subtracted from the lease time on the holder's side, as clocks run at different speeds. */
 const clockMarginMs = 2000;
-/** Holder of a lease that was released. */
+/** Value of `holder` in a lease that was released. */
 const noHolder = 'nobody';
 
 const leaseSchema = z.strictObject({holder: z.string(), epoch: z.number().int().positive(), beat: z.number().int()});
@@ -21,7 +21,7 @@
 
 /**
 Parses the row of a lease.
-@param row - the row.
+@param row - the row as read from the table service.
 @returns the lease, or `undefined` if the row is malformed.
 */
 export function parseLease(row: Row): LeaseRow | undefined {
