--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -56,7 +56,7 @@
 	return plan.value;
 }
 
-/** Prompt with a first part that all engines have cached and a second one that each has for itself, as where many documents share their instructions. */
+/** Returns a prompt for a document. All engines have cached its first part, the instructions that all documents share; each engine has cached another document. */
 function promptOf(document: string): PromptPart[] {
 	return makePrompt([{id: 'instructions', tokens: 2500}, {id: document, tokens: 3800}, {id: 'own', tokens: 2900}]);
 }
@@ -77,7 +77,7 @@
 	};
 }
 
-/** Runs a complete request with one generating stage through its state machine, with one token in each chunk. */
+/** Runs a request with one generating stage through its state machine, with one token in each chunk; at the end its call fails and the caller disconnects. */
 function runRequest(plan: RequestPlan, router: FleetRouter): void {
 	const machine = RequestStateMachine.create(plan, router);
 	const [action] = machine.handle({type: 'start'}, workload.startMs);
--- a/bench/hop.ts
+++ b/bench/hop.ts
@@ -8,7 +8,7 @@
 
 const callCount = 300;
 const stageMs = 20;
-/** Batches of calls before the measurement, so that the code has been compiled by the JIT compiler. */
+/** Batches of calls before the measurement, so that the JIT compiler has compiled the code. */
 const warmUpBatches = 60;
 
 /** Median times of direct calls and of calls through the fleet, and the added time as a share of a stage of 20 ms. */
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -22,7 +22,7 @@
 	readonly workspaces: ReadonlyArray<{readonly name: string; readonly share: number}>;
 	readonly kinds: readonly LoadKind[];
 	readonly deadlineMs: number;
-	/** Returns the requests per second at a time since the start. */
+	/** Returns the rate in requests per second at a time in milliseconds since the start. */
 	readonly rateAt: (atMs: number) => number;
 	readonly durationMs: number;
 	readonly seed: number;
--- a/bench/synthetic-settings.ts
+++ b/bench/synthetic-settings.ts
@@ -36,7 +36,7 @@
 }
 
 /**
-Makes a settings tree from such a snapshot.
+Makes a settings tree from the snapshot that `makeSnapshot` returns.
 @param workspaces - number of workspaces.
 @returns the tree.
 */
--- a/test/daemon-process.test.ts
+++ b/test/daemon-process.test.ts
@@ -106,7 +106,7 @@
 		await waitUntil(isServing);
 		t.equal(runCount('frozen'), 0);
 		await waitUntil(async () => (await reserve('frozen')).status === 200);
-		t.equal(runCount('frozen'), 1, 'it is then known as not executed, and runs once when sent again');
+		t.equal(runCount('frozen'), 1, 'the request is then known not to have run, and runs once when it is sent again');
 	});
 
 	await t.test('a repeatable request survives the kill of an agent, or ends with an accurate error', async t => {
--- a/test/fleet-changes.test.ts
+++ b/test/fleet-changes.test.ts
@@ -36,7 +36,7 @@
 	t.equal(leaving.engine!.startedIds.length, started);
 });
 
-t.test('an upstream that is leaving by the host list or by the settings gets no work', async t => {
+t.test('an upstream that the host list or the settings mark as leaving gets no work', async t => {
 	const fleet = await startFleet();
 	t.teardown(() => {
 		fleet.dispose();
@@ -121,7 +121,7 @@
 	});
 });
 
-t.test('engines load the models in the settings, ordered by a single lease holder', async t => {
+t.test('engines load the models that the settings name, on orders of a single lease holder', async t => {
 	const fleet = await startFleet();
 	t.teardown(() => {
 		fleet.dispose();
--- a/test/platform/canceled-calls.test.ts
+++ b/test/platform/canceled-calls.test.ts
@@ -1,8 +1,8 @@
 /**
 Tests requests that callers cancel, with real hosts.
 
-Guards against a canceled request making another one fail: each of 60 cancellations failed one request that arrived at the same moment and
-may run only once. It ended with 502 although nothing of it had been sent. A stream that had stalled was canceled, and its second attempt failed within 6 ms.
+Guards against a canceled request making another one fail. Each of 60 cancellations made one request fail that arrived at the same moment and
+may run only once; that request ended with 502, although nothing of it had been sent. When a stalled stream was canceled, its second attempt failed within 6 ms.
 */
 import {Agent} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
--- a/test/platform/cold-servers.test.ts
+++ b/test/platform/cold-servers.test.ts
@@ -1,7 +1,7 @@
 /**
 Guards against overloading servers that are still cold. In the second after the drain of a data hall ended, all hosts sent to its idle
-servers at once, since these looked best to each host, and the servers, which had just started, crashed. The hosts did not read that a
-server is cold and which rate it tolerates meanwhile, and each host chose as if it were the only one.
+servers at once, since these looked best to each host, and the servers, which had just started, crashed. The hosts did not read from the store that a
+server is cold and which rate it tolerates while it is cold, and each host chose as if it were the only one.
 The stand-ins here crash above their rate; two hosts share all requests.
 */
 import t, {type Test} from 'tap';
--- a/test/platform/fatal-request.test.ts
+++ b/test/platform/fatal-request.test.ts
@@ -4,7 +4,7 @@
 Guards against a request that crashes one server after the other: one request crashed eleven of 13 engines within 13 s and another one ten
 more, and a tenth of all other requests was not served meanwhile. The caller repeated the request with a new id for each attempt, at any
 host. A host dropped what it knew of a request at the end of the attempt, so each attempt counted as the first one and went to a server that
-had not run it yet; and no host saw more than three of the attempts. The attempts below then crashed every server.
+had not run it yet; and no host saw more than three of the attempts. Before the fix, the attempts below crashed every server.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
@@ -106,8 +106,8 @@
 }
 
 /**
-A step of a request can crash the servers that run it as well; this was found by looking for the same cause elsewhere. A piece was
-sent to four servers for each attempt of its request, each time in a call with the same pieces of other requests, and was then created anew.
+A step of a request can crash the servers that run it as well. For each attempt of its request, a piece was sent to four servers, each time
+in a call with the same pieces of other requests; the next attempt created the piece anew.
 */
 t.test('a request whose step crashes servers is sent to three of them at most, and other requests are still served', async t => {
 	const fleet = await DirectFleet.create();
--- a/test/platform/leaving-server.test.ts
+++ b/test/platform/leaving-server.test.ts
@@ -3,8 +3,8 @@
 
 Guards against requests to leaving upstreams: an engine had reported in each response for ten seconds that it was leaving and got as many
 requests as before, also from hosts that had forwarded such responses. Hosts did not read that header; they learned of leaving servers only
-from the store's list, which could not be written at the time. The tests below then counted 22 plain calls, 15 streams and 73 calls of
-steps where none is allowed.
+from the store's list, which could not be written at the time. Before the fix, the tests below counted 22 plain calls, 15 streams and
+73 calls of steps where none is allowed.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
--- a/test/platform/refusing-server.test.ts
+++ b/test/platform/refusing-server.test.ts
@@ -4,7 +4,7 @@
 Guards against refusing upstreams that attract requests: one of four upstreams refused each request at once; in 9 s it got 358 of the sends,
 and 260 of 541 callers were refused, though the other three could serve ten times the load. A refusal frees its upstream at once, so that the
 selection by requests in flight and by prefill time prefers it, and a request spends two or three attempts on it; no selection considered
-refusals. The tests below then counted 250 of 312 callers served and 106 sends to the upstream in four seconds.
+refusals. Before the fix, the tests below counted 250 of 312 callers served and 106 sends to the upstream in four seconds.
 */
 import t, {type Test} from 'tap';
 import type {RunningEntry} from './direct-harness.js';
@@ -89,7 +89,7 @@
 		}
 
 		await loadAll(hosts, recoveryMs - 1000);
-		// Requests are distributed unevenly over healthy servers. That the two are no longer avoided shows if the others refuse and attract no requests.
+		// Requests are distributed unevenly over healthy servers, so the others now refuse: only if the two are used again are all requests served.
 		const startMs = performance.now();
 		for (const pool of servers.values()) {
 			for (const other of pool.slice(2)) {
--- a/test/platform/server-backoff.test.ts
+++ b/test/platform/server-backoff.test.ts
@@ -3,8 +3,8 @@
 
 Guards against requests during a backoff: four of 13 engines refused each request at once and asked the host for a backoff of 3 s. Each got
 three or more requests from the same host in that time, and callers were refused after three such refusals, though nine engines served. Hosts
-did not read the requested time, and an upstream that has refused is idle, so it looked best for the next request. The tests below then
-counted 34 plain calls, 7 streams and 20 calls of steps where 2 are allowed.
+did not read the requested time, and an upstream that has refused is idle, so it looked best for the next request. Before the fix,
+the tests below counted 34 plain calls, 7 streams and 20 calls of steps where 2 are allowed.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
@@ -17,7 +17,7 @@
 /** Requests sent before the refusal arrived do not count. */
 const graceMs = 500;
 const maxDuringBackoff = 2;
-/** Shorter than the other loads: steps wait while all workers are in backoff, so that those of this time keep the workers busy for much longer. */
+/** Shorter than the other loads: steps wait while all workers are in backoff, so the steps of this load keep the workers busy for much longer than it lasts. */
 const stepsLoadMs = 2000;
 
 function assertBackoffRespected(t: Test, server: ServerStandin): void {
@@ -28,7 +28,7 @@
 
 t.test('an upstream that asks for a backoff', async t => {
 	for (const [what, refusalPolicy] of [['all', {share: 1, retryAfter: '3'}], ['three in ten', {share: 0.3, retryAfter: '1.5'}]] as const) {
-		t.test(`when it refuses ${what} gets no requests from that host meanwhile, for each kind of call; others serve the remaining ones`, async t => {
+		t.test(`and refuses ${what} of its requests gets none from the same host during the backoff, for each kind of call; others serve the remaining ones`, async t => {
 			const fleet = await makeLongTimeoutFleet(t);
 			const pools = [await fleet.addServers('plain', 4, 20), await fleet.addServers('model', 4), await fleet.addServers('stage', 3)];
 			const hosts = await addHosts(fleet, 3);
@@ -64,7 +64,7 @@
 		await load(hosts, plainCall, 60, 1000);
 		refusing.refusalPolicy = undefined;
 		await load(hosts, plainCall, 60, 2000);
-		// Requests are distributed unevenly over healthy servers. That it is used shows if no other one accepts work.
+		// Requests are distributed unevenly over healthy servers. So the other server now refuses: requests are served only if this one is used.
 		other.refusalPolicy = {share: 1};
 		assertServed(t, await load(hosts, plainCall, 60, 1000));
 	});
--- a/test/platform/server-limit.test.ts
+++ b/test/platform/server-limit.test.ts
@@ -3,8 +3,8 @@
 
 Guards against ignored limits: engines that had announced a limit of 1 request per second still got as many requests as all others, 12 to 17
 in 4 s, and callers noticed nothing of it. Hosts did not read the limit; each host counts only its own requests, though the limit is for all
-of them; and calls of steps checked no bound of an upstream at all, not even while it was cold. The tests below then counted 34 to 97 in 4 s
-where 11 and 17 are allowed.
+of them; and calls of steps checked no bound of an upstream at all, not even while it was cold. Before the fix, the tests below counted
+34 to 97 in 4 s where 11 and 17 are allowed.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t, {type Test} from 'tap';
--- a/test/platform/server-restart.test.ts
+++ b/test/platform/server-restart.test.ts
@@ -33,7 +33,7 @@
 	return restarted;
 }
 
-t.test('a restarted server is used though its former process was leaving, and a delayed entry does not bring that one back', async t => {
+t.test('a restarted server is used though its former process was leaving, and a delayed entry does not bring the former process back', async t => {
 	const {fleet, first, entry} = await makeFleet(t, 'plain');
 	fleet.store.put('servers', first.serverId, {...first.entry('plain', 'draining'), born: 1000});
 	await waitUntil(() => hasLine(entry, '"leaving"'));
--- a/test/platform/server-standin.ts
+++ b/test/platform/server-standin.ts
@@ -66,7 +66,7 @@
 	return String(headers['attempt-id'] ?? '').split('@')[1] ?? 'batches';
 }
 
-/** A server whose id is new at each start. */
+/** One server, known by the id that the test gives it. */
 export class ServerStandin {
 	/**
 	Starts a server.
--- a/test/platform/slow-pool.test.ts
+++ b/test/platform/slow-pool.test.ts
@@ -2,7 +2,7 @@
 Tests a pool whose workers all take longer than declared, with real hosts.
 
 Guards against refusals while workers are idle: with all workers of a pool three times slower than declared, 705 requests within 15 seconds
-were refused on admission, while all four workers were idle and nothing was queued.
+were refused on admission, although all four workers were idle and nothing was queued.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import t from 'tap';
--- a/test/request-oracle.ts
+++ b/test/request-oracle.ts
@@ -30,7 +30,7 @@
 	/** Dispatch ids of calls that were still running when a planned stop finished. */
 	readonly abortedByStop: string[] = [];
 
-	/** Ids of requests whose state machine asked, right after a tick, for another tick at a time that had already passed. */
+	/** Ids of requests whose state machine asked, right after a tick, for another tick at a time that was not in the future. */
 	readonly spinningRequestIds: string[] = [];
 
 	/**
--- a/tools/test-verdict.ts
+++ b/tools/test-verdict.ts
@@ -10,7 +10,7 @@
 export type KnownFailure = {readonly test: string; readonly cause: string; readonly issue: string};
 
 const testLine = /^ {4}(?<not>not )?ok \d+ - (?<name>.*?)(?: # .*)?(?: \{)?$/v;
-/** Number of tests in a file. It follows the tests, and is missing if the process of the file was terminated from outside. */
+/** Number of tests in a file. This line follows the tests of the file, and is missing if the process of the file was terminated from outside. */
 const planLine = /^ {4}1\.\.(?<count>\d+)$/v;
 const fileLine = /^(?<not>not )?ok \d+ - (?<name>.*?)(?: # .*)?(?: \{)?$/v;
 
@@ -79,7 +79,7 @@
 		}
 	}
 
-	/** A failed file is explained by its failed tests only if all of its planned tests were run. */
+	/** Ends the current file. Its failed tests explain its failure only if all of its planned tests were run. */
 	private endFile(isPassed: boolean): void {
 		const isExplained = this.failedInFile > 0 && this.countInFile === this.plannedInFile;
 		this.unexplainedCount += isPassed || isExplained ? 0 : 1;
