--- a/test/platform/bundled-program.test.ts
+++ b/test/platform/bundled-program.test.ts
@@ -1,4 +1,4 @@
-/** Runs the program as it is deployed: bundled, with its compiled code beside it, in a process of its own. */
+/** Runs the program as it is deployed: bundled, with its code cache next to it, in a process of its own. */
 import {spawn, spawnSync} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
@@ -57,7 +57,7 @@
 	return {address, port: Number(port)};
 }
 
-t.test('the bundled program uses its compiled code and serves requests with store and servers', async t => {
+t.test('the bundled program uses its code cache and serves requests with store and servers', async t => {
 	const store = await StoreStandin.create();
 	const server = await ServerStandin.create('plain-0');
 	t.teardown(() => {
--- a/test/platform/cold-servers.test.ts
+++ b/test/platform/cold-servers.test.ts
@@ -89,7 +89,7 @@
 		t.notOk(cold.hasCrashed);
 	});
 
-	t.test('is each server of a hall whose drain has just ended, until its entry says otherwise', async t => {
+	t.test('servers of a hall whose drain has just ended count as cold until their entries say otherwise', async t => {
 		const fleet = await makeFleet(t);
 		const [back] = await fleet.addServers('model', 1);
 		const [other] = await fleet.addServers('model', 1, 2, 'hall-b');
--- a/test/platform/direct-harness.ts
+++ b/test/platform/direct-harness.ts
@@ -137,7 +137,7 @@
 		return running;
 	}
 
-	/** Starts a host and waits until the load balancer would use it and it knows all servers. */
+	/** Starts a host and waits until its readiness endpoint responds with 200 and its log names all servers. */
 	async addReadyEntry(): Promise<RunningEntry> {
 		const running = await this.addEntry();
 		await waitUntil(async () => await readinessOf(running) === 200 && this.servers.every(server => running.lines.some(line => line.includes(`"${server.serverId}"`))));
--- a/test/platform/fatal-request.test.ts
+++ b/test/platform/fatal-request.test.ts
@@ -107,7 +107,7 @@
 
 /**
 A step of a request can crash the servers that run it as well. For each attempt of its request, a piece was sent to four servers, each time
-in a call with the same pieces of other requests; the next attempt created the piece anew.
+in a call with the same pieces of other requests. After that the piece was created anew.
 */
 t.test('a request whose step crashes servers is sent to three of them at most, and other requests are still served', async t => {
 	const fleet = await DirectFleet.create();
--- a/test/platform/hall-drain.test.ts
+++ b/test/platform/hall-drain.test.ts
@@ -156,7 +156,7 @@
 		});
 	});
 
-	t.test('malformed rows about halls have no other effect', async t => {
+	t.test('rows that name no known hall drain nothing, and a row with a malformed value still drains its hall', async t => {
 		const fleet = await makeFleet(t);
 		const [healthy] = await fleet.addServers('plain', 1, 2, otherHall);
 		const [drained] = await fleet.addServers('plain', 1);
--- a/test/platform/server-backoff.test.ts
+++ b/test/platform/server-backoff.test.ts
@@ -17,7 +17,7 @@
 /** Requests sent before the refusal arrived do not count. */
 const graceMs = 500;
 const maxDuringBackoff = 2;
-/** Shorter than the other loads: steps wait while all workers are in backoff, so the steps of this load keep the workers busy for much longer than it lasts. */
+/** Shorter than the other loads: steps wait while all workers are in backoff, so the steps of this load keep the workers busy for much longer than the load lasts. */
 const stepsLoadMs = 2000;
 
 function assertBackoffRespected(t: Test, server: ServerStandin): void {
--- a/tools/caller-value.ts
+++ b/tools/caller-value.ts
@@ -1,6 +1,6 @@
 /**
 Computes the value of a run to its callers from the log lines of all hosts. The time to an answer counts from the caller's
-first try. Waiting that ends unserved is charged in proportion to its length, without steps; a repeated try that fails is
+first try. A wait that ends without service is charged by its length, linearly between two bounds; a repeated try that fails is
 charged like a second refusal. Requests that never reached a host are in no log, and so not in the sum.
 */
 import {numberOf, textOf, type LogLine} from '../src/cli/common/log-lines.js';
@@ -29,7 +29,7 @@
 const maxWaitCostShare = 0.1;
 /** Charge for a repeated try that is not served either, as a share of the value of the request. */
 const failedRetryCostShare = 0.3;
-/** A try with a smaller age than this counts as the first one; allows for differences between the callers' clocks and for network latency. */
+/** A try that begins less than this after the first one counts as the first one itself; this allows for differences between the callers' clocks and for network latency. */
 const maxFirstTryAgeMs = 150;
 
 /**
