--- a/test/platform/server-standin.ts
+++ b/test/platform/server-standin.ts
@@ -61,7 +61,7 @@
 	}
 }
 
-/** Returns the host that sent a request: its index, with which the request ids of a load end. Calls of steps and releases have no such id; they come from the one host that batches the calls of their pool. */
+/** Returns the index of the host that sent a request; the request ids of a load end with it. Calls of steps and releases have no such id; one host batches those of each pool. */
 function hostOf({headers}: IncomingMessage): string {
 	return String(headers['attempt-id'] ?? '').split('@')[1] ?? 'batches';
 }
