--- a/src/quarantine/common/crash-record.ts
+++ b/src/quarantine/common/crash-record.ts
@@ -34,8 +34,9 @@
 */
 const initialBarMs = 60_000;
 /**
-Maximum time for which a content is barred. The time doubles with each trial request, or with each further crash where pieces of
-batches were tried: a request that crashes servers costs six of them in the first hour after it was barred, then one an hour.
+Maximum time for which a content is barred. The time doubles with each trial request; if pieces of batches were tried instead, it
+doubles with each further crash. A request that crashes servers costs six of them in the first hour after it was barred, then one
+an hour.
 */
 const maxBarMs = 3_600_000;
 
@@ -61,8 +62,8 @@
 	}
 
 	/**
-	Counts the crashes that count against a content.
-	@param contentId - the content.
+	Returns how many crashes are held against a content; cleared ones are not included.
+	@param contentId - id of the content.
 	@param nowMs - the current time.
 	*/
 	crashCountOf(contentId: string, nowMs: number): number {
@@ -76,7 +77,7 @@
 
 	/**
 	Computes until when a content is barred, that is, sent to no server.
-	@param contentId - the content.
+	@param contentId - id of the content.
 	@param nowMs - the current time.
 	@returns a time in the past if the content is not barred, or if a trial request may be sent.
 	*/
@@ -92,7 +93,7 @@
 
 	/**
 	Records that a trial request of a barred content is sent.
-	@param contentId - the content.
+	@param contentId - id of the content.
 	@param nowMs - the current time.
 	@returns the update for peers, or `undefined` if the content has too few crashes to be barred.
 	*/
@@ -142,7 +143,7 @@
 
 	/**
 	Lists the server processes whose crash counts against a content.
-	@param contentId - the content.
+	@param contentId - id of the content.
 	@param nowMs - the current time.
 	*/
 	crashedServersOf(contentId: string, nowMs: number): string[] {
@@ -213,7 +214,7 @@
 	return Math.max(lastTrialMs, ...crashes.values());
 }
 
-/** Drops the oldest crashes beyond the maximum. */
+/** Drops the oldest crashes, and the oldest cleared ones, beyond the maximum. */
 function dropOldest({crashes, cleared}: Entry): void {
 	for (const serverId of crashes.keys()) {
 		if (crashes.size <= maxCrashes) {
--- a/src/routing/common/send-share.ts
+++ b/src/routing/common/send-share.ts
@@ -6,7 +6,7 @@
 choice for all hosts at once, so independent decisions would exceed the bound. Each bounded upstream therefore has a few senders, chosen
 by rendezvous hashing so that all hosts agree on them. Each sender may send an equal quota (the first ones one request more if the bound
 is not divisible), and the other hosts send nothing. A host can only send what its own callers request, so a bound with at least one
-request for each of many hosts has many senders.
+request for each of many hosts is given many senders.
 
 Alternatives considered: a fixed quota for every host gives less than one request per second each for 18 requests per second and 31 hosts,
 which either leaves the upstream idle or breaks the bound when all send at once. Quotas lent between connected hosts need messages
@@ -22,10 +22,10 @@
 	readonly isSoleSender: boolean;
 };
 
-/** Minimum number of senders of an upstream, if its bound has a request for each: two of them may fail at once. */
+/** Minimum number of senders of an upstream, if its bound has a request for each of them: two senders may fail at once. */
 const minSenders = 3;
 /**
-Target number of requests per sender and window, if the bound has as many. Requests of callers arrive at random, so a sender of an unpaced
+Target number of requests per sender and window, if the bound allows that many. Requests of callers arrive at random, so a sender of an unpaced
 bound gets several requests. With a paced bound, more senders with one request each match the demand of each host's callers better.
 */
 const requestsPerSender = 3;
@@ -55,7 +55,7 @@
 
 	/**
 	Computes how many requests this host may still send to a bounded upstream now.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param bound - the bound on all hosts together.
 	@param work - the kind of work to send.
 	@param nowMs - the current time.
@@ -73,7 +73,7 @@
 
 	/**
 	Computes when this host may send again to a bounded upstream whose quota is used up.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param bound - the bound on all hosts together.
 	@param work - the kind of work to send.
 	@param nowMs - the current time.
@@ -91,7 +91,7 @@
 
 	/**
 	Records a send to a bounded upstream.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param nowMs - the current time.
 	*/
 	sent(upstreamId: string, nowMs: number): void {
@@ -100,7 +100,7 @@
 
 	/**
 	Computes how long ago this host last sent to an upstream while it was bounded.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param nowMs - the current time.
 	@returns the time in milliseconds; Infinity if no send is recorded.
 	*/
@@ -110,7 +110,7 @@
 
 	/**
 	Computes this host's rank in the sender order of an upstream; the first sender has rank 0.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	@param nowMs - the current time.
 	*/
 	rankOf(upstreamId: string, nowMs: number): number {
@@ -119,7 +119,7 @@
 
 	/**
 	Removes the state of an upstream that no longer exists.
-	@param upstreamId - the upstream.
+	@param upstreamId - the id of the upstream.
 	*/
 	forget(upstreamId: string): void {
 		this.sendTimesMs.delete(upstreamId);
--- a/test/platform/server-standin.ts
+++ b/test/platform/server-standin.ts
@@ -61,12 +61,12 @@
 	}
 }
 
-/** Returns the host that sent a request, from the request ids of a load. Calls of steps and releases have no such id; they come from the one host that batches their pool. */
+/** Returns the index of the host that sent a request; the request ids of a load end with it. Calls of steps and releases have no such id; one host batches those of each pool. */
 function hostOf({headers}: IncomingMessage): string {
 	return String(headers['attempt-id'] ?? '').split('@')[1] ?? 'batches';
 }
 
-/** A server whose id is new at each start. */
+/** One server, known by the id that the test gives it. */
 export class ServerStandin {
 	/**
 	Starts a server.
